--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -1,12 +1,12 @@
-// Package attempt is an entry's state machine of one admitted request: it decides
-// which agent incarnation is offered the call, when another may be, and which one
-// final answer the caller gets.
+// Package attempt implements the state machine with which an entry handles one admitted
+// request. It decides which agent incarnation is offered the call, when another agent
+// may be tried, and which final answer the caller gets.
 //
-// The rules that it keeps:
+// Invariants:
 //   - The call is offered to one agent incarnation at a time.
 //   - Another agent is tried only after the first has proved that the call did not run
 //     there and never will, or if the call is repeatable.
-//   - NotRun is said only where it is proved; a doubt is Unknown.
+//   - NotRun is reported only if it is proved; otherwise the execution is Unknown.
 //   - Each request gets exactly one final answer, at its deadline at the latest.
 package attempt
 
@@ -23,80 +23,81 @@
 	Deadline time.Time
 	// Repeatable says that the call may run more than once.
 	Repeatable bool
-	// Continuable says that another upstream can continue an answer from what was
-	// delivered, as engines can from prompt and generated tokens.
+	// Continuable says that another upstream can continue an answer after the part that
+	// was delivered, as engines can from the prompt and the generated tokens.
 	Continuable bool
-	// Keyed says that the call has an Idempotency-Key and may not be repeated: its
-	// binding goes through idempotency.Claim, and other tries may wait for its run.
+	// Keyed says that the call has an Idempotency-Key and may not be repeated. It is
+	// bound to an agent through idempotency.Claim, and other tries with the same key may
+	// wait for its run.
 	Keyed bool
 	// MaxRetries bounds the agents tried after the first.
 	MaxRetries int
-	// EveryRetry says that each further try counts against the budget, also those that
-	// put no work on an upstream: where upstreams are called without an agent, a request
-	// that one refuses has still arrived there.
+	// EveryRetry says that each retry counts against the budget, including retries after
+	// a refusal. It is set where upstreams are called without an agent, because a request
+	// that an upstream refuses has still reached it.
 	EveryRetry bool
-	// Retries is the service's budget and backoff.
+	// Retries is the service's retry budget and backoff.
 	Retries Retries
 }
 
-// Retries is what the state machine asks before it tries another agent.
+// Retries decides whether the state machine may try another agent, and when.
 // retry.Policy implements it.
 type Retries interface {
-	// Allow takes one retry from the service's budget and reports whether there was one.
+	// Allow takes one retry from the service's budget and reports whether one was left.
 	Allow(now time.Time) bool
 	// Delay returns the delay before retry n, counted from 1.
 	Delay(n int) time.Duration
 }
 
-// Replica is an agent incarnation that was chosen for the call.
+// Replica identifies the agent incarnation that was chosen for the call.
 type Replica struct {
 	Agent       string
 	Incarnation call.Incarnation
 	// Stamp is the agent's clock as last seen when it was chosen.
 	Stamp time.Duration
-	// ID and Attempt are those of the binding of a keyed call; otherwise zero, and
-	// the request's ID and its next attempt are used.
+	// ID and Attempt come from the binding of a keyed call. If they are zero, the
+	// request's ID and its next attempt number are used.
 	ID      call.ID
 	Attempt call.Attempt
 }
 
-// Word is what an agent said of an attempt that it refused or that ended.
+// Word is the outcome of an attempt that the agent refused or that ended.
 type Word struct {
 	Code result.Code
 	// Execution is NotRun only if the agent answered that the call has not run there and
 	// never will.
 	Execution result.Execution
-	// Detail and RetryAfter are for the caller; they may be empty.
+	// Detail and RetryAfter are passed on to the caller; they may be empty.
 	Detail     string
 	RetryAfter time.Duration
-	// Better may name another replica, in a refusal.
+	// Better is the less loaded replica that a refusal recommends; it may be empty.
 	Better string
-	// Again says that the refuser itself is well: it refused for what was sent along, and may
-	// take the call without that.
+	// Again says that the same agent may accept the call if it is sent without the part
+	// that it was refused for, such as another upstream that does not serve.
 	Again bool
 }
 
-// Kind says what the shell must do.
+// Kind is the kind of an Action, which the code that drives the Machine performs.
 type Kind uint8
 
 // The kinds of action.
 const (
-	// None means that there is nothing to do until the next event or Machine.Wake.
+	// None requires nothing until the next event or the time that Machine.Wake returns.
 	None Kind = iota
-	// Choose means: route the call, then report Chosen or NoReplica.
+	// Choose asks to route the call, and to report Chosen or NoReplica.
 	Choose
 	// ContinueElsewhere is Choose for a call of which Delivered frames have been
-	// handed to the caller: the next attempt continues behind them.
+	// handed to the caller: the next attempt continues after them.
 	ContinueElsewhere
-	// Offer means: send the offer to Replica, over a new link if Redial is set. If its
-	// Attempt is new, first call Restart on the stream's Receiver, before any other
-	// frame is handed out: the offer asks for what follows Delivered.
+	// Offer asks to send the offer to Replica, over a new link if Redial is set. If its
+	// Attempt is new, Restart must be called on the stream's Receiver before any other
+	// frame is handed out, because the offer asks for the frames that follow Delivered.
 	Offer
-	// ResumeOnNewLink means: drop the link, dial anew, and ask the same incarnation for
-	// the frames from NextSeq on.
+	// ResumeOnNewLink asks to drop the link, dial a new one, and request the frames from
+	// NextSeq on from the same incarnation.
 	ResumeOnNewLink
-	// CancelAndConfirm means: ask Replica over a new link that the call not run, and
-	// report its word with CancelAnswered.
+	// CancelAndConfirm asks to cancel the call at Replica over a new link, and to report
+	// the agent's answer with CancelAnswered.
 	CancelAndConfirm
 	// Answer is final: the whole answer has been delivered.
 	Answer
@@ -104,14 +105,14 @@
 	Fail
 )
 
-// Action is one instruction to the shell.
+// Action is one instruction to the code that drives the Machine.
 type Action struct {
 	Kind    Kind
 	Attempt call.Attempt
 	Replica Replica
 	// Delay is how long to wait before the action.
 	Delay time.Duration
-	// Redial says that the link to the agent must not be used again.
+	// Redial says that a new link to the agent is required.
 	Redial bool
 	// NextSeq is the first frame still missing.
 	NextSeq uint64
@@ -119,9 +120,9 @@
 	Delivered uint64
 	// Better names the replica that the last refusal recommends; it may be empty.
 	Better string
-	// Release says that Replica should also be told, without waiting for its word, to
-	// give up Attempt, so that it frees what the call holds. It may come with any Kind,
-	// None included.
+	// Release says that a cancellation of Attempt should also be sent to Replica, without
+	// waiting for an answer, so that the agent frees the call's resources. It may be set
+	// with any Kind, including None.
 	Release bool
 	Err     *result.Error
 }
--- a/core/attempt/direct_test.go
+++ b/core/attempt/direct_test.go
@@ -12,28 +12,29 @@
 	"pgregory.net/rapid"
 )
 
-// direct is an entry that calls upstreams itself, as a model: it drives a Machine with
-// what may happen to a request and keeps count of what really ran.
-type direct struct {
+// directCaller models an entry that calls upstreams itself, without an agent. It drives a
+// Machine with random outcomes of its sends and counts the actual runs.
+type directCaller struct {
 	machine    *Machine
 	now        time.Time
 	repeatable bool
 	maxRetries int
 	allowed    int
-	asked      int
+	allowCalls int
 
 	sends int
-	// agents are the upstreams that were sent to.
+	// agents are the upstreams to which the request was sent.
 	agents map[string]bool
 	runs   int
-	// delivered counts events that the caller has; began says that it has a head.
+	// delivered counts the events that the caller received; headSent says that it received
+	// the head of an answer.
 	delivered uint64
-	began     bool
+	headSent  bool
 }
 
 // Allow implements Retries.
-func (d *direct) Allow(time.Time) bool {
-	d.asked++
+func (d *directCaller) Allow(time.Time) bool {
+	d.allowCalls++
 	if d.allowed == 0 {
 		return false
 	}
@@ -42,30 +43,30 @@
 }
 
 // Delay implements Retries.
-func (*direct) Delay(int) time.Duration { return 0 }
+func (*directCaller) Delay(int) time.Duration { return 0 }
 
-// fate is what happens to one send.
-type fate string
+// sendOutcome is the outcome of one send.
+type sendOutcome string
 
 const (
-	notSent       fate = "no connection"
-	shed          fate = "refused with proof"
-	elsewhere     fate = "another incarnation has the address"
-	lost          fate = "ran, no answer"
-	lostNotRun    fate = "sent, not run, no answer"
-	wrong         fate = "ran, answer not its own"
-	failed        fate = "ran, failed"
-	answered      fate = "ran, answered"
-	brokeOff      fate = "ran, broke off after events"
-	otherAtFault  fate = "refused for another one, with proof"
-	callerLeft    fate = "caller left"
-	deadlineSpent fate = "deadline passed"
+	notSent          sendOutcome = "no connection"
+	shed             sendOutcome = "refused with proof"
+	otherIncarnation sendOutcome = "address taken by another incarnation"
+	ranNoAnswer      sendOutcome = "ran, no answer"
+	notRunNoAnswer   sendOutcome = "sent, not run, no answer"
+	wrongAnswer      sendOutcome = "ran, answer of another request"
+	failed           sendOutcome = "ran, failed"
+	answered         sendOutcome = "ran, answered"
+	streamBroken     sendOutcome = "ran, broke off after events"
+	refusedForOther  sendOutcome = "refused because of another upstream, with proof"
+	callerLeft       sendOutcome = "caller left"
+	deadlinePassed   sendOutcome = "deadline passed"
 )
 
-var fates = []fate{notSent, shed, elsewhere, lost, lostNotRun, wrong, failed, answered, brokeOff, otherAtFault, callerLeft, deadlineSpent}
+var sendOutcomes = []sendOutcome{notSent, shed, otherIncarnation, ranNoAnswer, notRunNoAnswer, wrongAnswer, failed, answered, streamBroken, refusedForOther, callerLeft, deadlinePassed}
 
-// send plays one send with its fate.
-func (d *direct) send(attempt uint32, f fate) Action {
+// send reports the events of one send with outcome f to the Machine.
+func (d *directCaller) send(attempt uint32, f sendOutcome) Action {
 	m, now, n := d.machine, d.now, call.Attempt(attempt)
 	m.Accepted(now, n)
 	switch f {
@@ -73,26 +74,26 @@
 		return m.Refused(now, n, Word{Code: result.UpstreamFailed, Execution: result.NotRun})
 	case shed:
 		return m.Refused(now, n, Word{Code: result.QueueFull, Execution: result.NotRun})
-	case elsewhere:
+	case otherIncarnation:
 		return m.Refused(now, n, Word{Code: result.Draining, Execution: result.NotRun})
-	case otherAtFault:
+	case refusedForOther:
 		return m.Refused(now, n, Word{Code: result.GroupUnavailable, Execution: result.NotRun, Again: true})
-	case lostNotRun:
+	case notRunNoAnswer:
 		return m.Refused(now, n, Word{Code: result.UpstreamFailed, Execution: result.Unknown})
 	case callerLeft:
 		return m.CallerGone(now)
-	case deadlineSpent:
+	case deadlinePassed:
 		d.now = d.now.Add(time.Hour)
 		return m.Timer(d.now)
 	}
 	d.runs++
 	switch f {
-	case lost, wrong:
+	case ranNoAnswer, wrongAnswer:
 		return m.Refused(now, n, Word{Code: result.UpstreamFailed, Execution: result.Unknown})
 	case failed:
 		return m.Refused(now, n, Word{Code: result.UpstreamFailed, Execution: result.Ran})
-	case brokeOff:
-		d.began = true
+	case streamBroken:
+		d.headSent = true
 		d.delivered += 2
 		m.Delivered(now, n, 1)
 		m.Delivered(now, n, 2)
@@ -103,12 +104,13 @@
 	}
 }
 
-// Whatever happens to a request that an entry sends itself: one that may not be repeated
-// runs once at the most, what is said not to have run has not, the number of upstreams and
-// the budget hold, and there is exactly one final answer.
+// TestDirectKeepsThePromises checks the invariants of requests that an entry sends without
+// an agent: a request that may not be repeated runs at most once, NotRun is reported only
+// for requests that did not run, the limits on upstreams and on the retry budget hold, and
+// there is exactly one final answer.
 func TestDirectKeepsThePromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &direct{
+		d := &directCaller{
 			agents:     make(map[string]bool),
 			now:        time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
 			repeatable: rapid.Bool().Draw(t, "repeatable"),
@@ -124,13 +126,13 @@
 			EveryRetry:  true,
 			Retries:     d,
 		})
-		final := d.play(t)
+		final := d.drive(t)
 		d.check(t, final, budget)
 	})
 }
 
-// play runs the machine to its final action.
-func (d *direct) play(t *rapid.T) Action {
+// drive runs the machine until its final action.
+func (d *directCaller) drive(t *rapid.T) Action {
 	action := d.machine.Start(d.now)
 	for steps := 0; ; steps++ {
 		if steps > 100 {
@@ -141,12 +143,12 @@
 			d.sends++
 			agent := d.machine.Keep()
 			if agent == "" {
-				agent = rapid.SampledFrom(d.open()).Draw(t, "agent")
+				agent = rapid.SampledFrom(d.eligibleAgents()).Draw(t, "agent")
 			}
 			d.agents[agent] = true
 			action = d.machine.Chosen(d.now, Replica{Agent: agent})
 		case Offer:
-			f := rapid.SampledFrom(fates).Draw(t, "fate")
+			f := rapid.SampledFrom(sendOutcomes).Draw(t, "outcome")
 			action = d.send(uint32(d.sends), f)
 		case Answer, Fail:
 			return action
@@ -155,13 +157,14 @@
 				action = d.machine.Timer(d.now)
 				continue
 			}
-			t.Fatalf("waits for %s although nothing is to come", d.machine.Wake())
+			t.Fatalf("waits for %s although no event is pending", d.machine.Wake())
 		}
 	}
 }
 
-// open returns upstreams that the request may go to: a few, so that it may meet one again.
-func (d *direct) open() []string {
+// eligibleAgents returns the upstreams to which the request may be sent. There are few, so
+// that one may be chosen again.
+func (d *directCaller) eligibleAgents() []string {
 	var open []string
 	for i := range 12 {
 		if agent := fmt.Sprint("u", i); !slices.Contains(d.machine.Excluded(), agent) {
@@ -171,24 +174,24 @@
 	return open
 }
 
-func (d *direct) check(t *rapid.T, final Action, budget int) {
+func (d *directCaller) check(t *rapid.T, final Action, budget int) {
 	if !d.repeatable && d.runs > 1 {
 		t.Fatalf("ran %d times", d.runs)
 	}
 	if final.Kind == Fail && final.Err.Execution == result.NotRun && d.runs > 0 {
-		t.Fatal("said not to have run, and has")
+		t.Fatal("reported as not run, but it ran")
 	}
 	if len(d.agents) > d.maxRetries+1 {
 		t.Fatalf("sent to %d upstreams, %d allowed", len(d.agents), d.maxRetries+1)
 	}
-	if d.sends > d.maxRetries+1+maxAgain {
+	if d.sends > d.maxRetries+1+maxSameAgentRetries {
 		t.Fatalf("sent %d times", d.sends)
 	}
 	if d.sends-1 > budget {
 		t.Fatalf("%d retries with a budget of %d", d.sends-1, budget)
 	}
 	if final.Delivered != d.delivered {
-		t.Fatalf("counted %d events, the caller has %d", final.Delivered, d.delivered)
+		t.Fatalf("counted %d events, the caller received %d", final.Delivered, d.delivered)
 	}
 	if again := d.machine.Timer(d.now.Add(time.Hour)); again.Kind != None {
 		t.Fatalf("a second final action %v", again.Kind)
--- a/core/attempt/machine.go
+++ b/core/attempt/machine.go
@@ -7,12 +7,12 @@
 	"acaciacleat.example/core/result"
 )
 
-// maxSilent is the number of times in a row that an agent's link may fail without any
-// word from the agent before the machine stops offering or resuming there. A single
-// loss is most often the connection's fault, which a new one mends.
-const maxSilent = 3
+// maxLinkFailures is the number of consecutive link failures, without any message from the
+// agent, after which the machine stops offering the call or resuming there. A single
+// failure usually affects only the connection, and a new one succeeds.
+const maxLinkFailures = 3
 
-// step is what the machine waits for.
+// step is the event that the machine waits for.
 type step uint8
 
 const (
@@ -22,54 +22,54 @@
 	backingOff
 	// offered waits for the agent's answer to the offer.
 	offered
-	// accepted waits for the upstream to begin.
+	// accepted waits for the upstream to begin its answer.
 	accepted
 	// streaming waits for the rest of the answer.
 	streaming
-	// cancelling waits for the agent's word on a cancellation.
+	// cancelling waits for the agent's answer to a cancellation.
 	cancelling
 	done
 )
 
 // Machine is the state machine of one request. Each method reports one event and
-// returns what to do next. Events that come too late for the current state, or that
-// belong to an earlier attempt, are ignored. It is used by one goroutine at a time.
+// returns the next action. Events that are too late for the current state, or that
+// belong to an earlier attempt, are ignored. A Machine is not safe for concurrent use.
 type Machine struct {
-	request Request
-	step    step
-	attempt call.Attempt
-	replica Replica
-	refused []string
-	retries int
-	// agains counts the refusals after which the refuser could be sent the call again, and kept
-	// is who gave the last one, until another offer.
-	agains int
-	kept   string
-	silent int
-	// timer is when the current step times out; zero when only the deadline bounds it.
+	request  Request
+	step     step
+	attempt  call.Attempt
+	replica  Replica
+	excluded []string
+	retries  int
+	// sameAgentRetries counts the refusals after which the call could be sent to the same
+	// agent again. pinned is the agent of the last such refusal, until the next offer.
+	sameAgentRetries int
+	pinned           string
+	linkFailures     int
+	// timer is when the current step times out; zero if only the deadline bounds it.
 	timer     time.Time
 	nextSeq   uint64
 	delivered uint64
 	better    string
-	// retryAfter is the last refuser's advice to the caller.
+	// retryAfter is the RetryAfter of the last refusal.
 	retryAfter time.Duration
-	// headed means that the caller may have been sent the head of an answer.
-	headed bool
-	// ran means that some attempt provably began.
+	// headSent means that the caller may have been sent the head of an answer.
+	headSent bool
+	// ran means that some attempt is proved to have begun.
 	ran bool
-	// doubt means that an earlier attempt was left without proof that it did not run.
-	doubt bool
-	// open means that the current attempt, or a claim under way, may run.
-	open bool
+	// earlierUnproven means that an earlier attempt ended without proof that it did not run.
+	earlierUnproven bool
+	// mayRun means that the call may run under the current attempt or a claim in progress.
+	mayRun bool
 }
 
 // New returns the Machine of a request.
 func New(request Request) *Machine { return &Machine{request: request, nextSeq: 1} }
 
 // Start begins the request.
-func (m *Machine) Start(now time.Time) Action { return m.orExpire(now, m.choose()) }
+func (m *Machine) Start(now time.Time) Action { return m.unlessExpired(now, m.choose()) }
 
-// Wake returns when Timer must be called next. It is never after the deadline.
+// Wake returns the time at which Timer must be called next, never after the deadline.
 func (m *Machine) Wake() time.Time {
 	if m.timer.IsZero() || m.timer.After(m.request.Deadline) {
 		return m.request.Deadline
@@ -77,22 +77,23 @@
 	return m.timer
 }
 
-// Done reports whether the final answer was given.
+// Done reports whether the final action was returned.
 func (m *Machine) Done() bool { return m.step == done }
 
-// Excluded returns the agents that the call has left. The caller must not change it.
-func (m *Machine) Excluded() []string { return m.refused }
+// Excluded returns the agents that must not be tried again. The caller must not modify
+// the slice.
+func (m *Machine) Excluded() []string { return m.excluded }
 
 // MayGoElsewhere reports whether another agent may still be tried.
 func (m *Machine) MayGoElsewhere() bool { return m.retries < m.request.MaxRetries }
 
-// Keep returns the agent to which the call may only go again, as it may go to no further one;
-// empty for none.
+// Keep returns the only agent to which the call may be sent, which is the one to retry if
+// no other agent may be tried any more. It returns "" if there is no such restriction.
 func (m *Machine) Keep() string {
 	if m.MayGoElsewhere() {
 		return ""
 	}
-	return m.kept
+	return m.pinned
 }
 
 // Execution returns what is proved so far about whether the call ran.
@@ -100,21 +101,21 @@
 	switch {
 	case m.ran:
 		return result.Ran
-	case m.doubt, m.open:
+	case m.earlierUnproven, m.mayRun:
 		return result.Unknown
 	default:
 		return result.NotRun
 	}
 }
 
-// Claiming reports that a Claim for the call is about to write. From then on another
-// entry may find the row and have the call run.
+// Claiming reports that a Claim for the call is about to write its row. From then on
+// another entry may find the row and cause the call to run.
 func (m *Machine) Claiming(now time.Time) Action {
 	if m.step != choosing {
 		return Action{}
 	}
-	m.open = true
-	return m.orExpire(now, Action{})
+	m.mayRun = true
+	return m.unlessExpired(now, Action{})
 }
 
 // ClaimFailed reports the failure of the call's Claim, which is final.
@@ -122,7 +123,7 @@
 	if m.step != choosing {
 		return Action{}
 	}
-	m.open = err.Execution == result.Unknown
+	m.mayRun = err.Execution == result.Unknown
 	m.ran = m.ran || err.Execution == result.Ran
 	return m.fail(Word{Code: err.Code, Detail: err.Detail, RetryAfter: err.RetryAfter})
 }
@@ -142,143 +143,143 @@
 	if replica.ID == (call.ID{}) {
 		replica.ID = m.request.ID
 	}
-	if m.kept != "" && m.kept != replica.Agent {
+	if m.pinned != "" && m.pinned != replica.Agent {
 		m.retries++
 	}
-	m.kept = ""
+	m.pinned = ""
 	m.replica = replica
 	m.nextSeq = 1
-	m.silent = 0
+	m.linkFailures = 0
 	m.better = ""
 	return m.offer(now, 0)
 }
 
-// NoReplica reports that routing found no replica. The advice of the last agent that
-// refused is then the best that there is for the caller.
+// NoReplica reports that routing found no replica. The caller then gets the RetryAfter of
+// the last refusal, unless err has its own.
 func (m *Machine) NoReplica(now time.Time, err *result.Error) Action {
 	if m.step != choosing {
 		return Action{}
 	}
-	word := Word{Code: err.Code, Detail: err.Detail, RetryAfter: err.RetryAfter}
-	if word.RetryAfter == 0 {
-		word.RetryAfter = m.retryAfter
+	outcome := Word{Code: err.Code, Detail: err.Detail, RetryAfter: err.RetryAfter}
+	if outcome.RetryAfter == 0 {
+		outcome.RetryAfter = m.retryAfter
 	}
-	return m.orExpire(now, m.fail(word))
+	return m.unlessExpired(now, m.fail(outcome))
 }
 
 // Accepted reports that the agent has queued the call or attached to its run.
 func (m *Machine) Accepted(now time.Time, attempt call.Attempt) Action {
-	if !m.current(attempt) {
+	if !m.isCurrent(attempt) {
 		return Action{}
 	}
-	m.heard()
+	m.recordContact()
 	if m.step == offered {
-		m.await(accepted)
+		m.enterStep(accepted)
 	}
-	return m.orExpire(now, Action{})
+	return m.unlessExpired(now, Action{})
 }
 
 // Refused reports an agent's refusal.
-func (m *Machine) Refused(now time.Time, attempt call.Attempt, word Word) Action {
-	if !m.current(attempt) {
+func (m *Machine) Refused(now time.Time, attempt call.Attempt, outcome Word) Action {
+	if !m.isCurrent(attempt) {
 		return Action{}
 	}
-	m.ran = m.ran || word.Execution == result.Ran
-	m.better = word.Better
-	m.retryAfter = word.RetryAfter
-	if word.Code == result.WrongIncarnation {
+	m.ran = m.ran || outcome.Execution == result.Ran
+	m.better = outcome.Better
+	m.retryAfter = outcome.RetryAfter
+	if outcome.Code == result.WrongIncarnation {
 		return m.AgentGone(now, m.replica.Incarnation)
 	}
 	// A refusal proves nothing about an attempt whose answer has begun.
-	proved := word.Execution == result.NotRun && m.step != streaming
-	if m.request.Keyed && word.Code == result.StaleOffer && !proved {
-		// The key's row outlives the agent's memory of the run. "Try again", the remedy of
-		// a stale offer, can't succeed: every repeat is bound by the row to this stamp.
-		word.Code = result.FirstRunLost
+	proved := outcome.Execution == result.NotRun && m.step != streaming
+	if m.request.Keyed && outcome.Code == result.StaleOffer && !proved {
+		// The key's row outlives the agent's record of the run. The remedy of a stale
+		// offer, to try again, cannot succeed: the row binds every repeat to this stamp.
+		outcome.Code = result.FirstRunLost
 	}
-	return m.orExpire(now, m.leave(now, word, proved))
+	return m.unlessExpired(now, m.endAttempt(now, outcome, proved))
 }
 
 // Head reports that the upstream has begun to answer.
 func (m *Machine) Head(now time.Time, attempt call.Attempt) Action {
-	if !m.current(attempt) {
+	if !m.isCurrent(attempt) {
 		return Action{}
 	}
-	m.heard()
+	m.recordContact()
 	m.ran = true
-	m.headed = true
-	m.await(streaming)
-	return m.orExpire(now, Action{})
+	m.headSent = true
+	m.enterStep(streaming)
+	return m.unlessExpired(now, Action{})
 }
 
-// Delivered reports that the frame with number seq was handed to the caller. It counts
-// also after the attempt was given up and until the next one is chosen: what the caller
-// has must not be generated again.
+// Delivered reports that the frame with number seq was handed to the caller. The frame
+// also counts after the attempt was given up, until the next one is chosen, because
+// frames that the caller has received must not be generated again.
 func (m *Machine) Delivered(now time.Time, attempt call.Attempt, seq uint64) Action {
 	if m.step == done || attempt != m.attempt {
 		return Action{}
 	}
 	m.delivered++
 	m.nextSeq = seq + 1
-	m.headed = true
+	m.headSent = true
 	m.ran = true
 	return m.Head(now, attempt)
 }
 
 // Ended reports the end of the attempt, after all its frames were delivered. Its code is
-// OK or says why the upstream failed. A whole answer counts also after the attempt was
-// given up and until the next one is chosen.
-func (m *Machine) Ended(now time.Time, attempt call.Attempt, word Word) Action {
-	if m.step == done || attempt != m.attempt || word.Code != result.OK && !m.current(attempt) {
+// OK or says why the upstream failed. A complete answer also counts after the attempt was
+// given up, until the next one is chosen.
+func (m *Machine) Ended(now time.Time, attempt call.Attempt, outcome Word) Action {
+	if m.step == done || attempt != m.attempt || outcome.Code != result.OK && !m.isCurrent(attempt) {
 		return Action{}
 	}
-	m.ran = m.ran || word.Execution == result.Ran || word.Code == result.OK
+	m.ran = m.ran || outcome.Execution == result.Ran || outcome.Code == result.OK
 	switch {
 	case m.expired(now):
 		return m.fail(Word{Code: result.DeadlinePassed})
-	case word.Code == result.OK:
+	case outcome.Code == result.OK:
 		return m.finish(Action{Kind: Answer})
 	default:
-		return m.leave(now, word, word.Execution == result.NotRun)
+		return m.endAttempt(now, outcome, outcome.Execution == result.NotRun)
 	}
 }
 
-// LinkLost reports that the link to the agent broke or went silent. The agent itself
-// most likely lives, and keeps the stream for a new link.
+// LinkLost reports that the link to the agent broke or went silent. The agent itself is
+// most likely alive and keeps the stream for a new link.
 func (m *Machine) LinkLost(now time.Time, attempt call.Attempt) Action {
-	if !m.current(attempt) {
+	if !m.isCurrent(attempt) {
 		return Action{}
 	}
-	m.silent++
-	return m.orExpire(now, m.reconnect(now))
+	m.linkFailures++
+	return m.unlessExpired(now, m.reconnect(now))
 }
 
-// AgentGone reports that the incarnation no longer lives. What it ran or had queued can't
-// be found out any more.
+// AgentGone reports that the incarnation is no longer alive. Whether it ran a call or only
+// had it queued can no longer be determined.
 func (m *Machine) AgentGone(now time.Time, incarnation call.Incarnation) Action {
-	if !m.current(m.attempt) || incarnation != m.replica.Incarnation {
+	if !m.isCurrent(m.attempt) || incarnation != m.replica.Incarnation {
 		return Action{}
 	}
 	code := result.AgentLost
 	if m.request.Keyed {
 		code = result.FirstRunLost
 	}
-	return m.orExpire(now, m.leave(now, Word{Code: code}, false))
+	return m.unlessExpired(now, m.endAttempt(now, Word{Code: code}, false))
 }
 
-// CancelAnswered reports the agent's word on a CancelAndConfirm.
+// CancelAnswered reports the agent's answer to a CancelAndConfirm.
 func (m *Machine) CancelAnswered(now time.Time, attempt call.Attempt, execution result.Execution) Action {
-	if !m.current(attempt) || m.step != cancelling {
+	if !m.isCurrent(attempt) || m.step != cancelling {
 		return Action{}
 	}
-	m.heard()
+	m.recordContact()
 	if execution == result.Ran {
-		// It ran after all: fetch its answer.
+		// The call did run: fetch its answer.
 		m.ran = true
-		m.await(streaming)
-		return m.orExpire(now, m.resume(now, 0))
+		m.enterStep(streaming)
+		return m.unlessExpired(now, m.resume(now, 0))
 	}
-	return m.orExpire(now, m.leave(now, Word{Code: result.LinkSilent}, execution == result.NotRun))
+	return m.unlessExpired(now, m.endAttempt(now, Word{Code: result.LinkSilent}, execution == result.NotRun))
 }
 
 // CallerGone reports that the caller closed its connection.
@@ -289,17 +290,17 @@
 	return m.fail(Word{Code: result.CallerGone})
 }
 
-// Timer reports that the time of Wake has come.
+// Timer reports that the time returned by Wake was reached.
 func (m *Machine) Timer(now time.Time) Action {
 	switch {
 	case m.step == done:
 		return Action{}
 	case m.timer.IsZero() || now.Before(m.timer):
-		return m.orExpire(now, Action{})
+		return m.unlessExpired(now, Action{})
 	case m.step == backingOff:
-		return m.orExpire(now, m.choose())
+		return m.unlessExpired(now, m.choose())
 	default:
-		m.silent++
-		return m.orExpire(now, m.reconnect(now))
+		m.linkFailures++
+		return m.unlessExpired(now, m.reconnect(now))
 	}
 }
--- a/core/attempt/machine_test.go
+++ b/core/attempt/machine_test.go
@@ -10,15 +10,15 @@
 	"acaciacleat.example/core/result"
 )
 
-// retries allows a number of retries and never waits.
-type retries struct{ left int }
+// limitedRetries implements Retries: it allows a number of retries without a delay.
+type limitedRetries struct{ left int }
 
-func (r *retries) Allow(time.Time) bool {
+func (r *limitedRetries) Allow(time.Time) bool {
 	r.left--
 	return r.left >= 0
 }
 
-func (r *retries) Delay(int) time.Duration { return 0 }
+func (r *limitedRetries) Delay(int) time.Duration { return 0 }
 
 var (
 	epoch  = time.Unix(1_000_000, 0)
@@ -28,77 +28,78 @@
 
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-func offeredTo(request Request) *Machine {
+func newOfferedMachine(request Request) *Machine {
 	request.ID = call.ID{1}
 	request.Deadline = at(60)
 	request.MaxRetries = 1
-	request.Retries = &retries{left: 1}
+	request.Retries = &limitedRetries{left: 1}
 	m := New(request)
 	m.Start(at(0))
 	m.Chosen(at(0), agentA)
 	return m
 }
 
-func silence(m *Machine) Action {
+func loseLinkThreeTimes(m *Machine) Action {
 	m.LinkLost(at(1), 1)
 	m.LinkLost(at(2), 1)
 	return m.LinkLost(at(3), 1)
 }
 
-// then fires the timer, which ends a backoff of no length.
-func then(m *Machine, _ Action) Action { return m.Timer(at(9)) }
+// fireBackoffTimer fires the timer, which ends a backoff without a delay.
+func fireBackoffTimer(m *Machine, _ Action) Action { return m.Timer(at(9)) }
 
-// Each case: a symptom, the sequence that leads to it, and the cause that the Machine closes.
+// TestMachineFaults tests the Machine's reactions to faults. The comments name the failure
+// that a case guards against.
 func TestMachineFaults(t *testing.T) {
-	once := Request{}
+	single := Request{}
 	keyed := Request{Keyed: true}
-	again := Request{Repeatable: true, Continuable: true}
+	repeatable := Request{Repeatable: true, Continuable: true}
 	cases := []struct {
-		name    string
-		request Request
-		steps   func(m *Machine) Action
-		kind    Kind
-		code    result.Code
-		says    result.Execution
+		name      string
+		request   Request
+		steps     func(m *Machine) Action
+		kind      Kind
+		code      result.Code
+		execution result.Execution
 	}{
-		{"whole answer", once, func(m *Machine) Action {
+		{"complete answer", single, func(m *Machine) Action {
 			m.Accepted(at(1), 1)
 			m.Delivered(at(2), 1, 1)
 			return m.Ended(at(3), 1, Word{Code: result.OK, Execution: result.Ran})
 		}, Answer, 0, ""},
-		// Symptom: a call waits for its deadline though its agent is well. Sequence: the
-		// connection goes silent under the offer. Cause: nothing bounds the wait.
-		{"offer unanswered", once, func(m *Machine) Action {
+		// A connection that goes silent after the offer must not block the call until its
+		// deadline while the agent is alive: the wait has a timer.
+		{"offer unanswered", single, func(m *Machine) Action {
 			return m.Timer(m.Wake())
 		}, Offer, 0, ""},
-		// Symptom: a job is posted twice. Sequence: three links in a row go silent, the
-		// call is offered elsewhere, the first offer arrives. Cause: silence taken for a
-		// refusal. The agent must confirm the cancellation first.
-		{"agent stays silent", once, silence, CancelAndConfirm, 0, ""},
-		{"then confirms that it did not run", once, func(m *Machine) Action {
-			silence(m)
-			return then(m, m.CancelAnswered(at(4), 1, result.NotRun))
+		// Three consecutive silent links are not a refusal. If the call were offered to
+		// another agent, the first offer could still arrive and the call would run twice.
+		// The agent must confirm a cancellation first.
+		{"link fails three times", single, loseLinkThreeTimes, CancelAndConfirm, 0, ""},
+		{"link fails three times, agent confirms not run", single, func(m *Machine) Action {
+			loseLinkThreeTimes(m)
+			return fireBackoffTimer(m, m.CancelAnswered(at(4), 1, result.NotRun))
 		}, Choose, 0, ""},
-		{"then says that it runs", once, func(m *Machine) Action {
-			silence(m)
+		{"link fails three times, agent reports that it runs", single, func(m *Machine) Action {
+			loseLinkThreeTimes(m)
 			return m.CancelAnswered(at(4), 1, result.Ran)
 		}, ResumeOnNewLink, 0, ""},
-		{"then has restarted", once, func(m *Machine) Action {
-			silence(m)
+		{"link fails three times, agent has restarted", single, func(m *Machine) Action {
+			loseLinkThreeTimes(m)
 			return m.CancelAnswered(at(4), 1, result.Unknown)
 		}, Fail, result.LinkSilent, result.Unknown},
-		{"repeatable and silent", again, func(m *Machine) Action {
-			return then(m, silence(m))
+		{"link fails three times, repeatable", repeatable, func(m *Machine) Action {
+			return fireBackoffTimer(m, loseLinkThreeTimes(m))
 		}, Choose, 0, ""},
-		// Symptom: an answer starts again from its first word. Sequence: the agent dies
-		// in mid-stream. Cause: what was delivered was not counted.
-		{"agent dies in mid-stream", again, func(m *Machine) Action {
+		// After the agent is lost in mid-stream, the next attempt must continue after the
+		// delivered frames and not repeat the answer from its start.
+		{"agent lost in mid-stream", repeatable, func(m *Machine) Action {
 			m.Delivered(at(1), 1, 1)
-			return then(m, m.AgentGone(at(2), 7))
+			return fireBackoffTimer(m, m.AgentGone(at(2), 7))
 		}, ContinueElsewhere, 0, ""},
-		// Symptom: a word is repeated. Sequence: as above, and the old link still hands
-		// out a frame while the machine backs off. Cause: that frame was not counted.
-		{"frame after the agent was given up", again, func(m *Machine) Action {
+		// A frame that the old link delivers during the backoff must count as delivered,
+		// or the next attempt would repeat it.
+		{"frame after the agent was given up", repeatable, func(m *Machine) Action {
 			m.AgentGone(at(2), 7)
 			m.Delivered(at(2), 1, 1)
 			return m.Timer(at(9))
@@ -107,79 +108,77 @@
 			m.Delivered(at(1), 1, 1)
 			return m.AgentGone(at(2), 7)
 		}, Fail, result.StreamBroken, result.Ran},
-		// Symptom: not-run is said of a call that ran. Sequence: the agent restarts
-		// after it took the offer. Cause: the new incarnation's word taken for the old one's.
-		{"agent restarted", once, func(m *Machine) Action {
+		// The agent restarts after it accepted the offer. A refusal by the new incarnation
+		// proves nothing about the old one, so the execution must not be NotRun.
+		{"agent restarted", single, func(m *Machine) Action {
 			return m.Refused(at(1), 1, Word{Code: result.WrongIncarnation, Execution: result.NotRun})
 		}, Fail, result.AgentLost, result.Unknown},
 		{"agent restarted under a key", keyed, func(m *Machine) Action {
 			return m.AgentGone(at(1), 7)
 		}, Fail, result.FirstRunLost, result.Unknown},
-		// Symptom: a caller who repeats a call with its key is told to try again, for a day.
-		// Sequence: the repeat comes after the agent has forgotten the run; the row still
-		// names the agent and the old stamp. Cause: the refusal taken for one of a young offer.
-		{"forgotten under a key", keyed, func(m *Machine) Action {
+		// A keyed call is repeated after the agent has evicted the run, while the row still
+		// names the agent and the old stamp. StaleOffer would tell the caller to try again,
+		// which cannot succeed until the row expires after a day.
+		{"stale under a key, not proved", keyed, func(m *Machine) Action {
 			return m.Refused(at(1), 1, Word{Code: result.StaleOffer, Execution: result.Unknown})
 		}, Fail, result.FirstRunLost, result.Unknown},
 		{"stale under a key, proved", keyed, func(m *Machine) Action {
 			return m.Refused(at(1), 1, Word{Code: result.StaleOffer, Execution: result.NotRun, Better: "b"})
 		}, Choose, 0, ""},
-		{"refused, better known", once, func(m *Machine) Action {
+		{"refused, other replica recommended", single, func(m *Machine) Action {
 			return m.Refused(at(1), 1, Word{Code: result.QueueFull, Execution: result.NotRun, Better: "b"})
 		}, Choose, 0, ""},
-		{"refused twice", once, func(m *Machine) Action {
+		{"refused twice", single, func(m *Machine) Action {
 			m.Refused(at(1), 1, Word{Code: result.QueueFull, Execution: result.NotRun, Better: "b"})
 			m.Chosen(at(1), agentB)
 			return m.Refused(at(2), 2, Word{Code: result.MemoryFull, Execution: result.NotRun})
 		}, Fail, result.MemoryFull, result.NotRun},
-		{"refused without proof", once, func(m *Machine) Action {
+		{"refused without proof", single, func(m *Machine) Action {
 			return m.Refused(at(1), 1, Word{Code: result.StaleOffer, Execution: result.Unknown, Better: "b"})
 		}, Fail, result.StaleOffer, result.Unknown},
-		{"budget spent", once, func(m *Machine) Action {
-			m.request.Retries = &retries{}
+		{"budget spent", single, func(m *Machine) Action {
+			m.request.Retries = &limitedRetries{}
 			return m.Refused(at(1), 1, Word{Code: result.QueueFull, Execution: result.NotRun, Better: "b"})
 		}, Fail, result.RetryBudgetSpent, result.NotRun},
-		{"caller's own fault is not retried", again, func(m *Machine) Action {
+		{"caller's own fault is not retried", repeatable, func(m *Machine) Action {
 			return m.Ended(at(1), 1, Word{Code: result.UpstreamRejected, Execution: result.Ran})
 		}, Fail, result.UpstreamRejected, result.Ran},
-		// Symptom: an old attempt's end finishes the new one. Sequence: its message is
-		// delayed. Cause: events are not tied to their attempt.
-		{"end of an old attempt", again, func(m *Machine) Action {
+		// A delayed end message of an old attempt must not end the current one.
+		{"end of an old attempt", repeatable, func(m *Machine) Action {
 			m.Refused(at(1), 1, Word{Code: result.QueueFull, Execution: result.NotRun, Better: "b"})
 			m.Chosen(at(1), agentB)
 			return m.Ended(at(2), 1, Word{Code: result.OK, Execution: result.Ran})
 		}, None, 0, ""},
-		// Symptom: a caller waits for ever. Sequence: every message is lost. Cause: no
-		// timer of the request's own.
-		{"deadline", once, func(m *Machine) Action {
+		// A request whose messages are all lost must still end at its deadline.
+		{"deadline", single, func(m *Machine) Action {
 			return m.Timer(at(60))
 		}, Fail, result.DeadlinePassed, result.Unknown},
-		{"paused past the deadline, then the answer", once, func(m *Machine) Action {
+		{"paused past the deadline, then the answer", single, func(m *Machine) Action {
 			return m.Ended(at(61), 1, Word{Code: result.OK, Execution: result.Ran})
 		}, Fail, result.DeadlinePassed, result.Ran},
-		{"caller gone", once, func(m *Machine) Action {
+		{"caller gone", single, func(m *Machine) Action {
 			return m.CallerGone(at(1))
 		}, Fail, result.CallerGone, result.Unknown},
-		{"events after the final answer", once, func(m *Machine) Action {
+		{"events after the final answer", single, func(m *Machine) Action {
 			m.CallerGone(at(1))
 			return m.Timer(at(60))
 		}, None, 0, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			a := c.steps(offeredTo(c.request))
+			a := c.steps(newOfferedMachine(c.request))
 			require.Equal(t, c.kind, a.Kind, "%+v", a)
 			if c.kind == Fail {
 				require.Equal(t, c.code, a.Err.Code)
-				require.Equal(t, c.says, a.Err.Execution)
+				require.Equal(t, c.execution, a.Err.Execution)
 			}
 		})
 	}
 }
 
-// Symptom: not-run is said of a keyed call that another entry then runs.
-// Sequence: the claim writes its row, and the caller goes away before the offer.
-// Cause: the call was not offered by this entry, which is no proof.
+// TestCallerGoneWhileClaiming has the caller disconnect after the claim has started to
+// write its row and before the offer. Another entry may find the row and run the call, so
+// the execution must be Unknown and not NotRun.
 func TestCallerGoneWhileClaiming(t *testing.T) {
 	m := New(Request{Deadline: at(60), Keyed: true})
 	m.Start(at(0))
@@ -188,27 +187,26 @@
 	require.Equal(t, result.Unknown, m.CallerGone(at(2)).Err.Execution)
 }
 
-// Symptom: an agent holds memory for a request that nobody waits for.
-// Sequence: the deadline passes, or the call goes elsewhere, while the agent may run it.
-// Cause: the agent is not told. A keyed call's run must go on: other tries may wait.
+// TestRelease checks that an agent is told to release a call that it may still run when
+// the deadline passes or the call moves to another agent; it would otherwise hold memory
+// for a request without a caller. The run of a keyed call must continue, because other
+// tries may wait for it.
 func TestRelease(t *testing.T) {
-	require.True(t, offeredTo(Request{}).Timer(at(60)).Release)
-	require.False(t, offeredTo(Request{Keyed: true}).Timer(at(60)).Release)
-	m := offeredTo(Request{Repeatable: true, Continuable: true})
-	moved := silence(m)
+	require.True(t, newOfferedMachine(Request{}).Timer(at(60)).Release)
+	require.False(t, newOfferedMachine(Request{Keyed: true}).Timer(at(60)).Release)
+	m := newOfferedMachine(Request{Repeatable: true, Continuable: true})
+	moved := loseLinkThreeTimes(m)
 	require.True(t, moved.Release)
 	require.Equal(t, agentA.Agent, moved.Replica.Agent)
 	require.Equal(t, []string{"a"}, m.Excluded())
 }
 
-// Symptom: a caller is told to try again after Retry-After, or to correct what the
-// message names, and finds neither.
-// Sequence: an agent refuses, or its upstream does, with advice and a detail; the call
-// fails at once, for lack of another replica, or for lack of retries.
-// Cause: the code is passed on alone.
-func TestAgentsWordReachesTheCaller(t *testing.T) {
+// TestAgentDetailAndRetryAfterReachCaller checks that the detail and the RetryAfter of a
+// refusal reach the caller when the call fails immediately, for lack of another replica,
+// or for lack of retries. The remedies of the codes refer to both.
+func TestAgentDetailAndRetryAfterReachCaller(t *testing.T) {
 	refusal := Word{Code: result.QueueFull, Execution: result.NotRun, Detail: "7 calls", RetryAfter: 5 * time.Second}
-	m := offeredTo(Request{})
+	m := newOfferedMachine(Request{})
 	m.Refused(at(1), 1, refusal)
 	m.Timer(at(2))
 	m.Chosen(at(2), agentB)
@@ -216,28 +214,27 @@
 	require.Equal(t, refusal.Detail, failed.Detail)
 	require.Equal(t, refusal.RetryAfter, failed.RetryAfter)
 
-	m = offeredTo(Request{})
+	m = newOfferedMachine(Request{})
 	m.Refused(at(1), 1, refusal)
 	m.Timer(at(2))
 	failed = m.NoReplica(at(2), result.New(result.NoReplica, result.NotRun, "service s")).Err
 	require.Equal(t, "service s", failed.Detail)
 	require.Equal(t, refusal.RetryAfter, failed.RetryAfter)
 
-	m = offeredTo(Request{})
-	m.request.Retries = &retries{}
+	m = newOfferedMachine(Request{})
+	m.request.Retries = &limitedRetries{}
 	failed = m.Refused(at(1), 1, refusal).Err
 	require.Equal(t, "queue_full: 7 calls", failed.Detail)
 	require.Equal(t, refusal.RetryAfter, failed.RetryAfter)
 
 	rejected := Word{Code: result.UpstreamRejected, Execution: result.NotRun, Detail: "temperature"}
-	require.Equal(t, rejected.Detail, offeredTo(Request{}).Ended(at(1), 1, rejected).Err.Detail)
+	require.Equal(t, rejected.Detail, newOfferedMachine(Request{}).Ended(at(1), 1, rejected).Err.Detail)
 }
 
-// Symptom: an admission's own estimate of when to try again is lost.
-// Sequence: the first choice predicts a start that is too late, and admission refuses.
-// Cause: the failure is passed on without its time.
-func TestAdmissionsAdviceReachesTheCaller(t *testing.T) {
-	m := New(Request{Deadline: at(60), Retries: &retries{}})
+// TestAdmissionRetryAfterReachesCaller checks that the RetryAfter of an admission refusal
+// is kept in the final failure.
+func TestAdmissionRetryAfterReachesCaller(t *testing.T) {
+	m := New(Request{Deadline: at(60), Retries: &limitedRetries{}})
 	m.Start(at(0))
 	refused := &result.Error{Code: result.CannotStartInTime, Execution: result.NotRun, RetryAfter: 9 * time.Second}
 	require.Equal(t, refused.RetryAfter, m.NoReplica(at(0), refused).Err.RetryAfter)
--- a/core/attempt/steps.go
+++ b/core/attempt/steps.go
@@ -8,35 +8,35 @@
 	"acaciacleat.example/core/result"
 )
 
-// current reports whether an event of this attempt concerns the machine now.
-func (m *Machine) current(attempt call.Attempt) bool {
+// isCurrent reports whether the machine still handles events of this attempt.
+func (m *Machine) isCurrent(attempt call.Attempt) bool {
 	return m.step >= offered && m.step < done && attempt == m.attempt
 }
 
-// heard records a sign of life from the agent.
-func (m *Machine) heard() {
-	m.silent = 0
+// recordContact resets the count of link failures after a message from the agent.
+func (m *Machine) recordContact() {
+	m.linkFailures = 0
 	if m.step == accepted || m.step == streaming {
 		m.timer = time.Time{}
 	}
 }
 
-// await enters a step that only the deadline bounds.
-func (m *Machine) await(s step) {
+// enterStep enters a step that is bounded only by the deadline.
+func (m *Machine) enterStep(s step) {
 	m.step = s
 	m.timer = time.Time{}
 }
 
-// awaitAnswer enters a step in which the agent must answer soon after delay. Without
-// the timer, a connection that has gone silent would hold the call until its deadline.
-func (m *Machine) awaitAnswer(now time.Time, delay time.Duration, s step) {
+// enterTimedStep enters a step in which the agent must answer soon after delay. Without
+// the timer, a connection that went silent would block the call until its deadline.
+func (m *Machine) enterTimedStep(now time.Time, delay time.Duration, s step) {
 	m.step = s
 	left := call.Remaining(m.request.Deadline, now)
 	m.timer = now.Add(delay + deadline.OfferWait(left))
 }
 
 func (m *Machine) choose() Action {
-	m.await(choosing)
+	m.enterStep(choosing)
 	kind := Choose
 	if m.delivered > 0 {
 		kind = ContinueElsewhere
@@ -44,32 +44,33 @@
 	return Action{Kind: kind, Delivered: m.delivered, Better: m.better}
 }
 
-// offer sends the offer, again if need be: the agent's Ledger recognises a repeated one
-// by its id, and the same stamp keeps it from reviving one that was forgotten.
+// offer sends the offer for the first time or again. The agent's Ledger recognises a
+// repeated offer by its id, and the unchanged stamp prevents it from running an id that
+// the Ledger has already evicted.
 func (m *Machine) offer(now time.Time, delay time.Duration) Action {
-	m.open = true
-	m.awaitAnswer(now, delay, offered)
-	return m.act(Action{Kind: Offer, Redial: m.silent > 0, Delay: delay})
+	m.mayRun = true
+	m.enterTimedStep(now, delay, offered)
+	return m.fillAction(Action{Kind: Offer, Redial: m.linkFailures > 0, Delay: delay})
 }
 
 func (m *Machine) resume(now time.Time, delay time.Duration) Action {
-	m.awaitAnswer(now, delay, m.step)
-	return m.act(Action{Kind: ResumeOnNewLink, Redial: true, NextSeq: m.nextSeq, Delay: delay})
+	m.enterTimedStep(now, delay, m.step)
+	return m.fillAction(Action{Kind: ResumeOnNewLink, Redial: true, NextSeq: m.nextSeq, Delay: delay})
 }
 
 func (m *Machine) cancel(now time.Time, delay time.Duration) Action {
-	m.awaitAnswer(now, delay, cancelling)
-	return m.act(Action{Kind: CancelAndConfirm, Redial: true, Delay: delay})
+	m.enterTimedStep(now, delay, cancelling)
+	return m.fillAction(Action{Kind: CancelAndConfirm, Redial: true, Delay: delay})
 }
 
 // reconnect tries the same incarnation over a new link, up to maxSilent times.
 func (m *Machine) reconnect(now time.Time) Action {
-	if m.request.Repeatable && m.silent >= maxSilent {
-		return m.leave(now, Word{Code: result.LinkSilent}, false)
+	if m.request.Repeatable && m.linkFailures >= maxLinkFailures {
+		return m.endAttempt(now, Word{Code: result.LinkSilent}, false)
 	}
-	delay := m.request.Retries.Delay(m.silent)
+	delay := m.request.Retries.Delay(m.linkFailures)
 	switch {
-	case m.step == cancelling, !m.ran && m.silent >= maxSilent:
+	case m.step == cancelling, !m.ran && m.linkFailures >= maxLinkFailures:
 		return m.cancel(now, delay)
 	case m.step == offered:
 		return m.offer(now, delay)
@@ -78,48 +79,51 @@
 	}
 }
 
-// leave ends the current attempt, of which the agent said word, or which the machine gave
-// up for word's code. proved means that it has not run and never will.
-func (m *Machine) leave(now time.Time, word Word, proved bool) Action {
-	m.open = !proved
-	again := word.Again && proved && m.agains < maxAgain
+// endAttempt ends the current attempt with an outcome that the agent reported, or that the
+// machine set when it gave the attempt up. proved means that the call has not run there
+// and never will.
+func (m *Machine) endAttempt(now time.Time, outcome Word, proved bool) Action {
+	m.mayRun = !proved
+	retrySame := outcome.Again && proved && m.sameAgentRetries < maxSameAgentRetries
 	switch {
-	case !proved && !m.request.Repeatable, !retryable(word.Code):
-		return m.fail(word)
-	case m.headed && !m.request.Continuable:
-		return m.fail(Word{Code: result.StreamBroken, Detail: word.Detail})
-	case !again && !m.MayGoElsewhere():
-		return m.fail(word)
-	case (m.request.EveryRetry || spendsBudget(word.Code, proved)) && !m.request.Retries.Allow(now):
-		return m.fail(budgetSpent(word))
+	case !proved && !m.request.Repeatable, !retryable(outcome.Code):
+		return m.fail(outcome)
+	case m.headSent && !m.request.Continuable:
+		return m.fail(Word{Code: result.StreamBroken, Detail: outcome.Detail})
+	case !retrySame && !m.MayGoElsewhere():
+		return m.fail(outcome)
+	case (m.request.EveryRetry || spendsBudget(outcome.Code, proved)) && !m.request.Retries.Allow(now):
+		return m.fail(budgetSpent(outcome))
 	}
-	m.doubt = m.doubt || !proved
-	m.open = false
-	if again {
-		m.agains++
-		m.kept = m.replica.Agent
+	m.earlierUnproven = m.earlierUnproven || !proved
+	m.mayRun = false
+	if retrySame {
+		m.sameAgentRetries++
+		m.pinned = m.replica.Agent
 		return m.retry(now, false)
 	}
-	m.refused = append(m.refused, m.replica.Agent)
+	m.excluded = append(m.excluded, m.replica.Agent)
 	m.retries++
 	return m.retry(now, !proved)
 }
 
-// maxAgain bounds how often a call is sent without what it was refused for: each time one more
-// upstream is found that doesn't serve, and the budget bounds them all together.
-const maxAgain = 6
+// maxSameAgentRetries bounds how often a call is sent again to an agent that refused it
+// because of another upstream that does not serve. Each refusal reveals one more such
+// upstream, and each resend also counts against the retry budget.
+const maxSameAgentRetries = 6
 
-// budgetSpent says what would have been retried, with the agent's own detail and advice.
-func budgetSpent(word Word) Word {
-	detail := result.Lookup(word.Code).Name
-	if word.Detail != "" {
-		detail += ": " + word.Detail
+// budgetSpent returns the failure for a retry that the budget forbids. It keeps the
+// agent's code name and detail as the detail, and the agent's RetryAfter.
+func budgetSpent(outcome Word) Word {
+	detail := result.Lookup(outcome.Code).Name
+	if outcome.Detail != "" {
+		detail += ": " + outcome.Detail
 	}
-	return Word{Code: result.RetryBudgetSpent, Detail: detail, RetryAfter: word.RetryAfter}
+	return Word{Code: result.RetryBudgetSpent, Detail: detail, RetryAfter: outcome.RetryAfter}
 }
 
-// retry chooses again: at once if the refuser knows of room elsewhere, where waiting
-// would only lose time, otherwise after a delay.
+// retry chooses another replica, immediately if the refusal recommended one, because a
+// backoff would then only lose time, and after a delay otherwise.
 func (m *Machine) retry(now time.Time, release bool) Action {
 	var action Action
 	if m.better != "" {
@@ -134,12 +138,11 @@
 	return action
 }
 
-// spendsBudget reports whether going on elsewhere counts against the service's budget of
-// retries. The budget keeps retries from feeding an overload. Two cases can not: an
-// agent that refused had no work from the offer, and an agent that is gone leaves no
-// more work behind than it had, once for each of its calls. Without the second, the
-// death of one agent would end most of its streams, far more than a tenth of the calls
-// of that moment.
+// spendsBudget reports whether a retry on another agent counts against the service's
+// retry budget. The budget prevents retries from amplifying an overload. Two cases cannot
+// amplify one: an agent that refused did no work for the offer, and each call of a lost
+// agent is moved only once. If the second case counted, the loss of one agent would end
+// most of its streams, because they are far more than a tenth of the current calls.
 func spendsBudget(code result.Code, proved bool) bool {
 	switch code {
 	case result.AgentLost:
@@ -151,7 +154,7 @@
 	}
 }
 
-// retryable reports whether another agent might do better.
+// retryable reports whether another agent might serve a call that failed with code.
 func retryable(code result.Code) bool {
 	switch code {
 	case result.CannotStartInTime, result.QueueFull, result.MemoryFull, result.Draining,
@@ -164,9 +167,9 @@
 	}
 }
 
-// orExpire replaces action by a failure if the deadline has passed. An entry that was
-// paused would otherwise act on for a caller that has long given up.
-func (m *Machine) orExpire(now time.Time, action Action) Action {
+// unlessExpired returns action, or a failure if the deadline has passed. Otherwise an entry
+// that was paused would continue a call whose caller has already given up.
+func (m *Machine) unlessExpired(now time.Time, action Action) Action {
 	if m.step == done || !m.expired(now) {
 		return action
 	}
@@ -175,22 +178,22 @@
 
 func (m *Machine) expired(now time.Time) bool { return !now.Before(m.request.Deadline) }
 
-func (m *Machine) fail(word Word) Action {
-	err := result.New(word.Code, m.Execution(), "%s", word.Detail)
-	err.RetryAfter = word.RetryAfter
+func (m *Machine) fail(outcome Word) Action {
+	err := result.New(outcome.Code, m.Execution(), "%s", outcome.Detail)
+	err.RetryAfter = outcome.RetryAfter
 	err.Better = m.better
-	// Other tries may wait for the run of a keyed call: it is not given up with this one.
-	release := m.step >= offered && m.open && !m.request.Keyed
+	// The run of a keyed call is not released, because other tries may wait for it.
+	release := m.step >= offered && m.mayRun && !m.request.Keyed
 	return m.finish(Action{Kind: Fail, Err: err, Release: release})
 }
 
 func (m *Machine) finish(action Action) Action {
-	m.await(done)
-	return m.act(action)
+	m.enterStep(done)
+	return m.fillAction(action)
 }
 
-// act completes an action that concerns the current attempt.
-func (m *Machine) act(action Action) Action {
+// fillAction sets the fields of an action that describe the current attempt.
+func (m *Machine) fillAction(action Action) Action {
 	action.Attempt = m.attempt
 	action.Replica = m.replica
 	action.Delivered = m.delivered
--- a/core/attempt/try_test.go
+++ b/core/attempt/try_test.go
@@ -12,120 +12,120 @@
 	"acaciacleat.example/core/stream"
 )
 
-// try is one request of a caller at one entry, and the shell round its machines.
+// try is one request of a caller at one entry. It drives the Machine and the Claim.
 type try struct {
-	w        *world
-	e        *entryProcess
-	id       call.ID
-	key      string
-	keyed    bool
-	request  attempt.Request
-	m        *attempt.Machine
-	claim    *idempotency.Claim
-	claimed  bool
-	receiver *stream.Receiver
-	ending   *run
-	lastCode result.Code
-	heardAt  time.Time
-	// silent means that the link to the agent passes nothing until it is dialled anew.
-	silent  bool
-	got     []byte
-	finals  []attempt.Action
-	finalAt time.Time
-	// ranThen is whether the try's own id had run when it got its final answer.
-	ranThen bool
+	sim           *simulation
+	entry         *entryProcess
+	id            call.ID
+	key           string
+	keyed         bool
+	request       attempt.Request
+	machine       *attempt.Machine
+	claim         *idempotency.Claim
+	claimed       bool
+	receiver      *stream.Receiver
+	endedRun      *run
+	lastCode      result.Code
+	lastMessageAt time.Time
+	// linkSilent means that the link to the agent drops all messages until it is redialled.
+	linkSilent   bool
+	received     []byte
+	finalActions []attempt.Action
+	finalAt      time.Time
+	// ranAtFinal means that the try's own id had run when the final action came.
+	ranAtFinal bool
 }
 
-func (w *world) start(e *entryProcess, key string, body byte, keyed, repeatable bool, limit time.Duration) *try {
-	t := &try{w: w, e: e, key: key, keyed: keyed, receiver: stream.NewReceiver(2)}
-	t.id[0], t.id[1] = byte(len(w.tries)+1), byte(w.rng.Uint32())
+func (sim *simulation) startTry(e *entryProcess, key string, body byte, keyed, repeatable bool, limit time.Duration) *try {
+	t := &try{sim: sim, entry: e, key: key, keyed: keyed, receiver: stream.NewReceiver(2)}
+	t.id[0], t.id[1] = byte(len(sim.tries)+1), byte(sim.rng.Uint32())
 	if key == "" {
 		t.key = t.id.String()
 	}
-	w.byID[t.id] = t
+	sim.byID[t.id] = t
 	t.request = attempt.Request{
-		ID: t.id, Deadline: w.now.Add(limit), Repeatable: repeatable, Continuable: repeatable,
-		Keyed: keyed, MaxRetries: 2, Retries: newPolicy(w),
+		ID: t.id, Deadline: sim.now.Add(limit), Repeatable: repeatable, Continuable: repeatable,
+		Keyed: keyed, MaxRetries: 2, Retries: newPolicy(sim),
 	}
-	t.m = attempt.New(t.request)
+	t.machine = attempt.New(t.request)
 	if keyed {
 		t.claim = idempotency.NewClaim(idempotency.ClaimSpec{
 			ID: t.id, Request: idempotency.RequestHash{body}, Token: t.id.String(), Deadline: t.request.Deadline,
 		})
 	}
-	w.tries = append(w.tries, t)
-	t.heardAt = w.now
-	t.perform(t.m.Start(w.now))
-	t.watch()
+	sim.tries = append(sim.tries, t)
+	t.lastMessageAt = sim.now
+	t.perform(t.machine.Start(sim.now))
+	t.monitorLink()
 	return t
 }
 
-// watch stands for the link's heartbeats: silence for a second counts as a lost link.
-func (t *try) watch() {
-	t.e.soon(time.Second, func() {
-		if t.m.Done() {
+// monitorLink simulates the link's heartbeats: the link is lost after a second of silence.
+func (t *try) monitorLink() {
+	t.entry.after(time.Second, func() {
+		if t.machine.Done() {
 			return
 		}
-		if t.w.now.Sub(t.heardAt) >= time.Second {
-			t.perform(t.m.LinkLost(t.w.now, t.receiver.Attempt()))
+		if t.sim.now.Sub(t.lastMessageAt) >= time.Second {
+			t.perform(t.machine.LinkLost(t.sim.now, t.receiver.Attempt()))
 		}
-		t.watch()
+		t.monitorLink()
 	})
 }
 
-// hear sends a message from an agent to the try.
-func (t *try) hear(a *agentProcess, do func() attempt.Action) {
+// receiveFrom sends a message from an agent to the try, which calls do when it arrives.
+func (t *try) receiveFrom(a *agentProcess, do func() attempt.Action) {
 	if t.goesSilent() {
 		return
 	}
-	t.w.send(func() {
-		t.e.soon(0, func() {
-			t.heardAt = t.w.now
-			t.e.look(a)
+	t.sim.send(func() {
+		t.entry.after(0, func() {
+			t.lastMessageAt = t.sim.now
+			t.entry.refreshView(a)
 			t.perform(do())
 		})
 	})
 }
 
 func (t *try) goesSilent() bool {
-	t.silent = t.silent || t.w.chance(t.w.odds.silent)
-	return t.silent
+	t.linkSilent = t.linkSilent || t.sim.chance(t.sim.odds.silent)
+	return t.linkSilent
 }
 
 func (t *try) refused(number call.Attempt, code result.Code, execution result.Execution) attempt.Action {
 	t.lastCode = code
-	return t.m.Refused(t.w.now, number, attempt.Word{Code: code, Execution: execution})
+	return t.machine.Refused(t.sim.now, number, attempt.Word{Code: code, Execution: execution})
 }
 
 func (t *try) frame(f stream.Frame) attempt.Action {
 	var action attempt.Action
 	t.receiver.Offer(f, func(f stream.Frame) {
-		if !t.m.Done() {
-			t.got = append(t.got, f.Data...)
-			action = t.m.Delivered(t.w.now, f.Attempt, f.Seq)
+		if !t.machine.Done() {
+			t.received = append(t.received, f.Data...)
+			action = t.machine.Delivered(t.sim.now, f.Attempt, f.Seq)
 		}
 	})
-	if action.Kind != attempt.None || t.ending == nil {
+	if action.Kind != attempt.None || t.endedRun == nil {
 		return action
 	}
-	return t.end(t.ending)
+	return t.end(t.endedRun)
 }
 
 func (t *try) end(r *run) attempt.Action {
-	if r.number != t.receiver.Attempt() {
+	if r.attempt != t.receiver.Attempt() {
 		return attempt.Action{}
 	}
-	t.ending = r
-	if !t.receiver.End(r.number, r.sender.Last()) {
+	t.endedRun = r
+	if !t.receiver.End(r.attempt, r.sender.Last()) {
 		return attempt.Action{}
 	}
-	return t.m.Ended(t.w.now, r.number, attempt.Word{Code: r.code, Execution: r.execution})
+	return t.machine.Ended(t.sim.now, r.attempt, attempt.Word{Code: r.code, Execution: r.execution})
 }
 
 func (t *try) perform(a attempt.Action) {
-	if !t.m.Done() {
-		wake := max(0, t.m.Wake().Sub(t.w.now))
-		t.e.soon(wake, func() { t.perform(t.m.Timer(t.w.now)) })
+	if !t.machine.Done() {
+		wake := max(0, t.machine.Wake().Sub(t.sim.now))
+		t.entry.after(wake, func() { t.perform(t.machine.Timer(t.sim.now)) })
 	}
 	if a.Release {
 		t.sendCancel(a)
@@ -142,26 +142,26 @@
 	case attempt.CancelAndConfirm:
 		t.sendCancel(a)
 	case attempt.Answer, attempt.Fail:
-		t.finals = append(t.finals, a)
-		t.finalAt = t.w.now
-		t.ranThen = t.w.runs[t.id] > 0
+		t.finalActions = append(t.finalActions, a)
+		t.finalAt = t.sim.now
+		t.ranAtFinal = t.sim.runs[t.id] > 0
 	}
 }
 
 func (t *try) toAgent(a attempt.Action, do func(*agentProcess)) {
-	t.e.soon(a.Delay, func() {
-		t.silent = t.silent && !a.Redial
+	t.entry.after(a.Delay, func() {
+		t.linkSilent = t.linkSilent && !a.Redial
 		if t.goesSilent() {
 			return
 		}
-		t.w.send(func() { do(t.w.agents[a.Replica.Agent[0]-'a']) })
+		t.sim.send(func() { do(t.sim.agents[a.Replica.Agent[0]-'a']) })
 	})
 }
 
 func (t *try) sendOffer(a attempt.Action) {
 	if a.Attempt > t.receiver.Attempt() {
 		t.receiver.Restart(a.Attempt)
-		t.ending = nil
+		t.endedRun = nil
 	}
 	o := idempotency.Offer{
 		ID: a.Replica.ID, Attempt: a.Attempt, BoundTo: a.Replica.Incarnation,
@@ -177,133 +177,133 @@
 
 func (t *try) choose() {
 	var usable []attempt.Replica
-	for _, a := range t.w.agents {
-		if !slices.Contains(t.m.Excluded(), a.name) {
-			usable = append(usable, t.e.view[a.name])
+	for _, a := range t.sim.agents {
+		if !slices.Contains(t.machine.Excluded(), a.name) {
+			usable = append(usable, t.entry.view[a.name])
 		}
 	}
 	if len(usable) == 0 {
-		t.perform(t.m.NoReplica(t.w.now, result.New(result.NoReplica, result.NotRun, "")))
+		t.perform(t.machine.NoReplica(t.sim.now, result.New(result.NoReplica, result.NotRun, "")))
 		return
 	}
-	chosen := usable[t.w.rng.IntN(len(usable))]
+	chosen := usable[t.sim.rng.IntN(len(usable))]
 	if !t.keyed {
-		t.perform(t.m.Chosen(t.w.now, chosen))
+		t.perform(t.machine.Chosen(t.sim.now, chosen))
 		return
 	}
-	t.perform(t.m.Claiming(t.w.now))
+	t.perform(t.machine.Claiming(t.sim.now))
 	b := idempotency.Binding{Agent: chosen.Agent, Incarnation: chosen.Incarnation, Stamp: chosen.Stamp}
 	if t.claimed {
-		t.claimAction(t.claim.Refused(t.w.now, t.lastCode, result.NotRun))
-		t.claimAction(t.claim.Rebind(t.w.now, b))
+		t.performClaim(t.claim.Refused(t.sim.now, t.lastCode, result.NotRun))
+		t.performClaim(t.claim.Rebind(t.sim.now, b))
 		return
 	}
 	t.claimed = true
-	t.claimAction(t.claim.Start(t.w.now, b))
+	t.performClaim(t.claim.Start(t.sim.now, b))
 }
 
-func (t *try) claimAction(a idempotency.ClaimAction) {
+func (t *try) performClaim(a idempotency.ClaimAction) {
 	switch a.Kind {
 	case idempotency.InsertRow, idempotency.RebindRow, idempotency.ReadRow:
-		t.e.soon(a.Delay+t.w.upTo(5), func() { t.store(a) })
+		t.entry.after(a.Delay+t.sim.randomDelay(5), func() { t.performStoreOperation(a) })
 	case idempotency.OfferBound, idempotency.AttachBound:
 		b := a.Binding
-		t.perform(t.m.Chosen(t.w.now, attempt.Replica{
+		t.perform(t.machine.Chosen(t.sim.now, attempt.Replica{
 			Agent: b.Agent, Incarnation: b.Incarnation, Stamp: b.Stamp, ID: a.ID, Attempt: b.Attempt,
 		}))
 	case idempotency.ClaimFailed:
-		t.perform(t.m.ClaimFailed(t.w.now, a.Err))
+		t.perform(t.machine.ClaimFailed(t.sim.now, a.Err))
 	}
 }
 
-// store carries out a store operation and its faults.
-func (t *try) store(a idempotency.ClaimAction) {
-	w := t.w
+// performStoreOperation performs a store operation with random faults.
+func (t *try) performStoreOperation(a idempotency.ClaimAction) {
+	sim := t.sim
 	answer := func(d time.Duration, do func() idempotency.ClaimAction) {
-		t.e.soon(d, func() { t.claimAction(do()) })
+		t.entry.after(d, func() { t.performClaim(do()) })
 	}
 	if a.Kind == idempotency.ReadRow {
-		if w.chance(w.odds.storeDown + w.odds.storeLost) {
-			answer(w.upTo(20), func() idempotency.ClaimAction { return t.claim.ReadFailed(w.now, a.Op) })
+		if sim.chance(sim.odds.storeDown + sim.odds.storeLost) {
+			answer(sim.randomDelay(20), func() idempotency.ClaimAction { return t.claim.ReadFailed(sim.now, a.Op) })
 			return
 		}
-		row, found := w.rows[t.key]
-		answer(w.upTo(3), func() idempotency.ClaimAction {
-			return t.claim.ReadDone(w.now, a.Op, row.value, row.version, found)
+		row, found := sim.rows[t.key]
+		answer(sim.randomDelay(3), func() idempotency.ClaimAction {
+			return t.claim.ReadDone(sim.now, a.Op, row.value, row.version, found)
 		})
 		return
 	}
 	failed := func(f idempotency.StoreFailure) func() idempotency.ClaimAction {
-		return func() idempotency.ClaimAction { return t.claim.WriteFailed(w.now, a.Op, f) }
+		return func() idempotency.ClaimAction { return t.claim.WriteFailed(sim.now, a.Op, f) }
 	}
-	if w.chance(w.odds.storeDown) {
-		answer(w.upTo(20), failed(idempotency.StoreUnavailable))
+	if sim.chance(sim.odds.storeDown) {
+		answer(sim.randomDelay(20), failed(idempotency.StoreUnavailable))
 		return
 	}
-	if w.chance(w.odds.storeLost) {
-		answer(w.upTo(50), failed(idempotency.StoreLost))
-		if w.chance(0.5) {
+	if sim.chance(sim.odds.storeLost) {
+		answer(sim.randomDelay(50), failed(idempotency.StoreLost))
+		if sim.chance(0.5) {
 			return
 		}
-		w.after(w.upTo(300), func() { w.commit(t.key, a) })
+		sim.after(sim.randomDelay(300), func() { sim.commit(t.key, a) })
 		return
 	}
-	version, ok := w.commit(t.key, a)
+	version, ok := sim.commit(t.key, a)
 	if !ok {
-		answer(w.upTo(3), failed(idempotency.StoreConflict))
+		answer(sim.randomDelay(3), failed(idempotency.StoreConflict))
 		return
 	}
 	late := time.Duration(0)
-	if w.chance(w.odds.storeLate) {
-		late = w.upTo(200)
-		answer(w.upTo(50), failed(idempotency.StoreLost))
+	if sim.chance(sim.odds.storeLate) {
+		late = sim.randomDelay(200)
+		answer(sim.randomDelay(50), failed(idempotency.StoreLost))
 	}
-	answer(late, func() idempotency.ClaimAction { return t.claim.Written(w.now, a.Op, version) })
+	answer(late, func() idempotency.ClaimAction { return t.claim.Written(sim.now, a.Op, version) })
 }
 
-func (w *world) commit(key string, a idempotency.ClaimAction) (uint64, bool) {
-	if version, done := w.commits[a.Token]; done {
+func (sim *simulation) commit(key string, a idempotency.ClaimAction) (uint64, bool) {
+	if version, done := sim.commits[a.Token]; done {
 		return version, true
 	}
-	if w.rows[key].version != a.Version {
+	if sim.rows[key].version != a.Version {
 		return 0, false
 	}
-	w.version++
-	w.rows[key] = storedRow{a.Row.Encode(), w.version}
-	w.commits[a.Token] = w.version
-	return w.version, true
+	sim.version++
+	sim.rows[key] = storedRow{a.Row.Encode(), sim.version}
+	sim.commits[a.Token] = sim.version
+	return sim.version, true
 }
 
-// fault returns what is wrong with the try's outcome, or "".
-func (t *try) fault() string {
-	w := t.w
-	if !t.request.Repeatable && w.keyRuns[t.key] > 1 {
-		return fmt.Sprintf("key %s ran %d times", t.key, w.keyRuns[t.key])
+// violation describes the invariant that the try's outcome violates, or returns "".
+func (t *try) violation() string {
+	sim := t.sim
+	if !t.request.Repeatable && sim.keyRuns[t.key] > 1 {
+		return fmt.Sprintf("key %s ran %d times", t.key, sim.keyRuns[t.key])
 	}
-	if t.e.dead {
+	if t.entry.dead {
 		return ""
 	}
-	if len(t.finals) != 1 {
-		return fmt.Sprintf("%d final answers", len(t.finals))
+	if len(t.finalActions) != 1 {
+		return fmt.Sprintf("%d final answers", len(t.finalActions))
 	}
 	limit := t.request.Deadline
-	if t.e.paused.After(limit) {
-		limit = t.e.paused
+	if t.entry.pausedUntil.After(limit) {
+		limit = t.entry.pausedUntil
 	}
 	if t.finalAt.After(limit) {
 		return fmt.Sprintf("answered %s late", t.finalAt.Sub(limit))
 	}
-	final := t.finals[0]
+	final := t.finalActions[0]
 	if final.Kind == attempt.Answer {
-		if string(t.got) != "\x01\x02\x03\x04" {
-			return fmt.Sprintf("answer is %v", t.got)
+		if string(t.received) != "\x01\x02\x03\x04" {
+			return fmt.Sprintf("answer is %v", t.received)
 		}
 		return ""
 	}
 	switch {
-	case final.Err.Execution == result.NotRun && w.runs[t.id] > 0:
+	case final.Err.Execution == result.NotRun && sim.runs[t.id] > 0:
 		return "not-run, but it ran: " + final.Err.Error()
-	case final.Err.Execution == result.Ran && w.keyBegun[t.key] == 0:
+	case final.Err.Execution == result.Ran && sim.keyBegun[t.key] == 0:
 		return "ran, but it did not: " + final.Err.Error()
 	}
 	return ""
