--- a/core/idempotency/claim.go
+++ b/core/idempotency/claim.go
@@ -8,37 +8,38 @@
 	"acaciacleat.example/core/result"
 )
 
-// ClaimKind says what the shell must do next for a keyed call.
+// ClaimKind is the kind of a ClaimAction, which the code that drives the Claim performs.
 type ClaimKind uint8
 
 // The kinds of action.
 const (
-	// ClaimNone means that there is nothing to do until the next event.
+	// ClaimNone requires nothing until the next event.
 	ClaimNone ClaimKind = iota
-	// InsertRow means: commit Row on condition that it is absent, with Token.
+	// InsertRow asks to commit Row with Token, on condition that the row is absent.
 	InsertRow
-	// RebindRow means: commit Row on condition that its version is Version, with Token.
+	// RebindRow asks to commit Row with Token, on condition that the row's version is
+	// Version.
 	RebindRow
-	// ReadRow means: read the row as last committed.
+	// ReadRow asks to read the last committed row.
 	ReadRow
-	// OfferBound means that this try has bound the key: offer the call under ID to
-	// the agent incarnation in Binding.
+	// OfferBound means that this try has bound the key. It asks to offer the call under
+	// ID to the agent incarnation in Binding.
 	OfferBound
-	// AttachBound means that another try has bound the key: make the same offer that
-	// it makes, so that the agent attaches this try to the run, replays its result, or
-	// starts it if the other try died before it offered the call.
+	// AttachBound means that another try has bound the key. It asks to send the same
+	// offer as that try, so that the agent attaches this try to the run, replays its
+	// result, or starts it if the other entry failed before it offered the call.
 	AttachBound
-	// ChooseAgain means that the bound agent has provably not run the call: choose
-	// another and call Rebind, or give up with NotRun.
+	// ChooseAgain means that the bound agent is proved not to have run the call. It asks
+	// to choose another agent and call Rebind, or to give up with NotRun.
 	ChooseAgain
 	// ClaimFailed is final: answer the caller with Err.
 	ClaimFailed
 )
 
-// ClaimAction is one instruction to the shell.
+// ClaimAction is one instruction to the code that drives the Claim.
 type ClaimAction struct {
 	Kind ClaimKind
-	// Op numbers the store operation; the event that reports its end names it.
+	// Op is the number of the store operation; the event that reports its end repeats it.
 	Op uint32
 	// Delay is how long to wait before the store operation.
 	Delay   time.Duration
@@ -50,31 +51,32 @@
 	Err     *result.Error
 }
 
-// StoreFailure says how a store operation failed.
+// StoreFailure is the way in which a store operation failed.
 type StoreFailure uint8
 
 // The failures.
 const (
 	// StoreConflict means that the condition did not hold; nothing was written.
 	StoreConflict StoreFailure = iota
-	// StoreUnavailable means that it is proved that nothing was written.
+	// StoreUnavailable means that nothing was written.
 	StoreUnavailable
 	// StoreLost means that the answer was lost: the write may have taken effect, or
 	// may still do so.
 	StoreLost
 )
 
-// DefaultRowLifetime is how long a key is held. It covers a working day, after which a
-// tablet that was out of reach has sent what it had queued.
+// DefaultRowLifetime is how long a key is kept. It covers a working day, so that a client
+// that was offline for the day can still repeat the calls that it had queued.
 const DefaultRowLifetime = 24 * time.Hour
 
-// How a Claim keeps asking a store that does not answer.
+// Retries of store operations by a Claim.
 const (
-	// settleTries bounds the operations spent on one unsettled write or read. With
-	// doubling delays, eight of them take 6 s.
-	settleTries = 8
-	// settleDelay is the delay before the second of them.
-	settleDelay = 50 * time.Millisecond
+	// maxStoreOperations bounds the operations spent on one write whose outcome is unknown
+	// or one read that fails. With doubling delays, eight operations are spread
+	// over about 3 s.
+	maxStoreOperations = 8
+	// storeRetryDelay is the first nonzero delay; each later one is twice as long.
+	storeRetryDelay = 50 * time.Millisecond
 )
 
 // ClaimSpec describes one try of a keyed call.
@@ -82,21 +84,21 @@
 	// ID is the request id of this try.
 	ID      call.ID
 	Request RequestHash
-	// Token is the base of this try's client tokens; no two tries share one.
+	// Token is the prefix of this try's client tokens; it is unique to the try.
 	Token    string
 	Deadline time.Time
 	// Lifetime is how long the row is kept; 0 means DefaultRowLifetime.
 	Lifetime time.Duration
 }
 
-// claimStep is what a Claim waits for.
+// claimStep is the event that a Claim waits for.
 type claimStep uint8
 
 const (
 	claimIdle claimStep = iota
 	claimWriting
 	claimReading
-	// claimBound means that the offer is out of the Claim's hands until it is refused.
+	// claimBound waits for a refusal of the offer, which the call's Machine handles.
 	claimBound
 	// claimRefused waits for Rebind.
 	claimRefused
@@ -104,26 +106,27 @@
 )
 
 // Claim binds one try of a keyed call to an agent incarnation, by one row in the table
-// service. Whatever becomes of the tries of a key, its row names at most one binding at
-// a time, and it is changed only after the bound agent has proved that the call did not
+// service. Regardless of how many tries share a key, its row holds one binding at a time,
+// and the binding is changed only after the bound agent has proved that the call did not
 // run there and never will.
 //
-// NotRun in a failure speaks of this try: its id did not run, nor did the run that it
-// attached to. A concurrent try with the same key gets an answer of its own.
+// NotRun in a failure refers to this try only: its id did not run, nor did the run that
+// it attached to. A concurrent try with the same key gets its own answer.
 type Claim struct {
 	spec ClaimSpec
 	step claimStep
 	op   uint32
-	// row and version are the binding in force as last seen. version is 0 before.
+	// row and version are the last known committed row and its version; version is 0
+	// until a row is known.
 	row     Row
 	version uint64
-	// pending is the row of the write under way; version is its condition.
-	pending Row
-	writes  int
-	tries   int
-	// doubt means that the pending write may have taken effect or may still do so.
-	doubt bool
-	// bound means that a binding, of this try or another, may run the call.
+	// pending is the row of the write in progress, which is conditional on version.
+	pending    Row
+	writes     int
+	operations int
+	// writeUncertain means that the pending write may have taken effect, or may still.
+	writeUncertain bool
+	// bound means that the call may run under a binding of this try or another.
 	bound bool
 }
 
@@ -135,8 +138,8 @@
 	return &Claim{spec: spec}
 }
 
-// Start claims the key for the chosen agent. The stamp in b must have been taken when
-// the agent was chosen, and not later.
+// Start claims the key for the chosen agent. The stamp in b must be the one from the time
+// when the agent was chosen, not a later one.
 func (c *Claim) Start(now time.Time, b Binding) ClaimAction {
 	if c.step != claimIdle {
 		return ClaimAction{}
@@ -154,14 +157,14 @@
 	return c.write(now, b)
 }
 
-// Written reports that operation op committed and that the row now has this version.
+// Written reports that operation op committed and that version is the row's new version.
 func (c *Claim) Written(now time.Time, op uint32, version uint64) ClaimAction {
 	if c.step != claimWriting || op != c.op {
 		return ClaimAction{}
 	}
 	c.bound = true
-	c.doubt = false
-	return c.settle(now, c.pending, version, OfferBound)
+	c.writeUncertain = false
+	return c.acceptRow(now, c.pending, version, OfferBound)
 }
 
 // WriteFailed reports that operation op, an InsertRow or RebindRow, failed.
@@ -171,27 +174,27 @@
 	}
 	switch {
 	case failure == StoreConflict:
-		// Another try's row; or our own, if the store forgot the token of a write
-		// whose answer was lost. Only the row can tell.
+		// The row is another try's, or this try's own if the store no longer knows the
+		// token of a write whose answer was lost. Reading the row shows which.
 		return c.read(now)
 	case failure == StoreLost:
-		c.doubt = true
+		c.writeUncertain = true
 		return c.read(now)
-	case c.doubt:
+	case c.writeUncertain:
 		return c.read(now)
 	default:
 		return c.fail(result.TableUnavailable, "the key's row could not be written")
 	}
 }
 
-// ReadDone reports the row that operation op, a ReadRow, found; found is false when
-// there is none.
+// ReadDone reports the result of operation op, a ReadRow. found is false if there is no
+// row.
 func (c *Claim) ReadDone(now time.Time, op uint32, value []byte, version uint64, found bool) ClaimAction {
 	if c.step != claimReading || op != c.op {
 		return ClaimAction{}
 	}
 	if !found {
-		return c.absent(now)
+		return c.handleAbsentRow(now)
 	}
 	row, err := DecodeRow(value)
 	if err != nil {
@@ -201,20 +204,20 @@
 	switch {
 	case row.Writer == c.pending.Writer:
 		c.bound = true
-		c.doubt = false
-		return c.settle(now, row, version, OfferBound)
+		c.writeUncertain = false
+		return c.acceptRow(now, row, version, OfferBound)
 	case version == c.version:
-		// The write has not taken effect, but it still may. The same token again
-		// makes it certain, and does not write twice.
-		return c.writeAgain(now)
+		// The write has not taken effect, but it still may. Sending it again under the
+		// same token resolves its outcome without writing twice.
+		return c.sendPendingWrite(now)
 	}
-	// Someone else's row: the condition of our write can no longer hold.
-	c.doubt = false
+	// The row is another try's: the condition of the pending write can no longer hold.
+	c.writeUncertain = false
 	if row.Request != c.spec.Request {
 		return c.fail(result.KeyReused, "the key was used with another request")
 	}
 	c.bound = true
-	return c.settle(now, row, version, AttachBound)
+	return c.acceptRow(now, row, version, AttachBound)
 }
 
 // ReadFailed reports that operation op, a ReadRow, did not succeed.
@@ -234,7 +237,7 @@
 	if execution == result.NotRun {
 		c.bound = false
 		c.step = claimRefused
-		return c.expireOr(now, ClaimAction{Kind: ChooseAgain})
+		return c.unlessExpired(now, ClaimAction{Kind: ChooseAgain})
 	}
 	if code == result.WrongIncarnation {
 		return c.AgentGone(now)
@@ -243,8 +246,8 @@
 	return ClaimAction{Kind: ClaimFailed, Err: result.New(code, execution, "refused by %s", c.row.Binding.Agent)}
 }
 
-// AgentGone reports that the bound incarnation no longer lives. Whether the call ran
-// there can't be found out any more.
+// AgentGone reports that the bound incarnation is no longer alive. Whether the call ran
+// there can no longer be determined.
 func (c *Claim) AgentGone(time.Time) ClaimAction {
 	if c.step != claimBound {
 		return ClaimAction{}
@@ -257,21 +260,22 @@
 	if c.step == claimDone || c.step == claimBound {
 		return ClaimAction{}
 	}
-	return c.expireOr(now, ClaimAction{})
+	return c.unlessExpired(now, ClaimAction{})
 }
 
-// Execution returns what is proved about this try so far.
+// Execution returns what is proved so far about whether this try ran.
 func (c *Claim) Execution() result.Execution {
-	if c.doubt || c.bound {
+	if c.writeUncertain || c.bound {
 		return result.Unknown
 	}
 	return result.NotRun
 }
 
-// write starts a write of the row with binding b, on condition that the row is as last seen.
+// write starts a write of the row with binding b, on condition that the row's version is
+// the last known one.
 func (c *Claim) write(now time.Time, b Binding) ClaimAction {
 	c.writes++
-	c.tries = 0
+	c.operations = 0
 	c.pending = Row{
 		Request: c.spec.Request,
 		ID:      c.spec.ID,
@@ -279,17 +283,17 @@
 		Writer:  c.spec.Token + "." + strconv.Itoa(c.writes),
 		Expires: now.Add(c.spec.Lifetime),
 	}
-	return c.writeAgain(now)
+	return c.sendPendingWrite(now)
 }
 
-// writeAgain sends the pending write under its token.
-func (c *Claim) writeAgain(now time.Time) ClaimAction {
+// sendPendingWrite sends the pending write, or sends it again, under its token.
+func (c *Claim) sendPendingWrite(now time.Time) ClaimAction {
 	kind := InsertRow
 	if c.version != 0 {
 		kind = RebindRow
 	}
 	c.step = claimWriting
-	return c.operate(now, ClaimAction{
+	return c.startOperation(now, ClaimAction{
 		Kind:    kind,
 		Row:     c.pending,
 		Version: c.version,
@@ -299,53 +303,54 @@
 
 func (c *Claim) read(now time.Time) ClaimAction {
 	c.step = claimReading
-	return c.operate(now, ClaimAction{Kind: ReadRow})
+	return c.startOperation(now, ClaimAction{Kind: ReadRow})
 }
 
-// operate numbers a store operation, so that a late answer to an earlier one is not
-// taken for an answer to this one, and spaces out repeated ones.
-func (c *Claim) operate(now time.Time, action ClaimAction) ClaimAction {
-	if c.tries >= settleTries {
-		return c.giveUp()
+// startOperation numbers a store operation, so that a late answer to an earlier one is not
+// attributed to it, and delays repeated operations exponentially.
+func (c *Claim) startOperation(now time.Time, action ClaimAction) ClaimAction {
+	if c.operations >= maxStoreOperations {
+		return c.failUnresolved()
 	}
-	if c.tries > 1 {
-		action.Delay = settleDelay << (c.tries - 2)
+	if c.operations > 1 {
+		action.Delay = storeRetryDelay << (c.operations - 2)
 	}
-	c.tries++
+	c.operations++
 	c.op++
 	action.Op = c.op
-	return c.expireOr(now, action)
+	return c.unlessExpired(now, action)
 }
 
-// absent handles a row that is not there. The insert has then not taken effect, but it
-// still may; once a row was seen, its absence means that it was deleted as expired.
-func (c *Claim) absent(now time.Time) ClaimAction {
+// handleAbsentRow handles a read that found no row. If no row was known before, the
+// insert has not taken effect but still may, and is sent again. Otherwise the row was
+// deleted as expired.
+func (c *Claim) handleAbsentRow(now time.Time) ClaimAction {
 	if c.version == 0 {
-		return c.writeAgain(now)
+		return c.sendPendingWrite(now)
 	}
 	c.bound = true
 	return c.fail(result.TableOutcome, "the key's row was deleted during the call")
 }
 
-// settle adopts the row in force and hands the offer to the call's state machine.
-func (c *Claim) settle(now time.Time, row Row, version uint64, kind ClaimKind) ClaimAction {
+// acceptRow stores the committed row and returns its binding for the offer.
+func (c *Claim) acceptRow(now time.Time, row Row, version uint64, kind ClaimKind) ClaimAction {
 	c.row = row
 	c.version = version
 	c.step = claimBound
-	return c.expireOr(now, ClaimAction{Kind: kind, ID: row.ID, Binding: row.Binding})
+	return c.unlessExpired(now, ClaimAction{Kind: kind, ID: row.ID, Binding: row.Binding})
 }
 
-// giveUp ends a claim whose store operations keep failing.
-func (c *Claim) giveUp() ClaimAction {
-	if c.doubt {
+// failUnresolved ends a claim that has used up its store operations.
+func (c *Claim) failUnresolved() ClaimAction {
+	if c.writeUncertain {
 		return c.fail(result.TableOutcome, "the write of the key's row could not be settled")
 	}
 	return c.fail(result.TableUnavailable, "the key's row could not be read")
 }
 
-// expireOr replaces action by a failure if the deadline has passed. A claimant that was
-// paused would otherwise offer a call that its caller was already told has failed.
-func (c *Claim) expireOr(now time.Time, action ClaimAction) ClaimAction {
+// unlessExpired returns action, or a failure if the deadline has passed. Otherwise an entry
+// that was paused could offer a call after its caller was told that it failed.
+func (c *Claim) unlessExpired(now time.Time, action ClaimAction) ClaimAction {
 	if now.Before(c.spec.Deadline) {
 		return action
 	}
--- a/core/idempotency/claim_test.go
+++ b/core/idempotency/claim_test.go
@@ -11,16 +11,16 @@
 )
 
 var (
-	first  = Binding{Agent: "a", Incarnation: here, Stamp: 1}
-	second = Binding{Agent: "b", Incarnation: there, Stamp: 2}
+	bindingA = Binding{Agent: "a", Incarnation: localIncarnation, Stamp: 1}
+	bindingB = Binding{Agent: "b", Incarnation: otherIncarnation, Stamp: 2}
 )
 
 func newClaim() *Claim {
 	return NewClaim(ClaimSpec{ID: call.ID{1}, Request: RequestHash{1}, Token: "mine", Deadline: at(60)})
 }
 
-// rowOf is the row that another try, or this one in its nth write, has written.
-func rowOf(writer string, request byte, b Binding) []byte {
+// encodedRow returns the stored row of another try, or of this try's nth write.
+func encodedRow(writer string, request byte, b Binding) []byte {
 	b.Attempt = 1
 	row := Row{Request: RequestHash{request}, ID: call.ID{9}, Binding: b, Writer: writer, Expires: at(100)}
 	return row.Encode()
@@ -28,70 +28,71 @@
 
 // insertLost leaves the Claim reading the row back after a lost answer to its insert.
 func insertLost(c *Claim) ClaimAction {
-	a := c.Start(at(0), first)
+	a := c.Start(at(0), bindingA)
 	return c.WriteFailed(at(1), a.Op, StoreLost)
 }
 
 // boundAndRefused leaves the Claim waiting for Rebind after a proved refusal.
 func boundAndRefused(c *Claim) ClaimAction {
-	a := c.Start(at(0), first)
+	a := c.Start(at(0), bindingA)
 	c.Written(at(1), a.Op, 5)
 	return c.Refused(at(2), result.QueueFull, result.NotRun)
 }
 
-// Each case: a symptom, the sequence that leads to it, and the cause that the Claim closes.
+// TestClaimFaults tests the Claim's reactions to faults. The comments name the failure that
+// a case guards against.
 func TestClaimFaults(t *testing.T) {
 	cases := []struct {
-		name  string
-		steps func(c *Claim) ClaimAction
-		kind  ClaimKind
-		code  result.Code
-		says  result.Execution
+		name      string
+		steps     func(c *Claim) ClaimAction
+		kind      ClaimKind
+		code      result.Code
+		execution result.Execution
 	}{
 		{"bound", func(c *Claim) ClaimAction {
-			a := c.Start(at(0), first)
+			a := c.Start(at(0), bindingA)
 			return c.Written(at(1), a.Op, 5)
 		}, OfferBound, 0, ""},
-		// Symptom: a keyed call fails though its row was written. Sequence: the insert
-		// takes effect, its answer is lost. Cause: the outcome was not read back.
+		// An insert that took effect must not fail the call when its answer is lost: the
+		// row is read back.
 		{"insert's answer lost, it took effect", func(c *Claim) ClaimAction {
 			a := insertLost(c)
-			return c.ReadDone(at(2), a.Op, rowOf("mine.1", 1, first), 5, true)
+			return c.ReadDone(at(2), a.Op, encodedRow("mine.1", 1, bindingA), 5, true)
 		}, OfferBound, 0, ""},
-		// Symptom: two runs. Sequence: the insert is lost but still under way; the row
-		// reads as absent; the call is offered; the other try's insert lands first.
-		// Cause: an absent row was taken for a free one. It must be inserted again.
+		// An absent row does not prove that the lost insert failed, because it may still
+		// be in progress. If the call were offered now, another try's insert could commit
+		// first and the call would run twice. The row must be inserted again.
 		{"insert's answer lost, no row yet", func(c *Claim) ClaimAction {
 			a := insertLost(c)
 			return c.ReadDone(at(2), a.Op, nil, 0, false)
 		}, InsertRow, 0, ""},
-		// Symptom: a route is posted twice by a tablet that tried at two entries at once.
-		// Sequence: both inserts race. Cause: the loser offers the call as well.
+		// A client tries at two entries at once and the inserts race. The entry that loses
+		// must attach to the other one's binding, or the call would run twice.
 		{"other entry was first", func(c *Claim) ClaimAction {
-			a := c.Start(at(0), first)
+			a := c.Start(at(0), bindingA)
 			a = c.WriteFailed(at(1), a.Op, StoreConflict)
-			return c.ReadDone(at(2), a.Op, rowOf("other.1", 1, second), 5, true)
+			return c.ReadDone(at(2), a.Op, encodedRow("other.1", 1, bindingB), 5, true)
 		}, AttachBound, 0, ""},
-		// Symptom: as above, after a lost answer.
+		// The same race after a lost answer.
 		{"insert's answer lost, other entry was first", func(c *Claim) ClaimAction {
 			a := insertLost(c)
-			return c.ReadDone(at(2), a.Op, rowOf("other.1", 1, second), 5, true)
+			return c.ReadDone(at(2), a.Op, encodedRow("other.1", 1, bindingB), 5, true)
 		}, AttachBound, 0, ""},
 		{"other body", func(c *Claim) ClaimAction {
-			a := c.Start(at(0), first)
+			a := c.Start(at(0), bindingA)
 			a = c.WriteFailed(at(1), a.Op, StoreConflict)
-			return c.ReadDone(at(2), a.Op, rowOf("other.1", 2, second), 5, true)
+			return c.ReadDone(at(2), a.Op, encodedRow("other.1", 2, bindingB), 5, true)
 		}, ClaimFailed, result.KeyReused, result.NotRun},
 		{"store down", func(c *Claim) ClaimAction {
-			a := c.Start(at(0), first)
+			a := c.Start(at(0), bindingA)
 			return c.WriteFailed(at(1), a.Op, StoreUnavailable)
 		}, ClaimFailed, result.TableUnavailable, result.NotRun},
-		// Symptom: not-run is said of a call that another try then runs. Sequence: the
-		// insert's answer is lost, then the store is down; the insert lands. Cause: the
-		// later refusal was taken to speak of the earlier write.
+		// The insert's answer is lost, then the store is down, and the insert may still
+		// commit. The later failures prove nothing about the insert, so NotRun would be
+		// wrong: another try may run the call.
 		{"insert's answer lost, then store down", func(c *Claim) ClaimAction {
 			a := insertLost(c)
-			for range 2 * settleTries {
+			for range 2 * maxStoreOperations {
 				if a.Kind == ReadRow {
 					a = c.ReadFailed(at(2), a.Op)
 				}
@@ -99,63 +100,63 @@
 			return a
 		}, ClaimFailed, result.TableOutcome, result.Unknown},
 		{"row can't be read", func(c *Claim) ClaimAction {
-			a := c.Start(at(0), first)
+			a := c.Start(at(0), bindingA)
 			a = c.WriteFailed(at(1), a.Op, StoreConflict)
 			return c.ReadDone(at(2), a.Op, []byte("{"), 5, true)
 		}, ClaimFailed, result.Internal, result.Unknown},
-		// Symptom: a call runs on a second agent while the first runs it. Sequence: the
-		// first agent is lost, not heard to refuse. Cause: a loss taken for a refusal.
+		// The loss of the bound agent is not a refusal. If the key were bound to a second
+		// agent, both could run the call.
 		{"bound agent restarted", func(c *Claim) ClaimAction {
-			a := c.Start(at(0), first)
+			a := c.Start(at(0), bindingA)
 			c.Written(at(1), a.Op, 5)
 			return c.Refused(at(2), result.WrongIncarnation, result.Unknown)
 		}, ClaimFailed, result.FirstRunLost, result.Unknown},
 		{"rebind without a refusal does nothing", func(c *Claim) ClaimAction {
-			a := c.Start(at(0), first)
+			a := c.Start(at(0), bindingA)
 			c.Written(at(1), a.Op, 5)
-			return c.Rebind(at(2), second)
+			return c.Rebind(at(2), bindingB)
 		}, ClaimNone, 0, ""},
 		{"proved refusal", boundAndRefused, ChooseAgain, 0, ""},
 		{"rebind", func(c *Claim) ClaimAction {
 			boundAndRefused(c)
-			return c.Rebind(at(3), second)
+			return c.Rebind(at(3), bindingB)
 		}, RebindRow, 0, ""},
-		// Symptom: two runs after one refusal. Sequence: two tries see the first agent
-		// refuse and each rebinds the key. Cause: an unconditional update.
+		// Two tries get the refusal of the first agent and both rebind the key. The update
+		// must be conditional on the version, or the call would run twice.
 		{"other entry rebound first", func(c *Claim) ClaimAction {
 			boundAndRefused(c)
-			a := c.Rebind(at(3), second)
+			a := c.Rebind(at(3), bindingB)
 			a = c.WriteFailed(at(4), a.Op, StoreConflict)
-			return c.ReadDone(at(5), a.Op, rowOf("other.2", 1, second), 6, true)
+			return c.ReadDone(at(5), a.Op, encodedRow("other.2", 1, bindingB), 6, true)
 		}, AttachBound, 0, ""},
 		{"rebind's answer lost, row as before", func(c *Claim) ClaimAction {
 			boundAndRefused(c)
-			a := c.Rebind(at(3), second)
+			a := c.Rebind(at(3), bindingB)
 			a = c.WriteFailed(at(4), a.Op, StoreLost)
-			return c.ReadDone(at(5), a.Op, rowOf("mine.1", 1, first), 5, true)
+			return c.ReadDone(at(5), a.Op, encodedRow("mine.1", 1, bindingA), 5, true)
 		}, RebindRow, 0, ""},
 		{"row deleted during the call", func(c *Claim) ClaimAction {
 			boundAndRefused(c)
-			a := c.Rebind(at(3), second)
+			a := c.Rebind(at(3), bindingB)
 			a = c.WriteFailed(at(4), a.Op, StoreConflict)
 			return c.ReadDone(at(5), a.Op, nil, 0, false)
 		}, ClaimFailed, result.TableOutcome, result.Unknown},
-		// Symptom: a call runs after its caller was told that it failed. Sequence: the
-		// entry is paused between the insert and the offer. Cause: the time is not
-		// looked at again. Another try may have run the row's call meanwhile.
-		{"paused claimant wakes late", func(c *Claim) ClaimAction {
-			a := c.Start(at(0), first)
+		// An entry is paused between the insert and the offer. It must check the deadline
+		// again, or the call would run after its caller was told that it failed. Another
+		// try may have run the row's call in the meantime, so the execution is Unknown.
+		{"paused past the deadline", func(c *Claim) ClaimAction {
+			a := c.Start(at(0), bindingA)
 			return c.Written(at(61), a.Op, 5)
 		}, ClaimFailed, result.DeadlinePassed, result.Unknown},
-		// Symptom: two runs. Sequence: the insert's answer is late; the row, read back,
-		// settles it; the agent refuses; the late answer comes while the rebinding is
-		// under way. Cause: it is taken for the rebinding's answer.
+		// The late answer to an insert, whose outcome was already read back, arrives during
+		// the rebinding after a refusal. If it counted as the answer to the rebinding, the
+		// call could run twice.
 		{"insert's answer comes during the rebinding", func(c *Claim) ClaimAction {
-			insert := c.Start(at(0), first)
+			insert := c.Start(at(0), bindingA)
 			a := c.WriteFailed(at(1), insert.Op, StoreLost)
-			c.ReadDone(at(2), a.Op, rowOf("mine.1", 1, first), 5, true)
+			c.ReadDone(at(2), a.Op, encodedRow("mine.1", 1, bindingA), 5, true)
 			c.Refused(at(3), result.QueueFull, result.NotRun)
-			c.Rebind(at(4), second)
+			c.Rebind(at(4), bindingB)
 			return c.Written(at(5), insert.Op, 5)
 		}, ClaimNone, 0, ""},
 	}
@@ -165,19 +166,18 @@
 			require.Equal(t, c.kind, a.Kind, "%+v", a)
 			if c.kind == ClaimFailed {
 				require.Equal(t, c.code, a.Err.Code)
-				require.Equal(t, c.says, a.Err.Execution)
+				require.Equal(t, c.execution, a.Err.Execution)
 			}
 		})
 	}
 }
 
-// Symptom: a lost insert that is sent again writes twice, or under a name that the
-// claimant does not know as its own.
-// Sequence: insert, lost answer, absent row, insert again.
-// Cause: the second insert has another token or another value than the first.
+// TestInsertAgainKeepsItsToken checks that an insert that is repeated after a lost answer
+// has the same token and value. Otherwise it could write twice, or the Claim would not
+// recognise its own row.
 func TestInsertAgainKeepsItsToken(t *testing.T) {
 	c := newClaim()
-	a := c.Start(at(0), first)
+	a := c.Start(at(0), bindingA)
 	read := c.WriteFailed(at(1), a.Op, StoreLost)
 	again := c.ReadDone(at(2), read.Op, nil, 0, false)
 	require.Equal(t, a.Token, again.Token)
@@ -202,7 +202,7 @@
 }
 
 func FuzzDecodeRow(f *testing.F) {
-	f.Add(rowOf("w", 1, first))
+	f.Add(encodedRow("w", 1, bindingA))
 	f.Add([]byte(`{"format":1}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		row, err := DecodeRow(value)
--- a/core/idempotency/ledger.go
+++ b/core/idempotency/ledger.go
@@ -7,107 +7,109 @@
 	"acaciacleat.example/core/result"
 )
 
-// ResultRef is the shell's kept answer to a finished call. The Ledger only holds it
-// and lets go of it.
+// ResultRef is a reference to the stored answer of a finished call. The Ledger only
+// stores and drops it.
 type ResultRef any
 
 // Offer is an entry's request that a call be run.
 type Offer struct {
 	ID      call.ID
 	Attempt call.Attempt
-	// BoundTo is the only incarnation that may run the call; 0 means any, which is
-	// allowed for repeatable calls only.
+	// BoundTo is the only incarnation that may run the call; 0 means any incarnation,
+	// which is allowed for repeatable calls only.
 	BoundTo call.Incarnation
-	// Stamp is the agent's own clock, as Ledger.Stamp gave it, that the entry had seen
-	// last when it chose this agent for the call. Every later offer and cancellation
-	// of the id to the same incarnation repeats that same stamp: with a fresh one, an
-	// entry that was paused could revive an id that the agent has forgotten.
+	// Stamp is the latest reading of the agent's clock, from Ledger.Stamp, that the entry
+	// knew when it chose this agent for the call. Every later offer and cancellation of
+	// the id to the same incarnation repeats that stamp. With a newer one, an entry that
+	// was paused could run an id again after the agent evicted it.
 	Stamp time.Duration
 	// Repeatable says that a later attempt may run the call again.
 	Repeatable bool
 }
 
-// VerdictKind says what the agent must do with an offer.
+// VerdictKind is the kind of a Verdict, which tells the agent how to handle an offer.
 type VerdictKind uint8
 
 // The kinds of verdict.
 const (
-	// Run means that the id is new and now counts as queued. The shell must follow
-	// with Began or Refuse.
+	// Run means that the id is new and is now queued. The agent must call Began or Refuse
+	// for it.
 	Run VerdictKind = iota
-	// AttachRunning means that the id is queued or running: send its answer to this entry.
+	// AttachRunning means that the id is queued or running: the agent sends its answer to
+	// this entry too.
 	AttachRunning
-	// Replay means that the id finished and that its result is kept.
+	// Replay means that the id finished and that its result is stored.
 	Replay
 	// Refused means that the offer must not run, for the reason in Code.
 	Refused
 )
 
-// Verdict is the Ledger's answer to an offer.
+// Verdict is the Ledger's decision on an offer.
 type Verdict struct {
 	Kind VerdictKind
 	// Code says why an offer is refused.
 	Code result.Code
-	// Execution is what a refusal proves: NotRun only where the id has not run in this
+	// Execution is what a refusal proves: NotRun only if the id has not run in this
 	// incarnation and never will.
 	Execution result.Execution
-	// Result is the kept result of a Replay.
+	// Result is the stored result of a Replay.
 	Result ResultRef
 }
 
-// CancelRequest asks that a call not run.
+// CancelRequest is an entry's request to cancel a call.
 type CancelRequest struct {
 	ID      call.ID
 	BoundTo call.Incarnation
-	// Stamp is that of the id's offers; see Offer.
+	// Stamp is the stamp of the id's offers; see Offer.
 	Stamp time.Duration
 }
 
-// CancelAnswer says what a cancellation found.
+// CancelAnswer is the result of a cancellation.
 type CancelAnswer struct {
-	// Execution is NotRun when the id has not run and never will in this incarnation,
-	// Ran when it runs or ran, and Unknown when the Ledger may have forgotten it.
+	// Execution is NotRun if the id has not run and never will in this incarnation, Ran
+	// if it is running or has run, and Unknown if the Ledger may have evicted it.
 	Execution result.Execution
-	// Running means that the call runs now. The Ledger does not stop it: whether to
-	// stop it is up to the caller, who knows if another entry waits for it.
+	// Running means that the call is running. The Ledger does not stop it, because only
+	// its caller knows whether another entry waits for the answer.
 	Running bool
-	// Unqueued means that the id was queued; the shell must take it off its queue and
-	// tell every entry that was attached to it that it is refused as tombstoned.
+	// Unqueued means that the id was queued. The agent must remove it from its queue and
+	// refuse it as tombstoned to every entry that was attached to it.
 	Unqueued bool
 }
 
-// Ledger remembers which ids an agent has queued, run, refused or tombstoned in this
-// incarnation. It is used by one goroutine at a time.
+// Ledger records which ids an agent has queued, run, refused or tombstoned in this
+// incarnation. It is not safe for concurrent use.
 //
-// Why forgetting is safe: all offers of an id to this incarnation carry one stamp s. A
-// run begins at some time t with s <= t <= s+OfferAge, and the id is kept until
-// t+Remember at least, which is at or after s+Remember. Later offers find s older than
-// OfferAge and are refused whether or not the id is still known. All times are of the
-// agent's one monotonic clock, so no two clocks are compared.
+// Evicting an id is safe because all offers of the id to this incarnation carry one stamp
+// s. A run begins at some time t with s <= t <= s+OfferAge, and the id is kept at least
+// until t+Remember, which is at or after s+Remember. For a later offer, s is older than
+// OfferAge, and the offer is refused whether or not the id is still recorded. All times
+// are readings of the agent's own monotonic clock, so clocks are never compared.
 type Ledger struct {
 	incarnation call.Incarnation
 	limits      Limits
 	epoch       time.Time
 	started     bool
-	// floor is the highest stamp at which an id was refused or cancelled with no room
-	// to remember it. Unknown ids with stamps up to it are refused.
-	floor       time.Duration
+	// refusedUpTo is the highest stamp of an id that was refused or cancelled while the
+	// table was full. Ids that are not recorded are refused if their stamp is not higher.
+	refusedUpTo time.Duration
 	records     records
 	resultBytes int
 }
 
-// NewLedger returns an empty Ledger. Its stamps count from the first time that is
+// NewLedger returns an empty Ledger. Its stamps are relative to the first time that is
 // passed to any of its methods.
 func NewLedger(incarnation call.Incarnation, limits Limits) *Ledger {
 	return &Ledger{
 		incarnation: incarnation,
-		limits:      limits.corrected(),
-		floor:       -1,
+		limits:      limits.normalized(),
+		refusedUpTo: -1,
 		records:     newRecords(),
 	}
 }
 
-// Stamp returns the agent's clock at now, for the messages that it sends to entries.
+// Stamp returns the reading of the agent's clock at now, which the agent includes in its
+// messages to entries.
 func (l *Ledger) Stamp(now time.Time) time.Duration {
 	if !l.started {
 		l.started = true
@@ -116,11 +118,11 @@
 	return now.Sub(l.epoch)
 }
 
-// Offer decides about an offer. It costs no store access and, once the table has
-// grown, no allocation.
+// Offer decides how to handle an offer. It accesses no store and, once the table has
+// grown to its steady size, does not allocate.
 func (l *Ledger) Offer(now time.Time, o Offer) Verdict {
 	clock := l.Stamp(now)
-	l.forget(clock)
+	l.evictExpired(clock)
 	if o.BoundTo != l.incarnation && (o.BoundTo != 0 || !o.Repeatable) {
 		// The incarnation that the offer is bound to may have run it.
 		return refuse(result.WrongIncarnation, result.Unknown)
@@ -140,9 +142,9 @@
 	return Verdict{Kind: Run}
 }
 
-// Began records that a queued call is about to be sent to the upstream. It returns
-// false when the id is not queued, because a cancellation overtook it: the shell must
-// then not run the call, which was already answered as not run.
+// Began records that a queued call is about to be sent to the upstream. It returns false
+// if the id is no longer queued because it was cancelled first. The agent must then not
+// run the call, which was already reported as not run.
 func (l *Ledger) Began(id call.ID) bool {
 	index, ok := l.records.find(id)
 	if !ok || l.records.at(index).state != queued {
@@ -152,10 +154,10 @@
 	return true
 }
 
-// Refuse tombstones a queued call that the agent's admission turned down. Without it,
-// a second copy of the offer could still run here after the entry took the refusal as
-// proof and went elsewhere. It returns false, and the shell must not report a refusal,
-// when the call has already begun.
+// Refuse tombstones a queued call that the agent's admission refused. Without the
+// tombstone, a duplicate of the offer could still run here after the entry relied on the
+// refusal and tried another agent. Refuse returns false if the call has already begun, in
+// which case the agent must not report a refusal.
 func (l *Ledger) Refuse(now time.Time, id call.ID) bool {
 	clock := l.Stamp(now)
 	index, ok := l.records.find(id)
@@ -163,34 +165,35 @@
 		return false
 	}
 	if l.records.at(index).state == queued {
-		l.close(clock, index, tombstoned)
+		l.endRecord(clock, index, tombstoned)
 	}
 	return true
 }
 
-// Finished records the end of a running call and keeps its result, of size bytes, for
-// replays. A nil ref keeps none. Results beyond MaxResultBytes are dropped, oldest first.
+// Finished records the end of a running call and stores its result, of size bytes, for
+// replays. A nil ref stores no result. When the results exceed MaxResultBytes, the oldest
+// are dropped.
 func (l *Ledger) Finished(now time.Time, id call.ID, ref ResultRef, size int) {
 	clock := l.Stamp(now)
 	index, ok := l.records.find(id)
 	if !ok || l.records.at(index).state != running {
 		return
 	}
-	l.close(clock, index, finished)
+	l.endRecord(clock, index, finished)
 	if ref == nil || size > l.limits.MaxResultBytes {
 		return
 	}
 	l.resultBytes += size
-	l.records.keep(index, ref, size)
+	l.records.setResult(index, ref, size)
 	for l.resultBytes > l.limits.MaxResultBytes {
 		l.resultBytes -= l.records.dropOldestResult()
 	}
 }
 
-// Cancel makes sure that an id that has not begun never will, or reports that it has.
+// Cancel ensures that an id that has not begun never will, or reports that it has begun.
 func (l *Ledger) Cancel(now time.Time, c CancelRequest) CancelAnswer {
 	clock := l.Stamp(now)
-	l.forget(clock)
+	l.evictExpired(clock)
 	if c.BoundTo != l.incarnation {
 		return CancelAnswer{Execution: result.Unknown}
 	}
@@ -200,7 +203,7 @@
 	}
 	switch l.records.at(index).state {
 	case queued:
-		l.close(clock, index, tombstoned)
+		l.endRecord(clock, index, tombstoned)
 		return CancelAnswer{Execution: result.NotRun, Unqueued: true}
 	case tombstoned:
 		return CancelAnswer{Execution: result.NotRun}
@@ -211,30 +214,30 @@
 	}
 }
 
-// Len returns the number of ids kept.
+// Len returns the number of recorded ids.
 func (l *Ledger) Len() int { return l.records.len() }
 
-// ResultBytes returns the sum of the sizes of the results kept.
+// ResultBytes returns the total size of the stored results.
 func (l *Ledger) ResultBytes() int { return l.resultBytes }
 
-// cancelUnknown tombstones an id that has not been seen. Its offer may still be under
-// way on another link and would otherwise run after the cancellation was confirmed.
+// cancelUnknown tombstones an id that is not recorded. Otherwise its offer, which may be
+// in transit on another link, would run after the cancellation was confirmed.
 func (l *Ledger) cancelUnknown(clock time.Duration, c CancelRequest) CancelAnswer {
 	code, execution := l.checkStamp(clock, c.Stamp)
 	if code != result.OK {
-		// No offer with this stamp can be accepted any more: no tombstone is needed.
+		// No offer with this stamp can be accepted any more, so no tombstone is needed.
 		return CancelAnswer{Execution: execution}
 	}
 	if l.records.len() >= l.limits.MaxIDs {
-		l.floor = max(l.floor, c.Stamp)
+		l.refusedUpTo = max(l.refusedUpTo, c.Stamp)
 		return CancelAnswer{Execution: result.NotRun}
 	}
 	index := l.records.add(c.ID, record{})
-	l.close(clock, index, tombstoned)
+	l.endRecord(clock, index, tombstoned)
 	return CancelAnswer{Execution: result.NotRun}
 }
 
-// known decides about an offer of an id that is in the table.
+// known decides how to handle an offer of an id that is recorded.
 func (l *Ledger) known(index int32, o Offer) Verdict {
 	r := l.records.at(index)
 	if o.Repeatable && o.Attempt != r.attempt {
@@ -252,9 +255,9 @@
 	}
 }
 
-// otherAttempt decides about a repeatable call that was here before. A later attempt
-// carries another prompt (the first one and what was delivered since), so it must
-// neither attach to the earlier attempt nor replay it; an earlier one comes too late.
+// otherAttempt decides how to handle another attempt of a recorded repeatable call. A
+// later attempt has another prompt (the original one and what was delivered since), so it
+// must neither attach to the earlier attempt nor replay it. An earlier attempt is stale.
 func (l *Ledger) otherAttempt(index int32, o Offer) Verdict {
 	r := l.records.at(index)
 	if o.Attempt < r.attempt || r.state == queued || r.state == running {
@@ -265,39 +268,40 @@
 	return Verdict{Kind: Run}
 }
 
-// checkStamp refuses stamps older than OfferAge. An id that is not in the table has
-// not run as long as a run under this stamp would still be remembered.
+// checkStamp refuses stamps older than OfferAge. If the stamp is younger than Remember,
+// an id that is not recorded is proved not to have run, because a run under this stamp
+// would still be recorded.
 func (l *Ledger) checkStamp(clock, stamp time.Duration) (result.Code, result.Execution) {
 	age := clock - stamp
 	switch {
 	case stamp < 0 || age < 0 || age > l.limits.Remember:
 		return result.StaleOffer, result.Unknown
-	case age > l.limits.OfferAge, stamp <= l.floor:
+	case age > l.limits.OfferAge, stamp <= l.refusedUpTo:
 		return result.StaleOffer, result.NotRun
 	default:
 		return result.OK, ""
 	}
 }
 
-// refuseFull refuses an offer that there is no room to remember. It raises the floor of
-// stamps in place of a tombstone, so that a second copy of the offer can't run either.
+// refuseFull refuses an offer for which the table has no room. It raises refusedUpTo in
+// place of a tombstone, so that a duplicate of the offer cannot run either.
 func (l *Ledger) refuseFull(o Offer) Verdict {
 	if o.BoundTo == 0 {
-		// Such offers carry no stamp, so a second copy may run.
+		// Such offers carry no stamp, so a duplicate may run.
 		return refuse(result.QueueFull, result.Unknown)
 	}
-	l.floor = max(l.floor, o.Stamp)
+	l.refusedUpTo = max(l.refusedUpTo, o.Stamp)
 	return refuse(result.QueueFull, result.NotRun)
 }
 
-// close ends a live record and starts the time that it is remembered for.
-func (l *Ledger) close(clock time.Duration, index int32, state state) {
+// endRecord marks a queued or running record as ended and starts its retention time.
+func (l *Ledger) endRecord(clock time.Duration, index int32, state state) {
 	l.records.at(index).state = state
 	l.records.expireAt(index, clock+l.limits.Remember)
 }
 
-func (l *Ledger) forget(clock time.Duration) {
-	for l.records.oldestBefore(clock) {
+func (l *Ledger) evictExpired(clock time.Duration) {
+	for l.records.hasExpired(clock) {
 		l.resultBytes -= l.records.removeOldest()
 	}
 }
--- a/core/idempotency/ledger_test.go
+++ b/core/idempotency/ledger_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	here  call.Incarnation = 7
-	there call.Incarnation = 8
+	localIncarnation call.Incarnation = 7
+	otherIncarnation call.Incarnation = 8
 )
 
 var (
@@ -22,27 +22,27 @@
 )
 
 func newLedger() *Ledger {
-	l := NewLedger(here, limits)
+	l := NewLedger(localIncarnation, limits)
 	l.Stamp(epoch)
 	return l
 }
 
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-func bound(id byte, stampSeconds int) Offer {
-	return Offer{ID: call.ID{id}, Attempt: 1, BoundTo: here, Stamp: time.Duration(stampSeconds) * time.Second}
+func boundOffer(id byte, stampSeconds int) Offer {
+	return Offer{ID: call.ID{id}, Attempt: 1, BoundTo: localIncarnation, Stamp: time.Duration(stampSeconds) * time.Second}
 }
 
 func cancelOf(o Offer) CancelRequest {
 	return CancelRequest{ID: o.ID, BoundTo: o.BoundTo, Stamp: o.Stamp}
 }
 
-// naiveLedger never forgets: it knows for certain what ran and what was closed.
+// naiveLedger never evicts an id, so that its states are exact.
 type naiveLedger map[call.ID]state
 
-// TestLedgerMatchesNaive compares a Ledger that forgets with one that does not. The
-// Ledger may refuse more, but it must run nothing that the other knows, and whatever it
-// says of execution must be so.
+// TestLedgerMatchesNaive compares a Ledger with a naiveLedger. The Ledger may refuse more
+// offers, but it must not run an id again that the naiveLedger has recorded, and each
+// execution that it reports must be true.
 func TestLedgerMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, naive := newLedger(), naiveLedger{}
@@ -52,17 +52,17 @@
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			seconds += rapid.IntRange(0, 9).Draw(t, "pass")
 			id := byte(rapid.IntRange(0, 9).Draw(t, "id"))
-			o := bound(id, 0)
+			o := boundOffer(id, 0)
 			if _, ok := stamps[o.ID]; !ok {
 				stamps[o.ID] = max(0, seconds-rapid.IntRange(0, 40).Draw(t, "age"))
 			}
 			o.Stamp = time.Duration(stamps[o.ID]) * time.Second
 			was, known := naive[o.ID]
-			says := result.Execution("")
+			execution := result.Execution("")
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0:
 				v := l.Offer(at(seconds), o)
-				says = v.Execution
+				execution = v.Execution
 				require.False(t, v.Kind == Run && (known || closed[o.ID]), "ran again")
 				require.False(t, v.Kind == AttachRunning && was != queued && was != running)
 				if v.Kind == Run {
@@ -85,13 +85,13 @@
 				}
 			case 4:
 				answer := l.Cancel(at(seconds), cancelOf(o))
-				says = answer.Execution
+				execution = answer.Execution
 				if answer.Unqueued {
 					naive[o.ID] = tombstoned
 				}
 				require.Equal(t, answer.Running, known && was == running)
 			}
-			switch says {
+			switch execution {
 			case result.NotRun:
 				require.True(t, !known || naive[o.ID] <= tombstoned)
 				closed[o.ID] = true
@@ -101,64 +101,62 @@
 			require.LessOrEqual(t, l.Len(), limits.MaxIDs)
 			require.LessOrEqual(t, l.ResultBytes(), limits.MaxResultBytes)
 		}
-		l.Offer(at(seconds+1000), bound(200, 0))
+		l.Offer(at(seconds+1000), boundOffer(200, 0))
 		for _, s := range naive {
 			if s == queued || s == running {
 				return
 			}
 		}
-		require.Zero(t, l.Len(), "ids kept for good")
+		require.Zero(t, l.Len(), "ids are never evicted")
 	})
 }
 
-// Each case: a symptom, the sequence that leads to it, and the cause that the Ledger closes.
+// TestLedgerFaults tests the Ledger's reactions to faults. The comments name the failure
+// that a case guards against.
 func TestLedgerFaults(t *testing.T) {
-	o := bound(1, 0)
+	o := boundOffer(1, 0)
 	cases := []struct {
-		name  string
-		steps func(l *Ledger) Verdict
-		kind  VerdictKind
-		code  result.Code
-		says  result.Execution
+		name      string
+		steps     func(l *Ledger) Verdict
+		kind      VerdictKind
+		code      result.Code
+		execution result.Execution
 	}{
-		// Symptom: a route is posted twice. Sequence: the offer's answer is lost, the
-		// entry offers again. Cause: the second copy looks new.
+		// An offer that is repeated after its answer was lost must not run again.
 		{"repeated offer attaches", func(l *Ledger) Verdict {
 			l.Offer(at(1), o)
 			return l.Offer(at(2), o)
 		}, AttachRunning, result.OK, ""},
-		// Symptom: the answer to a finished call is lost. Sequence: the link goes silent
-		// just before the end. Cause: the agent kept no result.
+		// If the link goes silent just before the end, the stored result must be replayed,
+		// or the answer to a finished call would be lost.
 		{"finished call replays", func(l *Ledger) Verdict {
 			l.Offer(at(1), o)
 			l.Began(o.ID)
 			l.Finished(at(2), o.ID, "answer", 6)
 			return l.Offer(at(3), o)
 		}, Replay, result.OK, ""},
-		// Symptom: a call runs here and elsewhere. Sequence: admission refuses, the entry
-		// goes elsewhere, a second copy of the offer arrives. Cause: the refusal left no
-		// trace.
+		// After admission refused an offer, the entry tries another agent. A duplicate of
+		// the offer must be refused as well, or both agents would run the call.
 		{"refused offer stays refused", func(l *Ledger) Verdict {
 			l.Offer(at(1), o)
 			l.Refuse(at(1), o.ID)
 			return l.Offer(at(2), o)
 		}, Refused, result.Tombstoned, result.NotRun},
-		// Symptom: a call runs after its cancellation was confirmed. Sequence: the
-		// cancellation overtakes the offer. Cause: an unknown id was called not run, and
-		// not tombstoned.
+		// A cancellation that overtakes its offer must tombstone the unknown id, or the
+		// call would run after its cancellation was confirmed.
 		{"cancelled before it arrived", func(l *Ledger) Verdict {
 			l.Cancel(at(1), cancelOf(o))
 			return l.Offer(at(2), o)
 		}, Refused, result.Tombstoned, result.NotRun},
-		// Symptom: a call runs again after an agent's restart. Sequence: the agent ran
-		// it and died; the entry offers it again. Cause: the new process knows nothing.
+		// An agent that restarted has no record of the calls that it ran before, so it must
+		// refuse offers that are bound to its previous incarnation.
 		{"bound to another incarnation", func(l *Ledger) Verdict {
 			gone := o
-			gone.BoundTo = there
+			gone.BoundTo = otherIncarnation
 			return l.Offer(at(1), gone)
 		}, Refused, result.WrongIncarnation, result.Unknown},
-		// Symptom: a call runs twice in one incarnation. Sequence: it ran, the entry was
-		// paused for an hour, and then offers it again. Cause: the agent had forgotten.
+		// An entry offers a call again after a pause of an hour, when the agent has evicted
+		// the id. The age of the stamp must prevent a second run.
 		{"forgotten id", func(l *Ledger) Verdict {
 			l.Offer(at(1), o)
 			l.Began(o.ID)
@@ -169,25 +167,25 @@
 			return l.Offer(at(20), o)
 		}, Refused, result.StaleOffer, result.NotRun},
 		{"stamp of the future", func(l *Ledger) Verdict {
-			return l.Offer(at(1), bound(1, 9))
+			return l.Offer(at(1), boundOffer(1, 9))
 		}, Refused, result.StaleOffer, result.Unknown},
 		{"result dropped for lack of room", func(l *Ledger) Verdict {
 			for id := byte(1); id < 3; id++ {
-				l.Offer(at(1), bound(id, 0))
+				l.Offer(at(1), boundOffer(id, 0))
 				l.Began(call.ID{id})
 				l.Finished(at(2), call.ID{id}, "answer", 60)
 			}
 			return l.Offer(at(3), o)
 		}, Refused, result.FirstRunLost, result.Ran},
-		// Symptom: a call runs here and elsewhere under overload. Sequence: the table of
-		// ids is full, the offer is refused, room comes free, a second copy arrives.
-		// Cause: there was no room for a tombstone; the floor of stamps stands for it.
+		// An offer is refused while the table is full, so no tombstone can be stored. When
+		// the table has room again, refusedUpTo must refuse a duplicate of the offer, or
+		// the call could run here and on another agent.
 		{"refused without room for a tombstone", func(l *Ledger) Verdict {
 			for id := byte(10); id < 14; id++ {
-				l.Offer(at(1), bound(id, 0))
+				l.Offer(at(1), boundOffer(id, 0))
 				l.Refuse(at(1), call.ID{id})
 			}
-			late := bound(1, 25)
+			late := boundOffer(1, 25)
 			if v := l.Offer(at(30), late); v.Code != result.QueueFull || v.Execution != result.NotRun {
 				return v
 			}
@@ -209,35 +207,35 @@
 			v := c.steps(newLedger())
 			require.Equal(t, c.kind, v.Kind)
 			require.Equal(t, c.code, v.Code)
-			require.Equal(t, c.says, v.Execution)
+			require.Equal(t, c.execution, v.Execution)
 		})
 	}
 }
 
-// Symptom: a call that was answered as not run begins all the same.
-// Sequence: the scheduler takes the call off its queue while a cancellation arrives.
-// Cause: the check and the start are two steps; Began joins them.
-func TestCancelAgainstBegin(t *testing.T) {
-	l, o := newLedger(), bound(1, 0)
+// TestCancelRacesBegin cancels a call while the scheduler removes it from its queue. Began
+// checks the state and starts the call in one step, so that a call that was reported as
+// not run cannot begin.
+func TestCancelRacesBegin(t *testing.T) {
+	l, o := newLedger(), boundOffer(1, 0)
 	l.Offer(at(1), o)
 	require.Equal(t, CancelAnswer{Execution: result.NotRun, Unqueued: true}, l.Cancel(at(2), cancelOf(o)))
 	require.False(t, l.Began(o.ID))
 
-	o = bound(2, 0)
+	o = boundOffer(2, 0)
 	l.Offer(at(1), o)
 	require.True(t, l.Began(o.ID))
 	require.False(t, l.Refuse(at(2), o.ID))
 	require.Equal(t, CancelAnswer{Execution: result.Ran, Running: true}, l.Cancel(at(2), cancelOf(o)))
 }
 
-// BenchmarkCheck measures a call's whole passage through a Ledger of 5,000 live ids:
-// offer, repeated offer, begin and finish.
+// BenchmarkCheck measures all operations of one call on a Ledger with 5,000 running ids:
+// offer, begin, repeated offer and finish.
 func BenchmarkCheck(b *testing.B) {
-	l := NewLedger(here, DefaultLimits)
+	l := NewLedger(localIncarnation, DefaultLimits)
 	now := epoch
 	id := func(i int) call.ID { return call.ID{byte(i), byte(i >> 8), byte(i >> 16), byte(i >> 24)} }
 	offer := func(i int) {
-		l.Offer(now, Offer{ID: id(i), Attempt: 1, BoundTo: here, Stamp: l.Stamp(now)})
+		l.Offer(now, Offer{ID: id(i), Attempt: 1, BoundTo: localIncarnation, Stamp: l.Stamp(now)})
 		l.Began(id(i))
 	}
 	for i := range 5_000 {
@@ -247,18 +245,18 @@
 	for i := 5_000; b.Loop(); i++ {
 		now = now.Add(40 * time.Millisecond)
 		offer(i)
-		l.Offer(now, Offer{ID: id(i), Attempt: 1, BoundTo: here, Stamp: l.Stamp(now)})
+		l.Offer(now, Offer{ID: id(i), Attempt: 1, BoundTo: localIncarnation, Stamp: l.Stamp(now)})
 		l.Finished(now, id(i), nil, 0)
 	}
 }
 
-// BenchmarkMemory reports the bytes that a Ledger allocates for 5,000 live requests.
+// BenchmarkMemory reports the bytes that a Ledger allocates for 5,000 queued ids.
 func BenchmarkMemory(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		l := NewLedger(here, DefaultLimits)
+		l := NewLedger(localIncarnation, DefaultLimits)
 		for i := range 5_000 {
-			l.Offer(epoch, Offer{ID: call.ID{byte(i), byte(i >> 8)}, Attempt: 1, BoundTo: here})
+			l.Offer(epoch, Offer{ID: call.ID{byte(i), byte(i >> 8)}, Attempt: 1, BoundTo: localIncarnation})
 		}
 	}
 }
--- a/core/idempotency/records.go
+++ b/core/idempotency/records.go
@@ -6,7 +6,7 @@
 	"acaciacleat.example/core/call"
 )
 
-// state is what has become of an id. Up to tombstoned it has not run.
+// state is the state of an id. In the states up to tombstoned the call has not run.
 type state uint8
 
 const (
@@ -16,16 +16,16 @@
 	finished
 )
 
-// none marks the end of a list of records.
-const none int32 = -1
+// noRecord is the index that marks the end of the list of ended records.
+const noRecord int32 = -1
 
-// record is one id's state. Records that ended form a list in the order of their
-// expiry, which is the order in which they ended because all are kept equally long.
+// record is the state of one id. Ended records form a linked list in the order of their
+// expiry, which is the order in which they ended because the retention time is constant.
 type record struct {
 	id      call.ID
 	attempt call.Attempt
 	state   state
-	// expires is on the Ledger's clock; it counts once the record has ended.
+	// expires is a reading of the Ledger's clock; it is set when the record ends.
 	expires time.Duration
 	prev    int32
 	next    int32
@@ -33,26 +33,26 @@
 	size    int
 }
 
-// records is a table of records by id. Records live in one slice, and free places are
-// used again, so that a steady load allocates nothing.
+// records is a table of records by id. Records are stored in one slice whose free slots
+// are reused, so that a steady load does not allocate.
 type records struct {
 	byID  map[call.ID]int32
 	slots []record
 	free  []int32
-	// oldest and newest are the ends of the list of ended records.
+	// oldest and newest are the first and the last index in the list of ended records.
 	oldest int32
 	newest int32
-	// resultFrom is where the search for the oldest result starts: no record before
-	// it in the list holds one.
-	resultFrom int32
+	// resultScanStart is the index at which the search for the oldest result starts: no
+	// record before it in the list has a result.
+	resultScanStart int32
 }
 
 func newRecords() records {
 	return records{
-		byID:       make(map[call.ID]int32),
-		oldest:     none,
-		newest:     none,
-		resultFrom: none,
+		byID:            make(map[call.ID]int32),
+		oldest:          noRecord,
+		newest:          noRecord,
+		resultScanStart: noRecord,
 	}
 }
 
@@ -63,18 +63,18 @@
 	return index, ok
 }
 
-// at returns a record. The pointer is good until the next add.
+// at returns the record with this index. The pointer is valid until the next add.
 func (r *records) at(index int32) *record { return &r.slots[index] }
 
 func (r *records) add(id call.ID, rec record) int32 {
-	rec.id, rec.prev, rec.next = id, none, none
-	index := r.place()
+	rec.id, rec.prev, rec.next = id, noRecord, noRecord
+	index := r.allocate()
 	r.slots[index] = rec
 	r.byID[id] = index
 	return index
 }
 
-func (r *records) place() int32 {
+func (r *records) allocate() int32 {
 	if last := len(r.free) - 1; last >= 0 {
 		index := r.free[last]
 		r.free = r.free[:last]
@@ -84,12 +84,12 @@
 	return int32(len(r.slots) - 1)
 }
 
-// expireAt appends an ended record to the list.
+// expireAt sets the expiry of a record that ended and appends it to the list.
 func (r *records) expireAt(index int32, expires time.Duration) {
 	rec := &r.slots[index]
 	rec.expires = expires
 	rec.prev = r.newest
-	if r.newest == none {
+	if r.newest == noRecord {
 		r.oldest = index
 	} else {
 		r.slots[r.newest].next = index
@@ -97,25 +97,25 @@
 	r.newest = index
 }
 
-func (r *records) oldestBefore(clock time.Duration) bool {
-	return r.oldest != none && r.slots[r.oldest].expires < clock
+func (r *records) hasExpired(clock time.Duration) bool {
+	return r.oldest != noRecord && r.slots[r.oldest].expires < clock
 }
 
-// removeOldest removes the record that expires first and returns its result's size.
+// removeOldest removes the record that expires first and returns the size of its result.
 func (r *records) removeOldest() int { return r.remove(r.oldest) }
 
-// remove removes an ended record and returns its result's size.
+// remove removes an ended record and returns the size of its result.
 func (r *records) remove(index int32) int {
 	rec := r.slots[index]
-	if r.resultFrom == index {
-		r.resultFrom = rec.next
+	if r.resultScanStart == index {
+		r.resultScanStart = rec.next
 	}
-	if rec.prev == none {
+	if rec.prev == noRecord {
 		r.oldest = rec.next
 	} else {
 		r.slots[rec.prev].next = rec.next
 	}
-	if rec.next == none {
+	if rec.next == noRecord {
 		r.newest = rec.prev
 	} else {
 		r.slots[rec.next].prev = rec.prev
@@ -126,20 +126,20 @@
 	return rec.size
 }
 
-// keep stores the result of the record that ended last.
-func (r *records) keep(index int32, ref ResultRef, size int) {
+// setResult stores the result of a record, which must be the last one that ended.
+func (r *records) setResult(index int32, ref ResultRef, size int) {
 	rec := &r.slots[index]
 	rec.result, rec.size = ref, size
-	if r.resultFrom == none {
-		r.resultFrom = index
+	if r.resultScanStart == noRecord {
+		r.resultScanStart = index
 	}
 }
 
-// dropOldestResult lets go of the oldest result and returns its size. The record stays.
+// dropOldestResult drops the oldest result and returns its size. The record stays.
 func (r *records) dropOldestResult() int {
-	for r.resultFrom != none {
-		rec := &r.slots[r.resultFrom]
-		r.resultFrom = rec.next
+	for r.resultScanStart != noRecord {
+		rec := &r.slots[r.resultScanStart]
+		r.resultScanStart = rec.next
 		if rec.result != nil {
 			size := rec.size
 			rec.result, rec.size = nil, 0
--- a/core/idempotency/row.go
+++ b/core/idempotency/row.go
@@ -15,14 +15,15 @@
 // Table is the name of the table that holds the rows of keyed calls.
 const Table = "idempotency"
 
-// rowFormat is the version of the row's encoding.
+// rowFormat is the version of the encoding of a row.
 const rowFormat = 1
 
-// RequestHash is the SHA-256 hash of what must be the same in two calls with one key:
-// the method, the path and the body.
+// RequestHash is the SHA-256 hash of the parts of a request that must be equal in two
+// calls with one key: the method, the path and the body.
 type RequestHash [sha256.Size]byte
 
-// HashRequest hashes a request. The parts are kept apart by their lengths.
+// HashRequest hashes a request. It hashes each part separately first, so that moving bytes
+// from one part to the next changes the result.
 func HashRequest(method, path string, body []byte) RequestHash {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(path), body} {
@@ -33,7 +34,7 @@
 }
 
 // RowName returns the name of the row of an organisation's Idempotency-Key in a
-// service. The key is hashed: it is of any length and belongs to the caller.
+// service. The key is hashed because callers choose it freely, in any length.
 func RowName(service, organisation, key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return service + "/" + organisation + "/" + hex.EncodeToString(sum[:])
@@ -45,29 +46,30 @@
 	return service
 }
 
-// Binding says which agent incarnation may run a call.
+// Binding names the agent incarnation that may run a call.
 type Binding struct {
 	// Agent is the VM's identity in the list of VMs.
 	Agent       string
 	Incarnation call.Incarnation
-	// Stamp is the agent's clock when it was chosen; every offer of the call carries it.
+	// Stamp is the agent's clock when the agent was chosen; every offer of the call
+	// carries it.
 	Stamp time.Duration
-	// Attempt counts the bindings of the call from 1.
+	// Attempt numbers the bindings of the call, from 1.
 	Attempt call.Attempt
 }
 
 // Row is the value of a keyed call's row.
 type Row struct {
 	Request RequestHash
-	// ID is the id under which the call is offered to the bound agent, by every try. It
-	// is the request id of the try that wrote the row: each try that binds the key uses
-	// its own, so that what is proved of a request's id is proved of that request.
+	// ID is the id under which every try offers the call to the bound agent. It is the
+	// request id of the try that wrote the row. Each try that binds the key uses its own
+	// request id, so that a proof about an id is a proof about that request.
 	ID      call.ID
 	Binding Binding
-	// Writer is the token of the write that put the row. A claimant whose answer was
-	// lost finds its own write by it.
+	// Writer is the token of the write that stored the row. A Claim that lost the answer
+	// to its write recognises its own row by it.
 	Writer string
-	// Expires is when the row may be deleted, by the writer's wall clock.
+	// Expires is the time after which the row may be deleted, by the writer's wall clock.
 	Expires time.Time
 }
 
@@ -101,8 +103,8 @@
 	return value
 }
 
-// DecodeRow reads what Encode wrote. Fields that it does not know are ignored, so that
-// a newer entry may add some while older ones still run.
+// DecodeRow decodes the stored form of a row. It ignores unknown fields, so that newer
+// entries can add fields while older entries still run.
 func DecodeRow(value []byte) (Row, error) {
 	var stored rowJSON
 	if err := json.Unmarshal(value, &stored); err != nil {
