--- a/core/retry/backoff.go
+++ b/core/retry/backoff.go
@@ -7,20 +7,20 @@
 
 // Defaults of a Backoff.
 const (
-	// DefaultBase is the longest delay before the first retry: some ten times the
-	// time that a message takes between two availability zones.
+	// DefaultBase is the longest delay before the first retry, about ten times the
+	// latency of a message between two availability zones.
 	DefaultBase = 20 * time.Millisecond
 	// DefaultMax is the longest delay before any retry.
 	DefaultMax = 2 * time.Second
 )
 
-// Backoff computes delays before retries. A delay is drawn evenly from zero up to a
-// bound that doubles with each retry: callers that failed together would otherwise
-// come back together and fail together again.
+// Backoff computes exponential delays with full jitter: a delay is uniformly distributed
+// between zero and a bound that doubles with each retry. Without the jitter, callers that
+// failed at the same time would retry at the same time and overload the service again.
 type Backoff struct {
 	Base time.Duration
 	Max  time.Duration
-	// Source is the random source; it is used by one goroutine at a time.
+	// Source is the random source; it must not be used concurrently.
 	Source *rand.Rand
 }
 
@@ -42,7 +42,7 @@
 	return min(bound, b.Max)
 }
 
-// Policy joins a service's Budget with a Backoff, as a call's state machine asks for them.
+// Policy combines a service's Budget with a Backoff. It implements attempt.Retries.
 type Policy struct {
 	*Budget
 	*Backoff
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -1,48 +1,49 @@
-// Package retry bounds how much load retries may add: a budget for each service and
-// exponential backoff with jitter.
+// Package retry bounds the load that retries add, with a retry budget for each service
+// and exponential backoff with jitter.
 //
 // Without a budget, a full outage multiplies the load by the number of tries of each
-// request, just when the upstreams can bear it least, and keeps them from recovering.
+// request and prevents the overloaded upstreams from recovering.
 package retry
 
 import "time"
 
 // Defaults of a Budget.
 const (
-	// DefaultRatio is the number of retries for each first attempt: the load under a
-	// full outage is then at most 1.1 times that without retries.
+	// DefaultRatio is the number of retries for each first attempt. It bounds the load
+	// during a full outage to 1.1 times the load without retries.
 	DefaultRatio = 0.1
-	// DefaultMinimum lets a service with little traffic retry at all.
+	// DefaultMinimum is the time after which a retry is always allowed, so that a service
+	// with little traffic can retry too.
 	DefaultMinimum = 10 * time.Second
 )
 
-// The window over which a Budget compares retries with first attempts. Ten seconds of
-// an entry's 12 requests/s allow twelve retries at once, enough for the requests that
-// it loses with one agent; a token bucket that saves as many up would exceed the ratio
-// in the first minute of an outage.
+// The sliding window over which a Budget compares retries with first attempts. Ten
+// seconds at an entry's 12 requests/s allow twelve retries at once, enough for the
+// requests that the entry loses with one agent. A token bucket of that capacity would
+// exceed the ratio in the first minute of an outage.
 //
-// Any ten seconds touch eleven whole ones: retries late in the first of them still count,
-// its first attempts don't.
+// A window of ten seconds overlaps eleven slots of one second. In the oldest slot only
+// the retries count and not the first attempts, so that the budget holds in every window.
 const (
-	windowSlots = 10
-	slots       = windowSlots + 1
-	slotTime    = time.Second
+	windowSlots  = 10
+	ringSlots    = windowSlots + 1
+	slotDuration = time.Second
 )
 
 // Budget allows retries up to a ratio of the first attempts in a sliding window. It is
-// used by one goroutine at a time.
+// not safe for concurrent use.
 type Budget struct {
-	ratio   float64
-	minimum time.Duration
-	floor   *Floor
-	// slack is the number of retries in a window that are allowed beyond the ratio.
+	ratio       float64
+	minInterval time.Duration
+	shared      *Floor
+	// slack is the number of retries in a window that are allowed in addition to the ratio.
 	slack  float64
-	window [slots]slot
-	// granted is when the last retry was allowed; zero when none was.
-	granted time.Time
+	window [ringSlots]slot
+	// lastAllowed is the time of the last allowed retry; zero if there was none.
+	lastAllowed time.Time
 }
 
-// slot counts what happened in one slotTime.
+// slot counts the first attempts and the retries in one slotDuration.
 type slot struct {
 	number  int64
 	firsts  int
@@ -50,27 +51,28 @@
 }
 
 // NewBudget returns an empty Budget. ratio is the number of retries for each first
-// attempt, from 0, which forbids all retries, to 0.1 as documents bound it. Whatever
-// the ratio allows, a retry is allowed when minimum has passed since the last one; zero
-// stands for never.
-func NewBudget(ratio float64, minimum time.Duration) *Budget {
-	return &Budget{ratio: ratio, minimum: minimum}
+// attempt, from 0, which forbids all retries, to 0.1, the limit in documents. Regardless
+// of the ratio, a retry is allowed if minInterval has passed since the last one; if
+// minInterval is zero, this exception does not apply.
+func NewBudget(ratio float64, minInterval time.Duration) *Budget {
+	return &Budget{ratio: ratio, minInterval: minInterval}
 }
 
-// SetRatio changes the ratio; what was counted so far stays.
+// SetRatio changes the ratio and keeps the counts.
 func (b *Budget) SetRatio(ratio float64) { b.ratio = ratio }
 
-// SetSlack allows a number of retries in each window beyond the ratio. It suits a bound on
-// all entries together, of which each takes its part.
+// SetSlack allows a number of retries in each window in addition to the ratio. An entry
+// sets its part of a bound that holds for all entries together.
 func (b *Budget) SetSlack(retries float64) { b.slack = retries }
 
-// Share lets the budget draw on a floor that all services of an entry share.
-func (b *Budget) Share(floor *Floor) { b.floor = floor }
+// Share lets the budget also take retries from a Floor, which all services of an entry
+// share.
+func (b *Budget) Share(floor *Floor) { b.shared = floor }
 
 // First records a first attempt.
 func (b *Budget) First(now time.Time) { b.slot(now).firsts++ }
 
-// Allow takes one retry out of the budget and reports whether there was one.
+// Allow takes one retry from the budget and reports whether one was left.
 func (b *Budget) Allow(now time.Time) bool {
 	if b.ratio <= 0 {
 		return false
@@ -78,23 +80,24 @@
 	current := b.slot(now)
 	firsts, retries := b.count(current.number)
 	within := float64(retries+1) <= b.ratio*float64(firsts)+b.slack
-	if !within && !b.overdue(now) && !b.floor.take(now) {
+	if !within && !b.minIntervalElapsed(now) && !b.shared.take(now) {
 		return false
 	}
 	current.retries++
-	b.granted = now
+	b.lastAllowed = now
 	return true
 }
 
-// overdue reports whether minimum has passed since the last retry.
-func (b *Budget) overdue(now time.Time) bool {
-	return b.minimum > 0 && now.Sub(b.granted) >= b.minimum
+// minIntervalElapsed reports whether minInterval has passed since the last retry.
+func (b *Budget) minIntervalElapsed(now time.Time) bool {
+	return b.minInterval > 0 && now.Sub(b.lastAllowed) >= b.minInterval
 }
 
-// slot returns the slot of now, emptied if it last served an earlier turn of the ring.
+// slot returns the slot of now, and clears it if it still holds counts from an earlier
+// pass through the ring.
 func (b *Budget) slot(now time.Time) *slot {
-	number := now.UnixNano() / int64(slotTime)
-	s := &b.window[number%slots]
+	number := now.UnixNano() / int64(slotDuration)
+	s := &b.window[number%ringSlots]
 	if s.number != number {
 		*s = slot{number: number}
 	}
@@ -104,7 +107,7 @@
 func (b *Budget) count(current int64) (firsts, retries int) {
 	for _, s := range b.window {
 		age := current - s.number
-		if age < 0 || age >= slots {
+		if age < 0 || age >= ringSlots {
 			continue
 		}
 		retries += s.retries
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: upstreams that come back from an outage are overloaded at once.
-// Sequence: every upstream refuses for a minute; each request tries up to four times.
-// Cause: the retries multiply the load. The budget must bound them to a tenth.
+// TestAmplificationUnderFullOutage lets every upstream refuse for a minute while each
+// request tries up to four times. The budget must bound the retries to a tenth of the
+// requests, or upstreams that recover would be overloaded immediately.
 func TestAmplificationUnderFullOutage(t *testing.T) {
 	const (
-		perSecond = 12 // requests an entry takes at the design's size
+		perSecond = 12 // requests/s of one entry at the design size
 		seconds   = 60
 		tries     = 4
 	)
@@ -44,10 +44,10 @@
 	}
 }
 
-// Symptom: streams break off although other agents have room.
-// Sequence: one agent dies with twelve requests of this entry.
-// Cause: a budget that saves nothing up. A window's worth must be allowed at once.
-func TestOneAgentDies(t *testing.T) {
+// TestBurstAfterAgentLoss loses one agent with twelve requests of this entry. The budget
+// must allow the retries of a whole window at once, or streams would break although other
+// agents have capacity.
+func TestBurstAfterAgentLoss(t *testing.T) {
 	b := NewBudget(DefaultRatio, DefaultMinimum)
 	now := time.Unix(1000, 0)
 	for range 120 {
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: requests of a service with little traffic fail although engines idle.
-// Sequence: one engine breaks its streams; the service has a request now and then.
-// Cause: a tenth of so few requests is less than one retry.
-func TestServicesShareAFloor(t *testing.T) {
+// TestServicesShareOneSharedBudget guards against failed requests of a service with little
+// traffic while engines are idle: a tenth of few requests is less than one retry.
+func TestServicesShareOneSharedBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	floor := NewFloor()
 	budgets := []*Budget{NewBudget(0.1, time.Hour), NewBudget(0.1, time.Hour)}
@@ -23,7 +22,7 @@
 			}
 		}
 	}
-	require.Equal(t, int(floorBurst)+len(budgets), allowed, "the burst once, and each budget's own first one")
+	require.Equal(t, int(sharedBurst)+len(budgets), allowed, "the shared burst once, and the first retry of each budget")
 	require.False(t, budgets[0].Allow(now.Add(time.Second)))
 	require.True(t, budgets[0].Allow(now.Add(3*time.Second)))
 }
--- a/core/retry/slack_test.go
+++ b/core/retry/slack_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A bound on all entries together is a ratio and a number beyond it in each window.
+// TestSlackAllowsRetriesBeyondTheRatio checks that a window allows the ratio's retries and
+// the slack in addition.
 func TestSlackAllowsRetriesBeyondTheRatio(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	budget := NewBudget(0.2, 0)
@@ -26,10 +27,10 @@
 	require.True(t, budget.Allow(now.Add(11*time.Second)))
 }
 
-// Symptom: within ten seconds there are more retries than the budget has. Sequence: some
-// late in one second; the same number at the start of the tenth second after it. Cause: the
-// slots of whole seconds that were counted began after the first ones.
-func TestEveryTenSecondsKeepTheBudget(t *testing.T) {
+// TestBudgetHoldsInEveryWindow allows retries late in one second and tries the same number
+// at the start of the tenth second after it. Both are within ten seconds, so the slot of
+// the first ones must still count, or the window would exceed the budget.
+func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	budget := NewBudget(0.2, 0)
 	budget.SetSlack(2)
