--- a/core/breaker/breaker.go
+++ b/core/breaker/breaker.go
@@ -1,8 +1,8 @@
-// Package breaker is a circuit breaker as a plain state machine. Without it, every
-// process goes on sending calls and retries to a service that is down or overloaded;
-// one notices it by the service being hit hardest just when it tries to come back. The
-// breaker refuses calls for a while after a run of failures, and then lets single calls
-// through until the service has answered some.
+// Package breaker implements a circuit breaker as a state machine without I/O. Without
+// it, every process would continue to send calls and retries to a service that is down or
+// overloaded, and the load would be highest while the service tries to recover. The
+// breaker refuses calls for some time after consecutive failures, and then lets one call
+// through at a time until enough of them have succeeded.
 package breaker
 
 import "time"
@@ -25,31 +25,32 @@
 // String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
-// Outcome is how a call ended.
+// Outcome is the way in which a call ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Success means that the service answered, be it with a refusal of its own.
+	// Success means that the service answered, even if it refused the call.
 	Success Outcome = iota
-	// Failure means that the service did not answer or could not serve.
+	// Failure means that the service did not answer or could not serve the call.
 	Failure
-	// Neutral says nothing about the service: the caller gave up, for example.
+	// Neutral means that the call shows nothing about the service, for example because
+	// its caller gave up.
 	Neutral
 )
 
-// Settings are the bounds of a Breaker. All are above zero.
+// Settings are the parameters of a Breaker. All are positive.
 type Settings struct {
-	// Failures is the number of failures in a row that opens the breaker.
+	// Failures is the number of consecutive failures that opens the breaker.
 	Failures int
 	// OpenFor is how long the breaker stays open at first. Each failed probe doubles
 	// it, up to MaxOpenFor.
 	OpenFor    time.Duration
 	MaxOpenFor time.Duration
-	// Successes is the number of probes in a row that must succeed to close it.
+	// Successes is the number of consecutive successful probes that closes the breaker.
 	Successes int
-	// ProbeTimeout is when a probe whose outcome was never reported counts as failed.
-	// Without it, one lost report would keep the breaker half-open for good.
+	// ProbeTimeout is the time after which a probe without a reported outcome counts as
+	// failed. Without it, a single missing report would block the breaker in HalfOpen.
 	ProbeTimeout time.Duration
 }
 
@@ -64,24 +65,25 @@
 
 // Permit identifies one call that was let through.
 type Permit struct {
-	// period is the stay in one state during which the call began, so that a late
-	// outcome does not count in a later stay.
+	// period is the number of the period, the time between two changes of state, in which
+	// the call began. Outcomes that are reported in a later period are ignored.
 	period uint64
 }
 
-// Breaker decides which calls go through. It is not safe for concurrent use. The times
-// given to it come from one monotonic clock.
+// Breaker decides which calls are let through. It is not safe for concurrent use. All
+// times passed to it must come from one monotonic clock.
 type Breaker struct {
 	settings Settings
 	state    State
 	period   uint64
-	// run counts failures in a row when closed, successes in a row when half-open.
-	run       int
-	openFor   time.Duration
-	openUntil time.Time
-	// probing says that a probe is running.
-	probing bool
-	probeBy time.Time
+	// consecutive counts consecutive failures while closed and consecutive successes
+	// while half-open.
+	consecutive int
+	openFor     time.Duration
+	openUntil   time.Time
+	// probing means that a probe is running, which must end by probeDeadline.
+	probing       bool
+	probeDeadline time.Time
 }
 
 // New returns a closed breaker.
@@ -95,7 +97,8 @@
 	return b.state
 }
 
-// Allow asks whether a call may begin at now. If ok, report its outcome with Done.
+// Allow reports whether a call may begin at now. If ok is true, the call's outcome must be
+// reported with Done.
 func (b *Breaker) Allow(now time.Time) (permit Permit, ok bool) {
 	b.advance(now)
 	switch b.state {
@@ -108,21 +111,22 @@
 	}
 }
 
-// RetryAfter returns how long after now the next call may be let through; 0 if one may
-// be at once.
+// RetryAfter returns the time from now until the next call may be let through; 0 means
+// immediately.
 func (b *Breaker) RetryAfter(now time.Time) time.Duration {
 	b.advance(now)
 	switch {
 	case b.state == Open:
 		return b.openUntil.Sub(now)
 	case b.state == HalfOpen && b.probing:
-		return b.probeBy.Sub(now)
+		return b.probeDeadline.Sub(now)
 	default:
 		return 0
 	}
 }
 
-// Done reports the outcome of a call, once for each permit. Outcomes of an earlier period are ignored.
+// Done records the outcome of a call. It must be called once for each permit. Outcomes of
+// calls that began in an earlier period are ignored.
 func (b *Breaker) Done(permit Permit, now time.Time, outcome Outcome) {
 	b.advance(now)
 	if permit.period != b.period {
@@ -140,7 +144,7 @@
 	if b.state == Open && !now.Before(b.openUntil) {
 		b.enter(HalfOpen)
 	}
-	if b.state == HalfOpen && b.probing && !now.Before(b.probeBy) {
+	if b.state == HalfOpen && b.probing && !now.Before(b.probeDeadline) {
 		b.reopen(now)
 	}
 }
@@ -150,18 +154,18 @@
 		return Permit{}, false
 	}
 	b.probing = true
-	b.probeBy = now.Add(b.settings.ProbeTimeout)
+	b.probeDeadline = now.Add(b.settings.ProbeTimeout)
 	return Permit{period: b.period}, true
 }
 
 func (b *Breaker) doneClosed(now time.Time, outcome Outcome) {
 	switch outcome {
 	case Success:
-		b.run = 0
+		b.consecutive = 0
 	case Failure:
-		b.run++
+		b.consecutive++
 	}
-	if b.run >= b.settings.Failures {
+	if b.consecutive >= b.settings.Failures {
 		b.open(now)
 	}
 }
@@ -172,9 +176,9 @@
 	case Failure:
 		b.reopen(now)
 	case Success:
-		b.run++
+		b.consecutive++
 	}
-	if b.state == HalfOpen && b.run >= b.settings.Successes {
+	if b.state == HalfOpen && b.consecutive >= b.settings.Successes {
 		b.openFor = b.settings.OpenFor
 		b.enter(Closed)
 	}
@@ -193,6 +197,6 @@
 func (b *Breaker) enter(state State) {
 	b.state = state
 	b.period++
-	b.run = 0
+	b.consecutive = 0
 	b.probing = false
 }
--- a/core/breaker/breaker_test.go
+++ b/core/breaker/breaker_test.go
@@ -12,25 +12,25 @@
 
 var settings = Settings{Failures: 3, OpenFor: time.Second, MaxOpenFor: 4 * time.Second, Successes: 2, ProbeTimeout: 5 * time.Second}
 
-type record struct {
+type trackedCall struct {
 	permit Permit
 	epoch  int
 	done   bool
 }
 
-// naive answers from the whole list of events what Breaker answers from its counters.
-// An epoch is a stay in one state.
+// naive is a reference implementation of Breaker that evaluates the whole list of events.
+// An epoch is the time between two changes of state.
 type naive struct {
 	epoch     int
 	state     State
 	since     time.Time
 	reopened  int
-	calls     []*record
+	calls     []*trackedCall
 	outcomes  []Outcome
 	probeFrom time.Time
 }
 
-func (n *naive) to(state State, now time.Time) {
+func (n *naive) enter(state State, now time.Time) {
 	n.state, n.since, n.outcomes = state, now, nil
 	n.epoch++
 }
@@ -43,7 +43,7 @@
 	return d
 }
 
-func (n *naive) running() *record {
+func (n *naive) runningCall() *trackedCall {
 	for _, c := range n.calls {
 		if c.epoch == n.epoch && !c.done {
 			return c
@@ -54,19 +54,19 @@
 
 func (n *naive) advance(now time.Time) {
 	if n.state == Open && now.Sub(n.since) >= n.openFor() {
-		n.to(HalfOpen, now)
+		n.enter(HalfOpen, now)
 	}
-	if n.state == HalfOpen && n.running() != nil && now.Sub(n.probeFrom) >= settings.ProbeTimeout {
+	if n.state == HalfOpen && n.runningCall() != nil && now.Sub(n.probeFrom) >= settings.ProbeTimeout {
 		n.reopened++
-		n.to(Open, now)
+		n.enter(Open, now)
 	}
 }
 
 func (n *naive) allowed() bool {
-	return n.state == Closed || n.state == HalfOpen && n.running() == nil
+	return n.state == Closed || n.state == HalfOpen && n.runningCall() == nil
 }
 
-func (n *naive) finish(c *record, now time.Time, outcome Outcome) {
+func (n *naive) finish(c *trackedCall, now time.Time, outcome Outcome) {
 	c.done = true
 	if c.epoch != n.epoch || outcome == Neutral {
 		return
@@ -78,13 +78,13 @@
 	}
 	switch {
 	case n.state == Closed && outcome == Failure && run == settings.Failures:
-		n.to(Open, now)
+		n.enter(Open, now)
 	case n.state == HalfOpen && outcome == Failure:
 		n.reopened++
-		n.to(Open, now)
+		n.enter(Open, now)
 	case n.state == HalfOpen && run == settings.Successes:
 		n.reopened = 0
-		n.to(Closed, now)
+		n.enter(Closed, now)
 	}
 }
 
@@ -103,12 +103,12 @@
 				require.Equal(t, n.allowed(), ok)
 				if ok {
 					n.probeFrom = now
-					n.calls = append(n.calls, &record{permit: permit, epoch: n.epoch})
+					n.calls = append(n.calls, &trackedCall{permit: permit, epoch: n.epoch})
 				}
 			},
 			"done": func(t *rapid.T) {
 				n.advance(now)
-				running := slices.DeleteFunc(slices.Clone(n.calls), func(c *record) bool { return c.done })
+				running := slices.DeleteFunc(slices.Clone(n.calls), func(c *trackedCall) bool { return c.done })
 				if len(running) == 0 {
 					t.Skip()
 				}
@@ -126,8 +126,8 @@
 	})
 }
 
-// Symptom: a service that is down is flooded. Sequence: the service fails every call
-// for an hour while callers ask every millisecond. Cause: retries without a bound.
+// TestOutageLetsFewCallsThrough lets a service fail every call for an hour while callers
+// try every millisecond. Without a bound, the retries would flood the service.
 func TestOutageLetsFewCallsThrough(t *testing.T) {
 	b := New(settings)
 	start := time.Unix(0, 0)
