--- a/core/result/page_test.go
+++ b/core/result/page_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// root is the workspace seen from this package.
+// root is the path of the workspace, relative to this package.
 var root = filepath.Join("..", "..")
 
-// errorsPage returns the page that describes the codes.
+// errorsPage returns the text of the page that describes the codes.
 func errorsPage(t *testing.T) string {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join(root, "docs", "ERRORS.md"))
@@ -27,8 +27,8 @@
 	return string(page)
 }
 
-// The table is part of the public interface: each line must be what the code says, and
-// each code must have its line.
+// TestErrorsPageListsEveryCode checks that the page's table has a row for each code, equal
+// to the code's entry in All. The table is part of the public interface.
 func TestErrorsPageListsEveryCode(t *testing.T) {
 	var want []string
 	for _, info := range All {
@@ -39,25 +39,26 @@
 	require.Equal(t, want, got)
 }
 
-// Whoever makes the code say that a call did not run has to write down the proof.
+// TestErrorsPageProvesEveryNotRun checks that the page has a proof for each function that
+// reports that a call did not run.
 func TestErrorsPageProvesEveryNotRun(t *testing.T) {
 	var got []string
 	for _, match := range regexp.MustCompile("(?m)^\\| `([a-z/]+\\.[A-Za-z.]+)` \\|").FindAllStringSubmatch(errorsPage(t), -1) {
 		got = append(got, match[1])
 	}
 	slices.Sort(got)
-	require.Equal(t, functionsThatSayNotRun(t), got)
+	require.Equal(t, functionsNamingNotRun(t), got)
 }
 
-// functionsThatSayNotRun returns the functions outside tests that name NotRun, as
-// directory.function, in order.
-func functionsThatSayNotRun(t *testing.T) []string {
+// functionsNamingNotRun returns the functions outside tests that refer to NotRun, sorted,
+// in the form directory.function.
+func functionsNamingNotRun(t *testing.T) []string {
 	t.Helper()
 	var names []string
 	for _, module := range []string{"core", "peers", "entry", "agent"} {
 		err := filepath.WalkDir(filepath.Join(root, module), func(path string, _ fs.DirEntry, err error) error {
 			if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
-				names = append(names, sayers(t, path)...)
+				names = append(names, functionsInFileNamingNotRun(t, path)...)
 			}
 			return err
 		})
@@ -67,7 +68,7 @@
 	return slices.Compact(names)
 }
 
-func sayers(t *testing.T, path string) []string {
+func functionsInFileNamingNotRun(t *testing.T, path string) []string {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	require.NoError(t, err)
 	directory, err := filepath.Rel(root, filepath.Dir(path))
@@ -75,15 +76,16 @@
 	var names []string
 	for _, declaration := range file.Decls {
 		function, ok := declaration.(*ast.FuncDecl)
-		if ok && saysNotRun(function) {
+		if ok && namesNotRun(function) {
 			names = append(names, filepath.ToSlash(directory)+"."+receiver(function)+function.Name.Name)
 		}
 	}
 	return names
 }
 
-// saysNotRun reports whether the function names NotRun, of this package or of the engine's header.
-func saysNotRun(function *ast.FuncDecl) bool {
+// namesNotRun reports whether the function refers to NotRun, of this package or of the
+// engine's header.
+func namesNotRun(function *ast.FuncDecl) bool {
 	found := false
 	ast.Inspect(function, func(node ast.Node) bool {
 		identifier, ok := node.(*ast.Ident)
@@ -93,7 +95,7 @@
 	return found
 }
 
-// receiver returns the type of a method's receiver with a dot, or nothing.
+// receiver returns the type of a method's receiver followed by a dot, or "" for a function.
 func receiver(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
--- a/core/result/result.go
+++ b/core/result/result.go
@@ -1,8 +1,8 @@
-// Package result holds the numbered result codes that every hop speaks, and the
-// error type that carries one of them together with what is known about execution.
+// Package result defines the numbered result codes that all processes use, and the error
+// type that combines a code with what is known about the execution of the call.
 //
-// The codes are part of the public interface: a number is never reused. The table
-// in docs/ERRORS.md is checked against All by a test.
+// The codes are part of the public interface: a number is never reused. A test checks the
+// table in docs/ERRORS.md against All.
 package result
 
 import (
@@ -90,9 +90,9 @@
 	Code       Code
 	Name       string
 	HTTPStatus int
-	// Meaning is one sentence that says what happened.
+	// Meaning is one sentence that describes the failure.
 	Meaning string
-	// Remedy is one sentence that says what the reader can do.
+	// Remedy is one sentence that tells the caller how to react.
 	Remedy string
 }
 
@@ -102,13 +102,13 @@
 	Execution Execution
 	// Detail names the field, value or peer concerned; it may be empty.
 	Detail string
-	// RetryAfter is when the caller may ask again; zero when there is nothing to say.
+	// RetryAfter is the time after which the caller may try again; zero if unknown.
 	RetryAfter time.Duration
-	// Better names a replica that the refuser believes to be less loaded; it may be empty.
+	// Better names a replica that the refusing agent considers less loaded; it may be empty.
 	Better string
 }
 
-// New returns an Error. Call it with NotRun only where the caller's code proves it.
+// New returns an Error. Pass NotRun only where the code proves that the call did not run.
 func New(code Code, execution Execution, format string, args ...any) *Error {
 	return &Error{Code: code, Execution: execution, Detail: fmt.Sprintf(format, args...)}
 }
@@ -122,15 +122,17 @@
 	return fmt.Sprintf("%d %s (%s): %s", e.Code, info.Name, e.Execution, e.Detail)
 }
 
-// DefaultRetryAfter is what callers are told where nobody knows better: less makes them
-// knock in vain, and a queue or a restart moves on in a second.
+// DefaultRetryAfter is the time after which callers may retry if no better estimate is
+// known. A shorter time would cause retries in vain; within a second a queue or a restart
+// makes progress.
 const DefaultRetryAfter = time.Second
 
-// Advice returns when the caller may ask again: what the refuser said, or the default for
-// the statuses that promise a time; zero when there is nothing to say.
+// Advice returns the time after which the caller may try again: RetryAfter if it is set,
+// otherwise DefaultRetryAfter for the HTTP statuses that come with a Retry-After header,
+// and zero for all others.
 //
-// What goes wrong without the default: the remedy names Retry-After, the header is
-// missing, and callers' libraries try again at once, all of them, at an overload.
+// Without the default, the header would be missing although the remedy names it, and
+// client libraries would all retry immediately during an overload.
 func (e *Error) Advice() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -143,7 +145,8 @@
 	}
 }
 
-// Lookup returns the description of code; an unlisted code is described as Internal.
+// Lookup returns the description of code, and that of Internal for a code that is not in
+// All.
 func Lookup(code Code) Info {
 	if info, ok := byCode[code]; ok {
 		return info
--- a/core/result/result_test.go
+++ b/core/result/result_test.go
@@ -16,10 +16,10 @@
 	}
 }
 
-// Symptom: a caller is told to try again after Retry-After and is not told when.
-// Sequence: a failure whose maker knows no time.
-// Cause: no default. Each code with such a status or remedy must give one.
-func TestRefusalsAlwaysSayWhenToTryAgain(t *testing.T) {
+// TestRefusalsAlwaysGiveRetryAfter checks that each code with such a status, or with
+// Retry-After in its remedy, has a default. Otherwise a caller would be told to try again
+// after Retry-After without the header.
+func TestRefusalsAlwaysGiveRetryAfter(t *testing.T) {
 	for _, info := range All {
 		promised := info.HTTPStatus == http.StatusServiceUnavailable ||
 			info.HTTPStatus == http.StatusTooManyRequests || strings.Contains(info.Remedy, "Retry-After")
