--- a/core/stream/receiver.go
+++ b/core/stream/receiver.go
@@ -2,31 +2,32 @@
 
 import "acaciacleat.example/core/call"
 
-// Outcome says what a Receiver did with a frame.
+// Outcome is the result of passing a frame to a Receiver.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Delivered means that the frame, and any held ones that follow it, were handed out.
+	// Delivered means that the frame, and any held frames that follow it, were handed out.
 	Delivered Outcome = iota
-	// Duplicate means that the frame was handed out or held before.
+	// Duplicate means that the frame was already handed out or held.
 	Duplicate
-	// Held means that an earlier frame is missing; the frame waits for it.
+	// Held means that an earlier frame is missing and that the frame was buffered.
 	Held
 	// StaleAttempt means that the frame belongs to another attempt than the current one.
 	StaleAttempt
-	// Overflow means that the frame is too far ahead to hold. It was dropped, and the
-	// receiver must ask for the stream again from NextSeq.
+	// Overflow means that the frame is too far ahead to be buffered. It was dropped, and
+	// the entry must request the stream again from NextSeq.
 	Overflow
 )
 
-// Receiver puts the frames of a call's current attempt in order and hands out each of
-// them once, whatever links drop, repeat or reorder. It is used by one goroutine at a time.
+// Receiver puts the frames of a call's current attempt in order and hands out each frame
+// once, even if links drop, repeat or reorder frames. It is not safe for concurrent use.
 type Receiver struct {
 	attempt call.Attempt
 	next    uint64
-	// pending holds frames ahead of a missing one, each at index seq modulo its
-	// length. It is nil until a frame arrives out of order, which most streams never see.
+	// pending buffers frames that follow a missing one, each at index Seq modulo the
+	// length of pending. It is allocated when the first frame arrives out of order, which
+	// does not happen in most streams.
 	pending    []Frame
 	held       int
 	maxPending int
@@ -34,13 +35,13 @@
 	endKnown   bool
 }
 
-// NewReceiver returns a Receiver of attempt 1 that holds up to maxPending frames while
+// NewReceiver returns a Receiver for attempt 1 that buffers up to maxPending frames while
 // it waits for a missing one.
 func NewReceiver(maxPending int) *Receiver {
 	return &Receiver{attempt: 1, next: 1, maxPending: maxPending}
 }
 
-// Offer takes a frame from a link and calls deliver for each frame that is now in
+// Offer accepts a frame from a link and calls deliver for each frame that is now in
 // order. deliver must not call the Receiver.
 func (r *Receiver) Offer(f Frame, deliver func(Frame)) Outcome {
 	switch {
@@ -57,23 +58,23 @@
 	return Delivered
 }
 
-// NextSeq returns the number of the next frame to hand out. All earlier ones were
-// handed out: NextSeq()-1 may be acknowledged, and a resume starts at NextSeq().
+// NextSeq returns the number of the next frame to hand out. All earlier frames were
+// handed out, so NextSeq()-1 may be acknowledged, and a resume starts at NextSeq().
 func (r *Receiver) NextSeq() uint64 { return r.next }
 
-// Attempt returns the attempt whose frames are taken.
+// Attempt returns the current attempt, the only one whose frames are accepted.
 func (r *Receiver) Attempt() call.Attempt { return r.attempt }
 
-// Gap reports whether a frame is known to be missing: a later one, or the end, has
-// arrived. A gap that lasts means that the link lost frames and that the receiver
-// should ask again from NextSeq.
+// Gap reports whether a frame is known to be missing because a later one, or the end, has
+// arrived. If a gap persists, the link lost frames and the stream should be requested
+// again from NextSeq.
 func (r *Receiver) Gap() bool {
 	return r.held > 0 || r.endKnown && r.next <= r.last
 }
 
-// Restart drops what is held and starts at sequence 1 of a new attempt. Frames of
-// earlier attempts, still under way on some link, would otherwise be mixed into the
-// new attempt's answer. An attempt that is not newer is ignored.
+// Restart drops all held frames and starts at sequence number 1 of a new attempt. Without
+// it, frames of earlier attempts that are still in transit would be mixed into the answer
+// of the new attempt. An attempt that is not newer is ignored.
 func (r *Receiver) Restart(attempt call.Attempt) {
 	if attempt <= r.attempt {
 		return
@@ -86,9 +87,9 @@
 	clear(r.pending)
 }
 
-// End records that the attempt's last frame is number last (0: no frame at all). The
-// message that says so may overtake frames, so the end counts only once all of them
-// were handed out. It returns Ended. An end of another attempt is ignored.
+// End records that the attempt's last frame has the number last; 0 means that it has no
+// frames. The end message may overtake frames, so the attempt has ended only when all of
+// them were handed out. End returns the result of Ended. It ignores other attempts.
 func (r *Receiver) End(attempt call.Attempt, last uint64) bool {
 	if attempt == r.attempt {
 		r.endKnown = true
--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -1,8 +1,8 @@
-// Package stream carries an answer from an agent to an entry whole and in order
-// over links that may break, repeat or fall silent.
+// Package stream transfers an answer from an agent to an entry, complete and in order,
+// over links that may break, go silent or deliver frames more than once.
 //
-// The agent's Sender keeps each frame until it is acknowledged. The entry's Receiver
-// hands out frames once and in order. Neither does any I/O.
+// The agent's Sender buffers each frame until it is acknowledged. The entry's Receiver
+// hands out each frame once and in order. Neither does any I/O.
 package stream
 
 import "acaciacleat.example/core/call"
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -10,8 +10,8 @@
 	_ "acaciacleat.example/core/seeded"
 )
 
-// naiveReceiver keeps every frame of every attempt that it ever saw, and hands out what
-// is in order.
+// naiveReceiver is a reference implementation of Receiver that keeps every frame of every
+// attempt.
 type naiveReceiver struct {
 	attempt call.Attempt
 	seen    map[call.Attempt]map[uint64]Frame
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestReceiverMatchesNaive offers frames of three attempts, repeated and in any order, to
-// a Receiver and to one that forgets nothing. What a Receiver does not hold, for lack of
-// room, both must see again, as a resume does.
+// TestReceiverMatchesNaive offers frames of three attempts, repeated and in any order, to a
+// Receiver and to a naiveReceiver. Frames that overflow the Receiver are not offered to
+// the naiveReceiver; both get them again later, as after a resume.
 func TestReceiverMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReceiver(rapid.IntRange(0, 6).Draw(t, "maxPending"))
@@ -64,7 +64,7 @@
 	})
 }
 
-// TestSenderMatchesNaive compares a Sender's ring with a slice.
+// TestSenderMatchesNaive compares a Sender's ring buffer with a slice.
 func TestSenderMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxBytes = 40 * frameOverhead
@@ -104,10 +104,8 @@
 	})
 }
 
-// Symptom: an answer lacks its last words although the call ended well.
-// Sequence: the agent sends frames 1 to 3 on one link and the end on another; the end
-// arrives before frame 3.
-// Cause: the end was taken for the end of the frames. The Receiver must wait for all.
+// TestEndThatOvertakesFrames has the end message arrive before some frames, as it can on
+// another link. The Receiver must wait for all frames, or the answer would be truncated.
 func TestEndThatOvertakesFrames(t *testing.T) {
 	r := NewReceiver(4)
 	ignore := func(Frame) {}
@@ -121,9 +119,9 @@
 	require.False(t, r.Gap())
 }
 
-// Symptom: two attempts' answers are mixed.
-// Sequence: attempt 1's agent goes silent, attempt 2 starts, then the old link delivers.
-// Cause: the frames' numbers fit both. Frames and ends of attempt 1 must be dropped.
+// TestFramesOfAnOldAttempt delivers frames of attempt 1 after attempt 2 has started. Their
+// sequence numbers are valid in both, so frames and ends of attempt 1 must be dropped, or
+// the answers of the attempts would be mixed.
 func TestFramesOfAnOldAttempt(t *testing.T) {
 	r := NewReceiver(4)
 	var got []Frame
@@ -137,8 +135,8 @@
 	require.Equal(t, []Frame{{Attempt: 2, Seq: 1}}, got)
 }
 
-// BenchmarkFrame measures a frame's way through Sender and Receiver with an
-// acknowledgement every sixteen frames.
+// BenchmarkFrame measures passing a frame through Sender and Receiver, with an
+// acknowledgement for every sixteen frames.
 func BenchmarkFrame(b *testing.B) {
 	s := NewSender(1 << 20)
 	r := NewReceiver(64)
