--- a/core/call/call.go
+++ b/core/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds the vocabulary that all decisions share: the identity of a
-// call, its length class and what it asks of an upstream.
+// Package call defines the basic types that describe a call: its identity, its length
+// class and its size in tokens.
 package call
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/pkg/errors"
 )
 
-// ID identifies one admitted request over its whole life, through every attempt.
+// ID identifies one admitted request, through all of its attempts.
 type ID [16]byte
 
 // String returns the ID as 32 hexadecimal digits, as in X-Request-Id.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// ParseID reads what String wrote.
+// ParseID parses the format that ID.String writes.
 func ParseID(s string) (ID, error) {
 	var id ID
 	if len(s) != 2*len(id) {
@@ -27,11 +27,11 @@
 	return id, nil
 }
 
-// Incarnation identifies one life of one process; a restart makes a new one.
-// It is random and never zero.
+// Incarnation identifies one run of one process; a restart makes a new one. It is random
+// and never zero.
 type Incarnation uint64
 
-// Attempt counts the offers of a call, from 1. Frames of an earlier attempt are stale.
+// Attempt numbers the attempts of a call, from 1. Frames of an earlier attempt are stale.
 type Attempt uint32
 
 // Class is a length class of prompts, by prompt tokens.
@@ -46,7 +46,7 @@
 	NumClasses
 )
 
-// Upper bounds of the classes in prompt tokens. One in fifty prompts is over MediumMax.
+// Upper bounds of the classes in prompt tokens. About 2 % of prompts exceed MediumMax.
 const (
 	ShortMax  = 8_000
 	MediumMax = 100_000
@@ -69,7 +69,7 @@
 
 var classNames = [NumClasses]string{"short", "medium", "long", "huge"}
 
-// String returns the name of the class as reports and documents spell it.
+// String returns the name of the class as used in reports and documents.
 func (c Class) String() string {
 	if c >= NumClasses {
 		return "unknown"
@@ -77,7 +77,7 @@
 	return classNames[c]
 }
 
-// ParseClass reads what Class.String wrote.
+// ParseClass parses the format that Class.String writes.
 func ParseClass(s string) (Class, bool) {
 	for i, name := range classNames {
 		if name == s {
@@ -87,17 +87,17 @@
 	return 0, false
 }
 
-// Work is what a generation asks of an engine, in tokens.
+// Work is the size of a generation request, in tokens.
 type Work struct {
 	PromptTokens int
 	MaxTokens    int
 }
 
-// Tokens is the memory that the work needs at its largest, in tokens of KV cache.
+// Tokens returns the largest KV cache size that the request needs, in tokens.
 func (w Work) Tokens() int { return w.PromptTokens + w.MaxTokens }
 
-// Remaining turns a deadline into the time left at now, never negative. Hops pass
-// time left and not wall-clock times, because the clocks of two VMs differ.
+// Remaining returns the time left at now until the deadline, never negative. Processes
+// pass the time left and not a wall-clock time, because the clocks of two VMs differ.
 func Remaining(deadline, now time.Time) time.Duration {
 	left := deadline.Sub(now)
 	if left < 0 {
