--- a/core/deadline/deadline.go
+++ b/core/deadline/deadline.go
@@ -1,7 +1,9 @@
-// Package deadline keeps the books on a request's time: the bounds that a service's
-// document sets, the time that a caller asks for, and what each hop may use of it.
+// Package deadline computes the timeouts of a request: the bounds that a service's
+// document sets, the timeout that a caller requests, and the part of it that each hop may
+// use.
 //
-// Hops pass the time left and never a wall-clock time, because clocks of two VMs differ.
+// Hops pass the time left and never a wall-clock time, because the clocks of two VMs
+// differ.
 package deadline
 
 import (
@@ -13,19 +15,19 @@
 	"acaciacleat.example/core/result"
 )
 
-// Header is the request header by which a caller asks for a time, in milliseconds.
+// Header is the request header with which a caller sets the timeout, in milliseconds.
 const Header = "X-Request-Timeout-Ms"
 
-// Bounds are the times that requests of one length class may take.
+// Bounds are the default and the largest timeout of requests of one length class.
 type Bounds struct {
-	// Default applies when the caller asks for no time.
+	// Default applies if the caller sets no timeout.
 	Default time.Duration
-	// Max is the most that a caller may ask for.
+	// Max is the largest timeout that a caller may set.
 	Max time.Duration
 }
 
-// For returns the bounds of a class in a service: its own, or the defaults of package
-// document, which is their only place. Plain services use call.Short.
+// For returns the bounds of a class in a service: those of the service's document, or the
+// defaults, which only package document defines. Plain services use call.Short.
 func For(service *document.Service, class call.Class) Bounds {
 	bounds := service.DeadlineFor(class)
 	return Bounds{
@@ -34,9 +36,9 @@
 	}
 }
 
-// Parse returns the time that a request may take, given the value of Header; "" means
-// that the caller sent none. A value that is not a whole number of milliseconds from 1
-// to bounds.Max is a result.BadDeadline error; the call has not run.
+// Parse returns the timeout of a request from the value of Header; "" means that the
+// caller did not send the header. A value that is not a whole number of milliseconds from
+// 1 to bounds.Max is a result.BadDeadline error with result.NotRun.
 func Parse(value string, bounds Bounds) (time.Duration, *result.Error) {
 	if value == "" {
 		return bounds.Default, nil
@@ -50,33 +52,34 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// The shares of a request's time left that one hop may use.
+// The parts of a request's time left that are reserved or used by one hop.
 const (
-	// returnShare is the part of the time left that is kept for the answer's way back.
-	returnShare = 50
-	// maxReturn bounds that part: a message between two availability zones takes a
-	// little over a millisecond, and one lost packet some 200 ms.
-	maxReturn = 250 * time.Millisecond
-	// offerShare is the part of the time left after which an unanswered offer is
-	// repeated over a new link, so that several tries fit.
-	offerShare = 8
-	// minOffer is the shortest wait for an answer to an offer: many times a round
-	// trip between availability zones, so that a garbage collection is not taken for a
-	// broken link.
-	minOffer = 100 * time.Millisecond
-	// maxOffer is the longest such wait.
-	maxOffer = 2 * time.Second
+	// returnDivisor sets the part of the time left, 1/50, that a hop reserves for the
+	// answer to return.
+	returnDivisor = 50
+	// maxReturnTime bounds that part. A message between two availability zones takes a
+	// little over 1 ms, and recovery from one lost packet about 200 ms.
+	maxReturnTime = 250 * time.Millisecond
+	// offerDivisor sets the part of the time left, 1/8, after which an unanswered offer is
+	// repeated over a new link, so that there is time for several tries.
+	offerDivisor = 8
+	// minOfferWait is the shortest wait for an answer to an offer. It is many times a
+	// round trip between availability zones, so that a garbage collection pause is not
+	// mistaken for a broken link.
+	minOfferWait = 100 * time.Millisecond
+	// maxOfferWait is the longest wait for an answer to an offer.
+	maxOfferWait = 2 * time.Second
 )
 
-// Forward returns the time left that a hop passes on: less than it has itself by what
-// the answer's way back takes. The next hop then gives up first, and its answer, which
-// knows whether the call ran, still arrives in time.
+// Forward returns the time left that a hop passes to the next one: its own time left
+// minus a reserve for the answer to return. The next hop then times out first, and its
+// answer, which tells whether the call ran, still arrives in time.
 func Forward(left time.Duration) time.Duration {
-	return max(0, left-min(left/returnShare, maxReturn))
+	return max(0, left-min(left/returnDivisor, maxReturnTime))
 }
 
-// OfferWait returns how long to wait for an answer to an offer before the link counts
-// as silent, given the time left.
+// OfferWait returns how long to wait for an answer to an offer, given the time left,
+// before the link is considered silent.
 func OfferWait(left time.Duration) time.Duration {
-	return min(max(left/offerShare, minOffer), maxOffer)
+	return min(max(left/offerDivisor, minOfferWait), maxOfferWait)
 }
--- a/core/deadline/deadline_test.go
+++ b/core/deadline/deadline_test.go
@@ -26,10 +26,9 @@
 	}
 }
 
-// Symptom: a caller without a header of its own gets 60 s where the service's document,
-// as read back, says 30 s.
-// Sequence: a document gives no deadlines; it is put without its defaults filled in.
-// Cause: the defaults stand in two places with different values.
+// TestDefaultsAreThoseOfTheDocument checks a document without deadlines before and after
+// its defaults are filled in. If the defaults were defined in two places, a caller without
+// a header could get 60 s where the document, as read back, has 30 s.
 func TestDefaultsAreThoseOfTheDocument(t *testing.T) {
 	for class := range call.NumClasses {
 		filled := &document.Service{Kind: document.KindModel}
@@ -38,13 +37,13 @@
 	}
 }
 
-func TestHopsLeaveTime(t *testing.T) {
+func TestForwardAndOfferWaitBounds(t *testing.T) {
 	for left := time.Duration(0); left < time.Hour; left = left*2 + time.Millisecond {
 		forward := Forward(left)
 		require.GreaterOrEqual(t, forward, time.Duration(0))
 		require.LessOrEqual(t, forward, left)
-		require.LessOrEqual(t, left-forward, maxReturn)
-		require.LessOrEqual(t, OfferWait(left), maxOffer)
-		require.GreaterOrEqual(t, OfferWait(left), minOffer)
+		require.LessOrEqual(t, left-forward, maxReturnTime)
+		require.LessOrEqual(t, OfferWait(left), maxOfferWait)
+		require.GreaterOrEqual(t, OfferWait(left), minOfferWait)
 	}
 }
