--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides at once whether a request can still start in time, so that
-// an overloaded fleet spends its work on requests that finish. Its decisions are pure and
-// its state is not safe for concurrent use.
+// Package admission decides on arrival whether a request can still start in time, so that
+// an overloaded fleet works only on requests that can finish. It does no I/O, and its
+// types are not safe for concurrent use.
 package admission
 
 import (
@@ -11,38 +11,41 @@
 )
 
 const (
-	// biasWeight is that of one observation: about the last 50 starts of a class decide.
+	// biasWeight is the weight of one observation in the moving average, which thus
+	// reflects about the last 50 requests of a class that started.
 	biasWeight = 0.02
-	// minBias and maxBias bound the correction. Above 4 the prediction is worthless and
-	// refusing on it would refuse requests that could run.
+	// minBias and maxBias bound the correction factor. If predictions are off by more than
+	// a factor of 4, they are useless and would refuse requests that could run.
 	minBias = 0.5
 	maxBias = 4
-	// leastPredicted is the shortest prediction that is compared with what happened; below
-	// it network delay outweighs the queue.
-	leastPredicted = 50 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound what callers are told: less makes them knock in
-	// a loop, more leaves a fleet idle that has recovered.
+	// minPredicted is the shortest prediction that is compared with the actual time. For
+	// shorter ones, network delay outweighs the time in the queue.
+	minPredicted = 50 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal. With less, callers
+	// would retry in a loop; with more, a fleet that has recovered would stay idle.
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
 )
 
-// Request is what admission weighs.
+// Request holds the properties of a request on which admission decides.
 type Request struct {
 	Work call.Work
-	// Predicted is routing's predicted time to first token.
+	// Predicted is the time to first token that routing predicts.
 	Predicted time.Duration
-	// Decode is the least time that the answer takes after its first token; 0 when only
-	// the start matters.
+	// Decode is the minimum time from the first token to the end of the answer; 0 if only
+	// the start must be in time.
 	Decode   time.Duration
 	Deadline time.Time
 }
 
-// Controller admits requests by the predicted start and learns how far off it is.
+// Controller admits requests by their predicted time to first token and corrects the
+// predictions by the observed times.
 type Controller struct {
 	bias [call.NumClasses]float64
 }
 
-// NewController returns a Controller that takes predictions at their word.
+// NewController returns a Controller that does not correct predictions until it has
+// observed requests.
 func NewController() *Controller {
 	c := &Controller{}
 	for i := range c.bias {
@@ -51,13 +54,13 @@
 	return c
 }
 
-// Admit returns nil, or a *result.Error (not-run): DeadlinePassed, or CannotStartInTime
-// with RetryAfter.
+// Admit returns nil if the request is admitted. Otherwise it returns a *result.Error with
+// NotRun and the code DeadlinePassed, or CannotStartInTime with RetryAfter.
 //
-// What goes wrong: under overload every request is queued, each waits past its time, and
-// the engines prefill prompts whose callers have gone. It shows as full engines with few
-// answers in time. Refusing at once what can't make it keeps the work for the rest, and
-// the caller can go elsewhere while there is time.
+// Without admission control, an overload would queue every request past its deadline: the
+// engines would be busy with prompts whose callers have gone, and few answers would be in
+// time. Refusing such requests on arrival keeps capacity for the others, and their
+// callers still have time to try elsewhere.
 func (c *Controller) Admit(request Request, now time.Time) error {
 	left := request.Deadline.Sub(now)
 	if left <= 0 {
@@ -72,22 +75,24 @@
 	return refused
 }
 
-// Start is the predicted time to first token, corrected by what was observed.
+// Start returns the predicted time to first token, corrected by the class's bias.
 func (c *Controller) Start(request Request) time.Duration {
 	class := call.ClassOf(request.Work.PromptTokens)
 	return time.Duration(float64(request.Predicted) * c.bias[class])
 }
 
-// Observe tells the time to first token of an admitted request. For a request that was
-// given up before its first token, tell the time that it had waited if that exceeds the
-// prediction: else only the lucky would be counted.
+// Observe records the actual time to first token of an admitted request. For a request
+// that was given up before its first token, the time that it had waited must be recorded
+// if it exceeds the prediction. Otherwise only requests that started would count, and the
+// bias would be too low.
 func (c *Controller) Observe(class call.Class, predicted, actual time.Duration) {
-	if predicted < leastPredicted {
+	if predicted < minPredicted {
 		return
 	}
 	ratio := min(max(float64(actual)/float64(predicted), minBias), maxBias)
 	c.bias[class] += biasWeight * (ratio - c.bias[class])
 }
 
-// Bias is the running mean of actual to predicted time to first token of a class.
+// Bias returns the moving average of the ratio of actual to predicted time to first token
+// in a class.
 func (c *Controller) Bias(class call.Class) float64 { return c.bias[class] }
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -30,12 +30,12 @@
 	}
 	require.InEpsilon(t, 2, c.Bias(call.Short), 0.01)
 	require.LessOrEqual(t, c.Bias(call.Long), float64(maxBias))
-	require.Error(t, c.Admit(request, start), "predictions were half of what happened")
+	require.Error(t, c.Admit(request, start), "the actual times were twice the predictions")
 }
 
-// Symptom: with arrivals above capacity no request finishes in time.
-// Sequence: one server of 10 requests/s gets 20 requests/s, each with 2 s.
-// Cause: without admission the queue grows until each request waits longer than it has.
+// TestOverloadKeepsGoodput sends 20 requests/s, each with a deadline of 2 s, to one server
+// of 10 requests/s. Without admission control the queue grows until no request finishes
+// in time.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	inTime := func(admit bool) int {
 		c := NewController()
@@ -59,11 +59,11 @@
 		}
 		return good
 	}
-	require.Greater(t, inTime(true), 980, "of 1,000 that the server could do")
+	require.Greater(t, inTime(true), 980, "of the 1,000 that the server has capacity for")
 	require.Less(t, inTime(false), 100)
 }
 
-func TestLimiterFindsTheKneeAndBacksOff(t *testing.T) {
+func TestLimiterConvergesAndBacksOff(t *testing.T) {
 	const servers = 50
 	l := NewLimiter()
 	lowest := maxLimit
@@ -83,8 +83,8 @@
 			lowest = min(lowest, l.Limit())
 		}
 	}
-	require.GreaterOrEqual(t, lowest, servers, "the upstream is never starved")
-	require.LessOrEqual(t, l.Limit(), 125, "%d, half more tolerated, and a queue of the root", servers)
+	require.GreaterOrEqual(t, lowest, servers, "the upstream is always fully used")
+	require.LessOrEqual(t, l.Limit(), 125, "%d servers, 1.5 times the best latency, and a queue of the square root", servers)
 	before := l.Limit()
 	for range max(window, l.Limit()) {
 		require.True(t, l.Acquire())
@@ -96,5 +96,5 @@
 			l.Release(time.Hour, true)
 		}
 	}
-	require.GreaterOrEqual(t, l.Limit(), 1, "one always passes")
+	require.GreaterOrEqual(t, l.Limit(), 1, "one request is always admitted")
 }
--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -6,47 +6,49 @@
 )
 
 const (
-	// initialLimit is where a Limiter starts, before it knows its upstream.
+	// initialLimit is the limit before any latency was observed.
 	initialLimit = 20
-	// minLimit and maxLimit bound the limit. One request at a time must always pass, or
-	// nothing would ever be observed again.
+	// minLimit and maxLimit bound the limit. At least one request must always be admitted,
+	// because otherwise no latency could be observed any more.
 	minLimit = 1
 	maxLimit = 10_000
-	// tolerance is the latency above the best that is not yet taken for queueing.
-	tolerance = 1.5
-	// smoothing is the part of a computed change that one window makes.
+	// latencyTolerance is the ratio to the best latency up to which latency does not count
+	// as queueing.
+	latencyTolerance = 1.5
+	// smoothing is the fraction of a computed change that one window applies.
 	smoothing = 0.2
-	// backoff is what failures of overload do to the limit, as in TCP Reno's successors.
+	// backoff is the factor by which an overload reduces the limit, a multiplicative
+	// decrease as in TCP congestion control.
 	backoff = 0.8
-	// window is the number of answers after which the limit is computed anew.
+	// window is the least number of answers after which the limit is updated.
 	window = 20
-	// probeEvery is the number of windows after which the best latency is measured anew.
+	// probeEvery is the number of windows after which the best latency is measured again.
 	probeEvery = 50
-	// probeShare is the share of the limit that is let in meanwhile.
+	// probeShare is the fraction of the limit that is admitted during that measurement.
 	probeShare = 0.5
 )
 
-// Limiter estimates how many requests a plain service takes at once before they queue:
-// the limit follows the ratio of the best latency to the present one, with room for a
-// queue of the square root of the limit.
+// Limiter is an adaptive concurrency limiter. It estimates how many requests a plain
+// service can process at once before they queue: the limit follows the ratio of the best
+// latency to the current one, and allows a queue of the square root of the limit.
 //
-// What goes wrong: an upstream becomes slower for good, the old best latency makes it
-// look queued, and the limit stays low for ever. If instead the best simply rose with
-// time, a lasting queue would pass for normal and the limit would grow without end. So
-// now and then half the limit is let in for a window, and what that takes is the new best.
+// The best latency is measured again from time to time, while only half of the limit is
+// admitted for a window. If it never changed, an upstream that became permanently slower
+// would look congested and its limit would stay low. If it simply rose with time, a
+// permanent queue would look normal and the limit would grow without bound.
 type Limiter struct {
-	limit    float64
-	best     float64 // seconds; 0 when unknown
-	sum      float64
-	count    int
-	inFlight int
-	peak     int
-	overload bool
-	windows  int
-	probe    probe
+	limit        float64
+	bestLatency  float64 // seconds; 0 if unknown
+	latencySum   float64
+	count        int
+	inFlight     int
+	peakInFlight int
+	overloaded   bool
+	windows      int
+	probe        probe
 }
 
-// probe is the stage of a new measurement of the best latency.
+// probe is the stage of a measurement of the best latency.
 type probe uint8
 
 const (
@@ -55,38 +57,38 @@
 	probeMeasure
 )
 
-// NewLimiter returns a Limiter with an initial guess.
+// NewLimiter returns a Limiter with the initial limit.
 func NewLimiter() *Limiter { return &Limiter{limit: initialLimit} }
 
-// Limit is the estimated number of requests that the upstream takes at once.
+// Limit returns the estimated number of requests that the upstream can process at once.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// admitted is the number of requests let in now.
-func (l *Limiter) admitted() int {
+// effectiveLimit returns the number of requests that are currently admitted at once.
+func (l *Limiter) effectiveLimit() int {
 	if l.probe == probeNone {
 		return l.Limit()
 	}
 	return max(minLimit, int(probeShare*l.limit))
 }
 
-// Acquire counts a request in; false when the limit is reached.
+// Acquire admits a request, or returns false if the limit is reached.
 func (l *Limiter) Acquire() bool {
-	if l.inFlight >= l.admitted() {
+	if l.inFlight >= l.effectiveLimit() {
 		return false
 	}
 	l.inFlight++
-	l.peak = max(l.peak, l.inFlight)
+	l.peakInFlight = max(l.peakInFlight, l.inFlight)
 	return true
 }
 
-// Release counts a request out. Overloaded tells that it timed out or was refused for
-// lack of capacity; its latency then counts for nothing.
+// Release records the end of a request. overloaded means that it timed out or was refused
+// for lack of capacity; its latency is then ignored.
 func (l *Limiter) Release(latency time.Duration, overloaded bool) {
 	l.inFlight--
 	l.count++
-	l.overload = l.overload || overloaded
+	l.overloaded = l.overloaded || overloaded
 	if !overloaded {
-		l.sum += latency.Seconds()
+		l.latencySum += latency.Seconds()
 	}
 	if l.count >= max(window, l.Limit()) {
 		l.update()
@@ -94,37 +96,38 @@
 }
 
 func (l *Limiter) update() {
-	mean := l.sum / float64(l.count)
+	mean := l.latencySum / float64(l.count)
 	switch {
-	case l.overload:
+	case l.overloaded:
 		l.limit = max(minLimit, l.limit*backoff)
 		l.probe = probeNone
 	case l.probe == probeDrain:
-		// Requests of this window may have been let in before the probe.
+		// Requests of this window may have been admitted before the probe.
 		l.probe = probeMeasure
 	case l.probe == probeMeasure:
-		l.best = mean
+		l.bestLatency = mean
 		l.probe = probeNone
 	default:
-		l.follow(mean)
+		l.adjust(mean)
 	}
 	l.windows++
 	if l.windows%probeEvery == 0 {
 		l.probe = probeDrain
 	}
-	l.sum, l.count, l.peak, l.overload = 0, 0, l.inFlight, false
+	l.latencySum, l.count, l.peakInFlight, l.overloaded = 0, 0, l.inFlight, false
 }
 
-// follow moves the limit towards what the latency allows. An idle upstream says nothing
-// about what it could take.
-func (l *Limiter) follow(mean float64) {
-	if l.best == 0 || mean < l.best {
-		l.best = mean
+// adjust moves the limit towards the value that the latency allows. It leaves the limit
+// unchanged if less than half of it was used, because the latency then shows nothing
+// about the upstream's capacity.
+func (l *Limiter) adjust(mean float64) {
+	if l.bestLatency == 0 || mean < l.bestLatency {
+		l.bestLatency = mean
 	}
-	if 2*l.peak < l.Limit() || mean <= 0 {
+	if 2*l.peakInFlight < l.Limit() || mean <= 0 {
 		return
 	}
-	gradient := min(1, max(0.5, tolerance*l.best/mean))
+	gradient := min(1, max(0.5, latencyTolerance*l.bestLatency/mean))
 	l.limit += smoothing * (l.limit*gradient + math.Sqrt(l.limit) - l.limit)
 	l.limit = min(max(l.limit, minLimit), maxLimit)
 }
