--- a/core/decay/decay.go
+++ b/core/decay/decay.go
@@ -1,5 +1,4 @@
-// Package decay keeps sums of what comes over time, in which it counts the less the longer ago it
-// came.
+// Package decay implements sums and rates with exponential decay.
 package decay
 
 import (
@@ -7,28 +6,28 @@
 	"time"
 )
 
-// Sum is a sum that decays. The zero value is an empty one. Its methods are called with the same
-// time constant, over: in that time what was added fades to a third (1/e).
+// Sum is an exponentially decaying sum. The zero value is an empty sum. All calls must pass
+// the same timeConstant, the time in which an added amount decays to 1/e.
 type Sum struct {
 	value float64
 	at    time.Time
 }
 
-// Add adds an amount that came now.
-func (s *Sum) Add(now time.Time, amount float64, over time.Duration) {
-	s.value = s.Value(now, over) + amount
+// Add adds an amount at time now.
+func (s *Sum) Add(now time.Time, amount float64, timeConstant time.Duration) {
+	s.value = s.Value(now, timeConstant) + amount
 }
 
-// Value returns the sum as of now. A time before the last one changes nothing.
-func (s *Sum) Value(now time.Time, over time.Duration) float64 {
+// Value returns the sum at time now. A time before the latest one does not change the sum.
+func (s *Sum) Value(now time.Time, timeConstant time.Duration) float64 {
 	if passed := now.Sub(s.at); passed > 0 {
-		s.value *= math.Exp(-passed.Seconds() / over.Seconds())
+		s.value *= math.Exp(-passed.Seconds() / timeConstant.Seconds())
 		s.at = now
 	}
 	return s.value
 }
 
-// PerSecond returns how much comes in a second, of late.
-func (s *Sum) PerSecond(now time.Time, over time.Duration) float64 {
-	return s.Value(now, over) / over.Seconds()
+// PerSecond returns the recent rate at which amounts are added, per second.
+func (s *Sum) PerSecond(now time.Time, timeConstant time.Duration) float64 {
+	return s.Value(now, timeConstant) / timeConstant.Seconds()
 }
