--- a/core/attempt/direct_test.go
+++ b/core/attempt/direct_test.go
@@ -148,7 +148,7 @@
 			d.agents[agent] = true
 			action = d.machine.Chosen(d.now, Replica{Agent: agent})
 		case Offer:
-			f := rapid.SampledFrom(sendOutcomes).Draw(t, "outcome")
+			f := rapid.SampledFrom(sendOutcomes).Draw(t, "send outcome")
 			action = d.send(uint32(d.sends), f)
 		case Answer, Fail:
 			return action
