--- a/core/attempt/simulation_test.go
+++ b/core/attempt/simulation_test.go
@@ -46,7 +46,7 @@
 	queue   eventQueue
 	order   int
 	rng     *rand.Rand
-	odds    faultRates
+	rates   faultRates
 	limits  idempotency.Limits
 	agents  []*agentProcess
 	entries []*entryProcess
@@ -82,7 +82,7 @@
 
 func newSimulation(seed uint64, o faultRates, limits idempotency.Limits) *simulation {
 	sim := &simulation{
-		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), odds: o, limits: limits,
+		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), rates: o, limits: limits,
 		rows: map[string]storedRow{}, commits: map[string]uint64{}, runs: map[call.ID]int{},
 		keyRuns: map[string]int{}, keyBegun: map[string]int{}, byID: map[call.ID]*try{},
 	}
@@ -122,12 +122,12 @@
 
 // send delivers a message up to two times, each with a random delay.
 func (sim *simulation) send(do func()) {
-	for n := 0; n == 0 || n == 1 && sim.chance(sim.odds.duplicate); n++ {
-		if sim.chance(sim.odds.drop) {
+	for n := 0; n == 0 || n == 1 && sim.chance(sim.rates.duplicate); n++ {
+		if sim.chance(sim.rates.drop) {
 			continue
 		}
 		delay := sim.randomDelay(2)
-		if sim.chance(sim.odds.delay) {
+		if sim.chance(sim.rates.delay) {
 			delay = sim.randomDelay(400)
 		}
 		sim.after(delay, do)
@@ -188,7 +188,7 @@
 	})
 }
 
-func (a *agentProcess) offer(o idempotency.Offer, from int, t *try) {
+func (a *agentProcess) offer(o idempotency.Offer, startFrame int, t *try) {
 	v := a.ledger.Offer(a.sim.now, o)
 	switch v.Kind {
 	case idempotency.Refused:
@@ -198,12 +198,12 @@
 	case idempotency.AttachRunning:
 		a.attach(a.activeRuns[o.ID], 1, t)
 	case idempotency.Run:
-		if a.sim.chance(a.sim.odds.refuse) {
+		if a.sim.chance(a.sim.rates.refuse) {
 			a.ledger.Refuse(a.sim.now, o.ID)
 			t.receiveFrom(a, func() attempt.Action { return t.refused(o.Attempt, result.QueueFull, result.NotRun) })
 			return
 		}
-		r := &run{id: o.ID, startFrame: from, sender: stream.NewSender(1 << 20), attempt: o.Attempt}
+		r := &run{id: o.ID, startFrame: startFrame, sender: stream.NewSender(1 << 20), attempt: o.Attempt}
 		a.activeRuns[o.ID] = r
 		a.attach(r, 1, t)
 		a.afterUnlessRestarted(a.sim.randomDelay(30), func() { a.begin(r) })
@@ -228,7 +228,7 @@
 	}
 	r.began = true
 	a.sim.keyBegun[a.sim.byID[r.id].key]++
-	if a.sim.chance(a.sim.odds.noUpstream) {
+	if a.sim.chance(a.sim.rates.noUpstream) {
 		a.endUnsent(r)
 		return
 	}
@@ -254,7 +254,7 @@
 }
 
 func (a *agentProcess) produceFrame(r *run) {
-	if a.sim.chance(a.sim.odds.fail) {
+	if a.sim.chance(a.sim.rates.fail) {
 		r.code = result.UpstreamFailed
 	}
 	if r.code != result.OK || r.startFrame+int(r.sender.Last()) == answerFrames {
@@ -306,7 +306,7 @@
 }
 
 func (e *entryProcess) refreshView(a *agentProcess) {
-	if !e.sim.chance(e.sim.odds.staleView) {
+	if !e.sim.chance(e.sim.rates.staleView) {
 		e.view[a.name] = a.replica()
 	}
 }
