--- a/core/attempt/simulation_test.go
+++ b/core/attempt/simulation_test.go
@@ -80,9 +80,9 @@
 	OfferAge: 2 * time.Second, Remember: 6 * time.Second, MaxIDs: 4, MaxResultBytes: 2,
 }
 
-func newSimulation(seed uint64, o faultRates, limits idempotency.Limits) *simulation {
+func newSimulation(seed uint64, rates faultRates, limits idempotency.Limits) *simulation {
 	sim := &simulation{
-		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), rates: o, limits: limits,
+		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), rates: rates, limits: limits,
 		rows: map[string]storedRow{}, commits: map[string]uint64{}, runs: map[call.ID]int{},
 		keyRuns: map[string]int{}, keyBegun: map[string]int{}, byID: map[call.ID]*try{},
 	}
