--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -66,7 +66,7 @@
 	if left <= 0 {
 		return result.New(result.DeadlinePassed, result.NotRun, "no time left at admission")
 	}
-	needed := c.Start(request) + request.Decode
+	needed := c.PredictedStart(request) + request.Decode
 	if needed <= left {
 		return nil
 	}
@@ -75,8 +75,8 @@
 	return refused
 }
 
-// Start returns the predicted time to first token, corrected by the class's bias.
-func (c *Controller) Start(request Request) time.Duration {
+// PredictedStart returns the predicted time to first token, corrected by the class's bias.
+func (c *Controller) PredictedStart(request Request) time.Duration {
 	class := call.ClassOf(request.Work.PromptTokens)
 	return time.Duration(float64(request.Predicted) * c.bias[class])
 }
--- a/core/attempt/simulation_test.go
+++ b/core/attempt/simulation_test.go
@@ -42,18 +42,18 @@
 // simulation simulates two entries, three agents, a table service and the messages between
 // them in virtual time. It counts the actual runs.
 type simulation struct {
-	now     time.Time
-	queue   eventQueue
-	order   int
-	rng     *rand.Rand
-	rates   faultRates
-	limits  idempotency.Limits
-	agents  []*agentProcess
-	entries []*entryProcess
-	tries   []*try
-	rows    map[string]storedRow
-	commits map[string]uint64
-	version uint64
+	now        time.Time
+	queue      eventQueue
+	order      int
+	rng        *rand.Rand
+	faultRates faultRates
+	limits     idempotency.Limits
+	agents     []*agentProcess
+	entries    []*entryProcess
+	tries      []*try
+	rows       map[string]storedRow
+	commits    map[string]uint64
+	version    uint64
 	// runs counts runs by id, keyRuns by Idempotency-Key.
 	runs    map[call.ID]int
 	keyRuns map[string]int
@@ -82,7 +82,7 @@
 
 func newSimulation(seed uint64, rates faultRates, limits idempotency.Limits) *simulation {
 	sim := &simulation{
-		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), rates: rates, limits: limits,
+		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), faultRates: rates, limits: limits,
 		rows: map[string]storedRow{}, commits: map[string]uint64{}, runs: map[call.ID]int{},
 		keyRuns: map[string]int{}, keyBegun: map[string]int{}, byID: map[call.ID]*try{},
 	}
@@ -122,12 +122,12 @@
 
 // send delivers a message up to two times, each with a random delay.
 func (sim *simulation) send(do func()) {
-	for n := 0; n == 0 || n == 1 && sim.chance(sim.rates.duplicate); n++ {
-		if sim.chance(sim.rates.drop) {
+	for n := 0; n == 0 || n == 1 && sim.chance(sim.faultRates.duplicate); n++ {
+		if sim.chance(sim.faultRates.drop) {
 			continue
 		}
 		delay := sim.randomDelay(2)
-		if sim.chance(sim.rates.delay) {
+		if sim.chance(sim.faultRates.delay) {
 			delay = sim.randomDelay(400)
 		}
 		sim.after(delay, do)
@@ -198,7 +198,7 @@
 	case idempotency.AttachRunning:
 		a.attach(a.activeRuns[o.ID], 1, t)
 	case idempotency.Run:
-		if a.sim.chance(a.sim.rates.refuse) {
+		if a.sim.chance(a.sim.faultRates.refuse) {
 			a.ledger.Refuse(a.sim.now, o.ID)
 			t.receiveFrom(a, func() attempt.Action { return t.refused(o.Attempt, result.QueueFull, result.NotRun) })
 			return
@@ -228,7 +228,7 @@
 	}
 	r.began = true
 	a.sim.keyBegun[a.sim.byID[r.id].key]++
-	if a.sim.chance(a.sim.rates.noUpstream) {
+	if a.sim.chance(a.sim.faultRates.noUpstream) {
 		a.endUnsent(r)
 		return
 	}
@@ -254,7 +254,7 @@
 }
 
 func (a *agentProcess) produceFrame(r *run) {
-	if a.sim.chance(a.sim.rates.fail) {
+	if a.sim.chance(a.sim.faultRates.fail) {
 		r.code = result.UpstreamFailed
 	}
 	if r.code != result.OK || r.startFrame+int(r.sender.Last()) == answerFrames {
@@ -306,7 +306,7 @@
 }
 
 func (e *entryProcess) refreshView(a *agentProcess) {
-	if !e.sim.chance(e.sim.rates.staleView) {
+	if !e.sim.chance(e.sim.faultRates.staleView) {
 		e.view[a.name] = a.replica()
 	}
 }
--- a/core/attempt/try_test.go
+++ b/core/attempt/try_test.go
@@ -88,7 +88,7 @@
 }
 
 func (t *try) goesSilent() bool {
-	t.linkSilent = t.linkSilent || t.sim.chance(t.sim.rates.silent)
+	t.linkSilent = t.linkSilent || t.sim.chance(t.sim.faultRates.silent)
 	return t.linkSilent
 }
 
@@ -223,7 +223,7 @@
 		t.entry.after(d, func() { t.performClaim(do()) })
 	}
 	if a.Kind == idempotency.ReadRow {
-		if sim.chance(sim.rates.storeDown + sim.rates.storeLost) {
+		if sim.chance(sim.faultRates.storeDown + sim.faultRates.storeLost) {
 			answer(sim.randomDelay(20), func() idempotency.ClaimAction { return t.claim.ReadFailed(sim.now, a.Op) })
 			return
 		}
@@ -236,11 +236,11 @@
 	failed := func(f idempotency.StoreFailure) func() idempotency.ClaimAction {
 		return func() idempotency.ClaimAction { return t.claim.WriteFailed(sim.now, a.Op, f) }
 	}
-	if sim.chance(sim.rates.storeDown) {
+	if sim.chance(sim.faultRates.storeDown) {
 		answer(sim.randomDelay(20), failed(idempotency.StoreUnavailable))
 		return
 	}
-	if sim.chance(sim.rates.storeLost) {
+	if sim.chance(sim.faultRates.storeLost) {
 		answer(sim.randomDelay(50), failed(idempotency.StoreLost))
 		if sim.chance(0.5) {
 			return
@@ -254,7 +254,7 @@
 		return
 	}
 	late := time.Duration(0)
-	if sim.chance(sim.rates.storeLate) {
+	if sim.chance(sim.faultRates.storeLate) {
 		late = sim.randomDelay(200)
 		answer(sim.randomDelay(50), failed(idempotency.StoreLost))
 	}
