--- a/core/result/result_test.go
+++ b/core/result/result_test.go
@@ -16,15 +16,15 @@
 	}
 }
 
-// Symptom: a caller is told to try again after Retry-After and is not told when.
-// Sequence: a failure whose maker knows no time.
-// Cause: no default. Each code with such a status or remedy must give one.
-func TestRefusalsAlwaysSayWhenToTryAgain(t *testing.T) {
+// TestRefusalsAlwaysGiveRetryAfter checks that each code with such a status, or with
+// Retry-After in its remedy, has a default. Otherwise a caller would be told to try again
+// after Retry-After without the header.
+func TestRefusalsAlwaysGiveRetryAfter(t *testing.T) {
 	for _, info := range All {
 		promised := info.HTTPStatus == http.StatusServiceUnavailable ||
 			info.HTTPStatus == http.StatusTooManyRequests || strings.Contains(info.Remedy, "Retry-After")
-		require.Equal(t, promised, New(info.Code, Unknown, "").Advice() > 0, info.Name)
+		require.Equal(t, promised, New(info.Code, Unknown, "").RetryAfterOrDefault() > 0, info.Name)
 	}
 	known := Error{Code: QueueFull, RetryAfter: 7 * time.Second}
-	require.Equal(t, known.RetryAfter, known.Advice())
+	require.Equal(t, known.RetryAfter, known.RetryAfterOrDefault())
 }
