--- a/core/scheduling/dominance.go
+++ b/core/scheduling/dominance.go
@@ -6,52 +6,59 @@
 )
 
 const (
-	// dominanceHalfLife is how fast started tokens are forgotten: a burst of a second is no
-	// flood, half a minute of it is.
+	// dominanceHalfLife is the half-life of started tokens in the statistics: a burst of a
+	// second does not count as a flood, half a minute does.
 	dominanceHalfLife = 10 * time.Second
-	// dominantShare of the recent short tokens makes an organisation the dominant one. The
-	// largest of ten whose sizes fall as 1/rank has a third.
+	// dominantShare is the share of the recent short tokens above which an organisation is
+	// dominant. The largest of ten organisations whose sizes fall as 1/rank has a third.
 	dominantShare = 0.5
-	// floodShare of the engine's prefill rate is what the dominant organisation may start in
-	// short tokens before it floods. The largest of ten takes 0.04 at 70 % load;
-	// more would let memory fill with the flood before it is noticed (evaluator).
+	// floodShare is the part of the engine's prefill rate above which the short tokens of the
+	// dominant organisation count as a flood. The largest of ten organisations uses 0.04 at
+	// 70 % load. With a higher threshold a flood fills the memory before it is detected.
 	floodShare = 0.05
-	// aloneShare of them is not dominance: there is nobody else to leave room for.
-	aloneShare = 0.995
-	// maxDominance bounds the organisations remembered; the coldest are dropped.
-	maxDominance = 4096
-	// coldTokens is what may be forgotten: less than one short prompt.
-	coldTokens = 100
+	// soleShare is the share of the recent short tokens from which an organisation counts as
+	// the only one: there is no other to leave memory for.
+	soleShare = 0.995
+	// maxTrackedOrganisations bounds the number of tracked organisations.
+	maxTrackedOrganisations = 4096
+	// negligibleTokens is the number of recent tokens below which an organisation may be
+	// dropped from the statistics: less than one short prompt.
+	negligibleTokens = 100
 )
 
-// dominance finds an organisation that starts more short tokens than all others together.
+// dominanceTracker detects an organisation that starts more short tokens than all others
+// together.
 //
-// What goes wrong: fair queueing acts on what is queued together. A flooding organisation
-// has filled memory and engine before another one's request arrives, which then finds its
-// turn at once but no room. It shows as short requests of all organisations slowing down
-// with one's. An organisation that floods leaves room for the others instead.
-type dominance struct {
-	// started holds each organisation's tokens, weighted so that later ones count for more:
-	// as much as if all earlier ones had halved every dominanceHalfLife.
+// Fair queueing only affects requests that are queued at the same time. A flooding
+// organisation can fill the memory and the engine before another organisation's request
+// arrives; that request then is next in line but has no memory, so that the short requests
+// of all organisations slow down. A flooding organisation therefore has to leave memory
+// free for the others.
+type dominanceTracker struct {
+	// started holds each organisation's started tokens with exponentially rising weights,
+	// which is equivalent to halving all earlier ones every dominanceHalfLife.
 	started map[string]float64
 	total   float64
-	// weight is that of a token started now, or when one last was.
+	// weight is the weight of the token started last.
 	weight float64
-	// base is the time, as in node, at which a token weighs 1.
-	base int64
-	// leader is the organisation that was dominant last. Only it can be dominant now: a
-	// share rises above a half only by starting something.
-	leader string
+	// baseTime is the time at which a token has weight 1, in nanoseconds since the queue's
+	// origin.
+	baseTime int64
+	// dominant is the organisation that exceeded dominantShare last. No other can be dominant
+	// now, since a share grows only when the organisation starts an item.
+	dominant string
 }
 
-// maxExponent bounds the weights; beyond it they are all scaled down.
-const maxExponent = 64
+// maxHalvings bounds the weights at 2^maxHalvings; beyond it all of them are scaled down.
+const maxHalvings = 64
 
-func newDominance() dominance { return dominance{started: make(map[string]float64)} }
+func newDominanceTracker() dominanceTracker {
+	return dominanceTracker{started: make(map[string]float64)}
+}
 
-func (d *dominance) add(organisation string, tokens, now int64) {
-	halvings := float64(now-d.base) / float64(dominanceHalfLife)
-	if halvings > maxExponent {
+func (d *dominanceTracker) add(organisation string, tokens, now int64) {
+	halvings := float64(now-d.baseTime) / float64(dominanceHalfLife)
+	if halvings > maxHalvings {
 		d.rebase(now, halvings)
 		halvings = 0
 	}
@@ -61,47 +68,48 @@
 	d.started[organisation] = sum
 	d.total += weighted
 	if sum > dominantShare*d.total {
-		d.leader = organisation
+		d.dominant = organisation
 	}
-	if len(d.started) > maxDominance {
-		d.forget(d.weight)
+	if len(d.started) > maxTrackedOrganisations {
+		d.prune(d.weight)
 	}
 }
 
-// rebase makes a token weigh 1 at now.
-func (d *dominance) rebase(now int64, halvings float64) {
+// rebase scales all weights so that a token started now has weight 1.
+func (d *dominanceTracker) rebase(now int64, halvings float64) {
 	scale := math.Exp2(-halvings)
 	for organisation, sum := range d.started {
 		d.started[organisation] = sum * scale
 	}
 	d.total *= scale
-	d.base = now
-	d.forget(1)
+	d.baseTime = now
+	d.prune(1)
 }
 
-// forget drops organisations that have started next to nothing lately; all if none has.
-func (d *dominance) forget(weight float64) {
+// prune drops the organisations with a negligible number of recent tokens. If too many
+// remain, it drops all of them.
+func (d *dominanceTracker) prune(weight float64) {
 	for organisation, sum := range d.started {
-		if sum < coldTokens*weight {
+		if sum < negligibleTokens*weight {
 			delete(d.started, organisation)
 		}
 	}
-	if len(d.started) > maxDominance {
+	if len(d.started) > maxTrackedOrganisations {
 		clear(d.started)
 		d.total = 0
 	}
 }
 
-// floods reports whether the organisation started most of the recent tokens, but not all,
-// and more than its share of an engine with the given rate.
-func (d *dominance) floods(organisation string, prefillRate float64) bool {
-	if organisation != d.leader {
+// isFlooding reports whether the organisation started most, but not all, of the recent
+// short tokens, and more than floodShare of an engine with the given prefill rate.
+func (d *dominanceTracker) isFlooding(organisation string, prefillRate float64) bool {
+	if organisation != d.dominant {
 		return false
 	}
 	sum := d.started[organisation]
-	if share := sum / d.total; share <= dominantShare || share >= aloneShare {
+	if share := sum / d.total; share <= dominantShare || share >= soleShare {
 		return false
 	}
-	// Tokens that halve every half-life add up to the rate times half-life / ln 2.
+	// In a steady state the decayed sum equals the rate times half-life / ln 2.
 	return sum/d.weight > floodShare*prefillRate*dominanceHalfLife.Seconds()/math.Ln2
 }
--- a/core/scheduling/heap.go
+++ b/core/scheduling/heap.go
@@ -1,13 +1,13 @@
 package scheduling
 
-// heap is a binary heap that tells its elements their places, so that any of them can be
-// moved or removed. It exists beside container/heap because that one calls through an
-// interface and boxes each element: 3 of them would take the decision over its 2 µs.
+// heap is a binary heap that reports the index of each element, so that any element can be
+// moved or removed. container/heap calls through an interface and boxes each element;
+// with three heaps, a scheduling decision would exceed its budget of 2 µs.
 type heap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	// place stores an element's index; -1 when it has left the heap.
-	place func(item T, index int)
+	// setIndex stores an element's index, or -1 once it has left the heap.
+	setIndex func(item T, index int)
 }
 
 func (h *heap[T]) push(item T) {
@@ -19,18 +19,18 @@
 	item := h.items[i]
 	last := len(h.items) - 1
 	moved := h.items[last]
-	var none T
-	h.items[last] = none
+	var zero T
+	h.items[last] = zero
 	h.items = h.items[:last]
 	if i != last {
 		h.items[i] = moved
 		h.fix(i)
 	}
-	h.place(item, -1)
+	h.setIndex(item, -1)
 	return item
 }
 
-// fix restores the order after the element at i has changed.
+// fix restores the heap order after the element at i has changed.
 func (h *heap[T]) fix(i int) {
 	item := h.items[i]
 	if i > 0 && h.less(item, h.items[(i-1)/2]) {
@@ -72,5 +72,5 @@
 
 func (h *heap[T]) set(i int, item T) {
 	h.items[i] = item
-	h.place(item, i)
+	h.setIndex(item, i)
 }
--- a/core/scheduling/priority.go
+++ b/core/scheduling/priority.go
@@ -6,71 +6,73 @@
 	"acaciacleat.example/core/call"
 )
 
-// never is the latest start of an item without a deadline: a century after the origin.
-const never = 100 * 365 * 24 * time.Hour
+// noLatestStart is the latest start of an item without a deadline, counted from the origin.
+const noLatestStart = 100 * 365 * 24 * time.Hour
 
-// Priority is the queue of an agent: short before long, with a bound on a long one's
-// wait; fair among organisations by tokens; a share of the memory kept for short ones.
+// Priority is the queue of an agent. It starts short items before long ones, bounds the
+// wait of long ones, shares tokens fairly among organisations and reserves a share of the
+// memory for short items.
 //
-// An item that has waited MaxWait, or must start to meet its deadline, goes before items
-// of shorter classes. Then short items have their turn (ShortTurn) before the next aged
-// one does. While an aged item waits for memory nothing but short items within their
-// share may start, so that the memory it needs comes together.
+// An item ages when it has waited MaxWait or must start soon to meet its deadline. An aged
+// item goes ahead of items of shorter classes. After it, short items may start up to a
+// quota (ShortPerAgedToken) before the next aged item. While an aged item waits for memory,
+// only short items within their share may start, so that enough memory becomes free.
 type Priority struct {
-	settings Settings
-	origin   time.Time
-	lanes    [numLanes]*lane
-	byID     map[call.ID]*node
-	expiry   heap[*node]
-	order    uint64
-	owed     int64 // short tokens that go before the next aged item
-	queued   [call.NumClasses]int64
-	spare    []*node
-
-	dominance    dominance
+	settings      Settings
+	origin        time.Time
+	lanes         [numLanes]*lane
+	byID          map[call.ID]*node
+	byLatestStart heap[*node]
+	lastSequence  uint64
+	shortQuota    int64 // short tokens that may start before the next aged item
+	queued        [call.NumClasses]int64
+	freeNodes     []*node
+
+	dominance    dominanceTracker
 	running      Running
-	knowsRunning bool
+	runningKnown bool
 }
 
-// Running is what started items hold at the engine, in tokens.
+// Running describes the started items at the engine, in tokens.
 type Running struct {
-	// ShortMemory is the memory of started short items, without PriorityFlood's.
+	// ShortMemory is the memory of started short items, except those with PriorityFlood.
 	ShortMemory int64
-	// Prefill is the uncached prompt tokens not yet prefilled, by class, without those of
-	// items that were started with PriorityFlood.
+	// Prefill is the number of uncached prompt tokens not yet prefilled, by class, except
+	// those of items with PriorityFlood.
 	Prefill [call.NumClasses]int64
-	// FloodPrefill is the same of items that were started with PriorityFlood.
+	// FloodPrefill is the number of such tokens of items with PriorityFlood.
 	FloodPrefill int64
 }
 
-// NewPriority returns an empty queue. Its memory grows with use up to Settings.Limit items.
+// NewPriority returns an empty queue. It allocates as items are pushed, up to
+// Settings.Limit items.
 func NewPriority(settings Settings) *Priority {
-	q := &Priority{settings: settings, byID: make(map[call.ID]*node), dominance: newDominance()}
+	q := &Priority{settings: settings, byID: make(map[call.ID]*node), dominance: newDominanceTracker()}
 	for i := range q.lanes {
-		q.lanes[i] = newLane(quantum[i], agedSlack[i])
+		q.lanes[i] = newLane(quantum[i], agedSlackQuanta[i])
 	}
-	q.expiry.less = func(a, b *node) bool { return a.latest < b.latest }
-	q.expiry.place = func(n *node, i int) { n.expiry = i }
+	q.byLatestStart.less = func(a, b *node) bool { return a.latestStart < b.latestStart }
+	q.byLatestStart.setIndex = func(n *node, i int) { n.expiryIndex = i }
 	return q
 }
 
-// Configure changes the settings. Items already queued keep the times computed at Push.
+// Configure changes the settings. Queued items keep the times computed by Push.
 func (q *Priority) Configure(settings Settings) { q.settings = settings }
 
-// SetRunning tells what started items hold now. Pop adds to it what it starts. An agent
-// that never calls it gives up two bounds: the memory of short items while an aged one
-// waits, and the work that waits inside the engine.
+// SetRunning sets what started items hold now; Pop then adds the items that it starts.
+// Without a call of SetRunning two bounds do not apply: the memory of short items while an
+// aged item waits, and the prompt tokens that wait inside the engine.
 //
-// What goes wrong: all that fits into memory is started at once and waits inside the
-// engine, in the order of its start. It shows as a flooding organisation that delays all
-// others although the queue is fair. So no item is started while the engine has
-// Settings.PrefillAhead tokens to prefill that would go before it.
+// If everything that fits into memory started at once, it would wait inside the engine in
+// start order, and a flooding organisation would delay all others in spite of the fair
+// queue. No item is therefore started while the engine has Settings.MaxPrefillAhead tokens
+// to prefill ahead of it.
 func (q *Priority) SetRunning(running Running) {
 	q.running = running
-	q.knowsRunning = true
+	q.runningKnown = true
 }
 
-// Push implements Queue. It also refuses an ID that is queued already.
+// Push implements Queue. It also rejects an ID that is already queued.
 func (q *Priority) Push(item Item) bool {
 	if len(q.byID) >= q.settings.Limit || q.byID[item.ID] != nil {
 		return false
@@ -78,138 +80,139 @@
 	if q.origin.IsZero() {
 		q.origin = item.Enqueued
 	}
-	n := q.node()
-	q.order++
-	prefill := q.settings.prefill(&item)
+	n := q.newNode()
+	q.lastSequence++
+	prefill := q.settings.prefillTime(&item)
 	class := call.ClassOf(item.Work.PromptTokens)
-	enqueued := q.at(item.Enqueued)
-	latest := int64(never)
+	enqueued := q.sinceOrigin(item.Enqueued)
+	latestStart := int64(noLatestStart)
 	if !item.Deadline.IsZero() {
-		latest = q.at(item.Deadline) - int64(prefill)
+		latestStart = q.sinceOrigin(item.Deadline) - int64(prefill)
 	}
-	aged := min(enqueued+int64(q.settings.MaxWait[class]), latest-int64(startMargin*float64(prefill)))
+	agesAt := min(enqueued+int64(q.settings.MaxWait[class]), latestStart-int64(startMarginFactor*float64(prefill)))
 	*n = node{
-		item:   item,
-		class:  class,
-		need:   q.settings.need(&item),
-		cost:   uncached(&item) + int64(item.Work.MaxTokens),
-		order:  q.order,
-		aged:   max(enqueued, aged),
-		latest: latest,
+		item:        item,
+		class:       class,
+		memory:      q.settings.memory(&item),
+		cost:        uncachedTokens(&item) + int64(item.Work.MaxTokens),
+		sequence:    q.lastSequence,
+		agesAt:      max(enqueued, agesAt),
+		latestStart: latestStart,
 	}
 	q.byID[item.ID] = n
-	q.queued[class] += uncached(&item)
-	q.expiry.push(n)
+	q.queued[class] += uncachedTokens(&item)
+	q.byLatestStart.push(n)
 	q.lanes[laneOf(class)].push(n)
 	return true
 }
 
-func (q *Priority) node() *node {
-	last := len(q.spare) - 1
+func (q *Priority) newNode() *node {
+	last := len(q.freeNodes) - 1
 	if last < 0 {
 		return new(node)
 	}
-	n := q.spare[last]
-	q.spare = q.spare[:last]
+	n := q.freeNodes[last]
+	q.freeNodes = q.freeNodes[:last]
 	return n
 }
 
-func (q *Priority) at(t time.Time) int64 { return int64(t.Sub(q.origin)) }
+func (q *Priority) sinceOrigin(t time.Time) int64 { return int64(t.Sub(q.origin)) }
 
-// Pop implements Queue. It may return an item that can't meet its deadline any more;
-// take those out by Expire first.
+// Pop implements Queue. It may return an item that can no longer meet its deadline; call
+// Expire first to remove these.
 func (q *Priority) Pop(now time.Time, freeTokens int64) (Item, bool) {
-	at := q.at(now)
-	n := q.next(at, freeTokens)
+	at := q.sinceOrigin(now)
+	n := q.chooseNext(at, freeTokens)
 	if n == nil {
 		return Item{}, false
 	}
 	l := laneOf(n.class)
-	flood := q.floods(n)
+	flood := q.isFlooding(n)
 	if l == laneShort {
 		q.dominance.add(n.item.Organisation, n.cost, at)
 	}
-	q.settle(l, n.cost)
-	if q.knowsRunning {
-		q.count(n, flood)
+	q.updateShortQuota(l, n.cost)
+	if q.runningKnown {
+		q.addRunning(n, flood)
 	}
 	q.lanes[l].start(n)
-	return q.forget(n), true
+	return q.discard(n), true
 }
 
-func (q *Priority) count(n *node, flood bool) {
+func (q *Priority) addRunning(n *node, flood bool) {
 	if flood {
-		q.running.FloodPrefill += uncached(&n.item)
+		q.running.FloodPrefill += uncachedTokens(&n.item)
 		return
 	}
-	q.running.Prefill[n.class] += uncached(&n.item)
+	q.running.Prefill[n.class] += uncachedTokens(&n.item)
 	if n.class == call.Short {
-		q.running.ShortMemory += n.need
+		q.running.ShortMemory += n.memory
 	}
 }
 
-// next chooses the item to start; nil when none may.
-func (q *Priority) next(now, free int64) *node {
-	short := q.short(free, now)
-	// A flooding organisation's short items have no turn before aged ones, nor a share.
-	modest := short
-	if short != nil && q.floods(short) {
-		modest = nil
+// chooseNext returns the item to start, or nil when none may start.
+func (q *Priority) chooseNext(now, free int64) *node {
+	short := q.nextShort(free, now)
+	// Short items of a flooding organisation have neither a quota ahead of aged items nor a
+	// share of the memory.
+	entitled := short
+	if short != nil && q.isFlooding(short) {
+		entitled = nil
 	}
-	if aged := q.aged(now, modest != nil); aged != nil && q.running.Prefill[aged.class] < q.settings.PrefillAhead {
+	if aged := q.nextAged(now, entitled != nil); aged != nil && q.running.Prefill[aged.class] < q.settings.MaxPrefillAhead {
 		if q.fits(aged, free) {
 			return aged
 		}
-		return q.withinShare(modest, free)
+		return q.ifWithinShortShare(entitled, free)
 	}
-	// A longer item never takes the memory that a shorter one waits for.
-	if short != nil && !q.floods(short) {
-		return q.ifFits(short, free)
+	// A longer item must not take the memory that a shorter one waits for.
+	if short != nil && !q.isFlooding(short) {
+		return q.ifStartable(short, free)
 	}
 	for _, l := range q.lanes[laneMedium:] {
 		if n := l.next(now); n != nil {
-			return q.ifFits(n, free)
+			return q.ifStartable(n, free)
 		}
 	}
 	if short == nil {
 		return nil
 	}
-	return q.ifFits(short, free)
+	return q.ifStartable(short, free)
 }
 
-// floods reports whether n is a short item of the organisation that floods. Its short
-// items go last, or all longer ones would wait for the flood.
-func (q *Priority) floods(n *node) bool {
-	return n.class == call.Short && q.isFlooder(n.item.Organisation)
+// isFlooding reports whether n is a short item of a flooding organisation. These items go
+// last; otherwise all longer items would wait for the flood.
+func (q *Priority) isFlooding(n *node) bool {
+	return n.class == call.Short && q.isOrganisationFlooding(n.item.Organisation)
 }
 
-func (q *Priority) isFlooder(organisation string) bool {
-	return q.dominance.floods(organisation, q.settings.PrefillRate)
+func (q *Priority) isOrganisationFlooding(organisation string) bool {
+	return q.dominance.isFlooding(organisation, q.settings.PrefillRate)
 }
 
-// short returns the short item whose turn it is. One of a flooding organisation that
-// must leave its room to others does not hold these up.
-func (q *Priority) short(free, now int64) *node {
+// nextShort returns the short item to consider next. An item of a flooding organisation that
+// can't start does not block other organisations' items.
+func (q *Priority) nextShort(free, now int64) *node {
 	l := q.lanes[laneShort]
 	first := l.next(now)
-	if first == nil || q.ifFits(first, free) != nil || !q.floods(first) {
+	if first == nil || q.ifStartable(first, free) != nil || !q.isFlooding(first) {
 		return first
 	}
-	if second := l.second(); second != nil {
+	if second := l.secondTenantHead(); second != nil {
 		return second
 	}
 	return first
 }
 
-// aged returns the item that has aged and goes first; nil when there is none or when
-// short items have their turn. Of two lanes the one goes first whose item aged earlier.
-func (q *Priority) aged(now int64, shortWaits bool) *node {
-	if shortWaits && q.owed > 0 {
+// nextAged returns the item of the lane in which an item aged first. It returns nil when
+// no item has aged, or when short items wait and have quota left.
+func (q *Priority) nextAged(now int64, shortWaits bool) *node {
+	if shortWaits && q.shortQuota > 0 {
 		return nil
 	}
 	var first *lane
 	for _, l := range q.lanes[laneMedium:] {
-		if l.overdue(now) && (first == nil || earlier(l.aged.items[0].head(), first.aged.items[0].head())) {
+		if l.hasAged(now) && (first == nil || earlier(l.byAge.items[0].head(), first.byAge.items[0].head())) {
 			first = l
 		}
 	}
@@ -219,44 +222,47 @@
 	return first.next(now)
 }
 
-// settle keeps account of the short items' turn.
-func (q *Priority) settle(lane int, cost int64) {
+// updateShortQuota charges a started short item to the quota, or adds the quota that a
+// started longer item gives to waiting short ones.
+func (q *Priority) updateShortQuota(lane int, cost int64) {
 	if lane == laneShort {
-		q.owed = max(0, q.owed-cost)
+		q.shortQuota = max(0, q.shortQuota-cost)
 		return
 	}
-	if q.modestWaits() {
-		q.owed += int64(q.settings.ShortTurn * float64(cost))
+	if q.othersShortQueued() {
+		q.shortQuota += int64(q.settings.ShortPerAgedToken * float64(cost))
 	}
 }
 
-// modestWaits reports whether an organisation that does not flood has short items queued.
-func (q *Priority) modestWaits() bool {
-	items := q.lanes[laneShort].fair.items
-	return len(items) > 1 || len(items) == 1 && !q.floods(items[0].head())
+// othersShortQueued reports whether an organisation that is not flooding has queued short
+// items.
+func (q *Priority) othersShortQueued() bool {
+	items := q.lanes[laneShort].byUse.items
+	return len(items) > 1 || len(items) == 1 && !q.isFlooding(items[0].head())
 }
 
 func (q *Priority) fits(n *node, free int64) bool {
-	reserve := q.settings.reserve(n.class, n.need)
-	if q.floods(n) {
-		reserve = q.settings.othersReserve()
+	reserve := q.settings.reservedMemory(n.class, n.memory)
+	if q.isFlooding(n) {
+		reserve = q.settings.othersReservedMemory()
 	}
-	return n.need+reserve <= free
+	return n.memory+reserve <= free
 }
 
-func (q *Priority) ifFits(n *node, free int64) *node {
-	ahead := q.ahead(n.class)
-	if q.floods(n) {
+func (q *Priority) ifStartable(n *node, free int64) *node {
+	ahead := q.runningPrefill(n.class)
+	if q.isFlooding(n) {
 		ahead = q.running.FloodPrefill
 	}
-	if !q.fits(n, free) || ahead >= q.settings.PrefillAhead {
+	if !q.fits(n, free) || ahead >= q.settings.MaxPrefillAhead {
 		return nil
 	}
 	return n
 }
 
-// ahead is what the engine has still to prefill of the class and shorter ones.
-func (q *Priority) ahead(class call.Class) int64 {
+// runningPrefill returns the number of tokens of the class and shorter ones that the engine
+// still has to prefill.
+func (q *Priority) runningPrefill(class call.Class) int64 {
 	sum := int64(0)
 	for _, tokens := range q.running.Prefill[:class+1] {
 		sum += tokens
@@ -264,23 +270,23 @@
 	return sum
 }
 
-// withinShare returns the short item if it fits into the share kept for short ones.
+// ifWithinShortShare returns the short item if it fits into the memory share of short items,
+// otherwise nil.
 //
-// What goes wrong: while a long item waits for memory, short ones take each bit that
-// comes free and the long one never starts. It shows as long items that expire on an
-// engine that is never empty. Held to their share, short items can't do that.
-func (q *Priority) withinShare(short *node, free int64) *node {
+// It applies while a longer item waits for memory. Without the bound, short items would take
+// all memory as it becomes free, and the longer item would expire without ever starting.
+func (q *Priority) ifWithinShortShare(short *node, free int64) *node {
 	if short == nil {
 		return nil
 	}
 	if q.settings.CapacityTokens <= 0 {
-		return q.ifFits(short, free)
+		return q.ifStartable(short, free)
 	}
-	share := int64(q.settings.ShortShare * float64(q.settings.CapacityTokens))
-	if q.running.ShortMemory+short.need > share {
+	share := int64(q.settings.ShortMemoryShare * float64(q.settings.CapacityTokens))
+	if q.running.ShortMemory+short.memory > share {
 		return nil
 	}
-	return q.ifFits(short, free)
+	return q.ifStartable(short, free)
 }
 
 // Remove implements Queue.
@@ -290,58 +296,57 @@
 		return false
 	}
 	q.lanes[laneOf(n.class)].remove(n)
-	q.forget(n)
+	q.discard(n)
 	return true
 }
 
-// Expire takes out and returns the items that can't meet their deadline any more, even
-// if they started at once on an idle engine.
+// Expire removes and returns the items that could not meet their deadline even if they
+// started now on an idle engine.
 func (q *Priority) Expire(now time.Time) []Item {
 	var expired []Item
-	at := q.at(now)
-	for len(q.expiry.items) > 0 && q.expiry.items[0].latest < at {
-		n := q.expiry.items[0]
+	at := q.sinceOrigin(now)
+	for len(q.byLatestStart.items) > 0 && q.byLatestStart.items[0].latestStart < at {
+		n := q.byLatestStart.items[0]
 		q.lanes[laneOf(n.class)].remove(n)
-		expired = append(expired, q.forget(n))
+		expired = append(expired, q.discard(n))
 	}
 	return expired
 }
 
-// forget drops a node that has left its lane.
-func (q *Priority) forget(n *node) Item {
-	q.expiry.remove(n.expiry)
+// discard drops a node that has been removed from its lane and returns its item.
+func (q *Priority) discard(n *node) Item {
+	q.byLatestStart.remove(n.expiryIndex)
 	delete(q.byID, n.item.ID)
-	q.queued[n.class] -= uncached(&n.item)
+	q.queued[n.class] -= uncachedTokens(&n.item)
 	item := n.item
 	*n = node{}
-	q.spare = append(q.spare, n)
+	q.freeNodes = append(q.freeNodes, n)
 	return item
 }
 
 // Len implements Queue.
 func (q *Priority) Len() int { return len(q.byID) }
 
-// Queued is the sum of uncached prompt tokens queued, by class, as an agent's load digest
-// tells them: without the short items of an organisation that floods.
-//
-// What goes wrong when these are told: other organisations' requests don't wait for them,
-// but routing believes so and spreads by the flood instead of by what counts. In the
-// evaluator the others' short p95 rose by a third under a flood, and not at all without.
+// Queued returns the number of queued uncached prompt tokens, by class, for the agent's load
+// digest. It leaves out the short items of a flooding organisation: requests of other
+// organisations do not wait for these, but routing would balance load by them. Including
+// them raises the short p95 of the other organisations by a third during a flood.
 func (q *Priority) Queued() [call.NumClasses]int64 {
 	queued := q.queued
-	if t := q.lanes[laneShort].tenants[q.dominance.leader]; t != nil && q.isFlooder(t.name) {
-		queued[call.Short] -= t.prompt
+	if t := q.lanes[laneShort].tenants[q.dominance.dominant]; t != nil && q.isOrganisationFlooding(t.name) {
+		queued[call.Short] -= t.promptTokens
 	}
 	return queued
 }
 
-// Ahead is the uncached prompt tokens queued that an item pushed now would wait for, for
-// the agent's own admission: for one that floods its own too. It is an upper
-// estimate: fairness between organisations may let the item start sooner.
+// Ahead returns the number of queued uncached prompt tokens that an item pushed now would
+// wait for. The agent uses it for admission. For a flooding organisation the result includes
+// its own short items. It is an upper estimate, since fairness between organisations may let
+// the item start sooner.
 func (q *Priority) Ahead(item *Item) int64 {
 	class := call.ClassOf(item.Work.PromptTokens)
 	queued := q.Queued()
-	if class == call.Short && q.isFlooder(item.Organisation) {
+	if class == call.Short && q.isOrganisationFlooding(item.Organisation) {
 		queued = q.queued
 	}
 	sum := int64(0)
@@ -351,26 +356,27 @@
 	return sum
 }
 
-// Engine priorities: lower goes first. The steps leave room for an operator's own.
+// Engine priorities; the lowest value runs first. The gaps leave values for an operator's
+// own priorities.
 const (
 	PriorityShort  = 0
 	PriorityAged   = 50
 	PriorityMedium = 100
-	PriorityFlood  = 150 // a short item of an organisation that floods
+	PriorityFlood  = 150 // a short item of a flooding organisation
 	PriorityLong   = 200
 )
 
-// EnginePriority returns the priority that the engine should give an item started at now.
+// EnginePriority returns the engine priority of an item that starts now.
 func (q *Priority) EnginePriority(item *Item, now time.Time) int {
 	class := call.ClassOf(item.Work.PromptTokens)
-	if class == call.Short && q.isFlooder(item.Organisation) {
+	if class == call.Short && q.isOrganisationFlooding(item.Organisation) {
 		return PriorityFlood
 	}
 	if class == call.Short {
 		return PriorityShort
 	}
-	prefill := q.settings.prefill(item)
-	urgent := item.Deadline.Add(-time.Duration((1 + startMargin) * float64(prefill)))
+	prefill := q.settings.prefillTime(item)
+	urgent := item.Deadline.Add(-time.Duration((1 + startMarginFactor) * float64(prefill)))
 	if now.Sub(item.Enqueued) >= q.settings.MaxWait[class] || !now.Before(urgent) {
 		return PriorityAged
 	}
--- a/core/scheduling/priority_test.go
+++ b/core/scheduling/priority_test.go
@@ -23,85 +23,85 @@
 	return id
 }
 
-func item(n uint64, organisation string, prompt int, at time.Time) Item {
+func testItem(n uint64, organisation string, prompt int, at time.Time) Item {
 	return Item{ID: id(n), Organisation: organisation, Work: call.Work{PromptTokens: prompt, MaxTokens: 100}, Enqueued: at, Deadline: at.Add(10 * time.Minute)}
 }
 
-func queue(objective document.Objective) *Priority {
+func newTestQueue(objective document.Objective) *Priority {
 	return NewPriority(SettingsFor(objective, capacity))
 }
 
-// Every item pushed is popped, removed or expired exactly once, as a plain list of items
-// says; nothing is popped that does not fit; a twin queue decides alike; and an empty
-// engine is never refused work.
-func TestEveryItemLeavesExactlyOnce(t *testing.T) {
+// Compares the queue with a map of queued items. Every pushed item is popped, removed or
+// expired exactly once, no item is popped that does not fit, two queues with the same input
+// make the same decisions, and an empty engine always gets an item if one is queued.
+func TestEveryItemIsRemovedExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		objective := rapid.SampledFrom([]document.Objective{document.ShortSlowdown, document.TimeToFirstToken}).Draw(t, "objective")
-		q, twin := queue(objective), queue(objective)
-		naive := make(map[call.ID]Item)
+		q, second := newTestQueue(objective), newTestQueue(objective)
+		model := make(map[call.ID]Item)
 		now := start
 		next := uint64(0)
-		leaves := func(i Item) {
-			require.Contains(t, naive, i.ID)
-			delete(naive, i.ID)
+		requireQueued := func(i Item) {
+			require.Contains(t, model, i.ID)
+			delete(model, i.ID)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				next++
-				i := item(next, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "organisation"), rapid.SampledFrom([]int{1, 500, 8000, 20_000, 150_000, 390_000, 900_000}).Draw(t, "prompt"), now)
+				i := testItem(next, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "organisation"), rapid.SampledFrom([]int{1, 500, 8000, 20_000, 150_000, 390_000, 900_000}).Draw(t, "prompt"), now)
 				i.Deadline = now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "seconds")) * time.Second)
 				require.True(t, q.Push(i))
-				require.True(t, twin.Push(i))
+				require.True(t, second.Push(i))
 				require.False(t, q.Push(i), "the same ID again")
-				naive[i.ID] = i
+				model[i.ID] = i
 			},
 			"pop": func(t *rapid.T) {
 				free := int64(rapid.IntRange(0, capacity).Draw(t, "free"))
 				i, ok := q.Pop(now, free)
-				j, also := twin.Pop(now, free)
-				require.Equal(t, ok, also)
+				j, secondOK := second.Pop(now, free)
+				require.Equal(t, ok, secondOK)
 				require.Equal(t, i, j)
 				if ok {
-					leaves(i)
+					requireQueued(i)
 					require.LessOrEqual(t, min(int64(i.Work.Tokens()), capacity), free)
 				}
 			},
 			"drain one": func(t *rapid.T) {
 				i, ok := q.Pop(now, capacity)
-				twin.Pop(now, capacity)
-				require.Equal(t, len(naive) > 0, ok, "an empty engine starts something")
+				second.Pop(now, capacity)
+				require.Equal(t, len(model) > 0, ok, "an empty engine starts an item")
 				if ok {
-					leaves(i)
+					requireQueued(i)
 				}
 			},
 			"remove": func(t *rapid.T) {
-				victim := id(uint64(rapid.IntRange(0, int(next)+1).Draw(t, "id")))
-				_, queued := naive[victim]
-				require.Equal(t, queued, q.Remove(victim))
-				twin.Remove(victim)
-				delete(naive, victim)
+				removed := id(uint64(rapid.IntRange(0, int(next)+1).Draw(t, "id")))
+				_, queued := model[removed]
+				require.Equal(t, queued, q.Remove(removed))
+				second.Remove(removed)
+				delete(model, removed)
 			},
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "ms")) * time.Millisecond)
-				twin.Expire(now)
+				second.Expire(now)
 				for _, i := range q.Expire(now) {
-					require.True(t, now.Add(q.settings.prefill(&i)).After(i.Deadline))
-					leaves(i)
+					require.True(t, now.Add(q.settings.prefillTime(&i)).After(i.Deadline))
+					requireQueued(i)
 				}
-				for _, i := range naive {
-					require.False(t, now.Add(q.settings.prefill(&i)).After(i.Deadline), "can't be met but still queued")
+				for _, i := range model {
+					require.False(t, now.Add(q.settings.prefillTime(&i)).After(i.Deadline), "an item that can't meet its deadline is still queued")
 				}
 			},
 			"": func(t *rapid.T) {
-				require.Equal(t, len(naive), q.Len())
+				require.Equal(t, len(model), q.Len())
 				var queued [call.NumClasses]int64
-				for _, i := range naive {
-					queued[call.ClassOf(i.Work.PromptTokens)] += uncached(&i)
+				for _, i := range model {
+					queued[call.ClassOf(i.Work.PromptTokens)] += uncachedTokens(&i)
 				}
 				require.Equal(t, queued, q.queued)
-				for _, i := range naive {
-					if call.ClassOf(i.Work.PromptTokens) == call.Short && q.isFlooder(i.Organisation) {
-						queued[call.Short] -= uncached(&i)
+				for _, i := range model {
+					if call.ClassOf(i.Work.PromptTokens) == call.Short && q.isOrganisationFlooding(i.Organisation) {
+						queued[call.Short] -= uncachedTokens(&i)
 					}
 				}
 				require.Equal(t, queued, q.Queued())
@@ -110,21 +110,20 @@
 	})
 }
 
-// Symptom: a long prompt expires unstarted although the engine serves on.
-// Sequence: short prompts arrive faster than they start, for as long as the long one waits.
-// Cause: strict priority of short over long. The bound: once aged, the long one starts at
-// the next Pop with memory, or after the short ones' turn for those aged before it.
-func TestLongWaitIsBoundedUnderAFloodOfShort(t *testing.T) {
+// Under strict priority of short items, a long item would expire unstarted while short
+// items arrive faster than they start. Once aged, a long item starts at the next Pop with
+// enough memory, or after the short quota of the long items that aged before it.
+func TestLongItemsStartWhileShortItemsKeepArriving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := queue(rapid.SampledFrom([]document.Objective{document.ShortSlowdown, document.TimeToFirstToken}).Draw(t, "objective"))
-		longs := rapid.IntRange(1, 4).Draw(t, "longs")
+		q := newTestQueue(rapid.SampledFrom([]document.Objective{document.ShortSlowdown, document.TimeToFirstToken}).Draw(t, "objective"))
+		longItems := rapid.IntRange(1, 4).Draw(t, "longs")
 		const prompt = 120_000
 		next, now := uint64(0), start
 		push := func(organisation string, tokens int) {
 			next++
-			require.True(t, q.Push(item(next, organisation, tokens, now)))
+			require.True(t, q.Push(testItem(next, organisation, tokens, now)))
 		}
-		for range longs {
+		for range longItems {
 			push("big", prompt)
 		}
 		for range 50 {
@@ -132,7 +131,7 @@
 		}
 		now = now.Add(q.settings.MaxWait[call.Long])
 		shortTokens := 0.0
-		for started := 0; started < longs; {
+		for started := 0; started < longItems; {
 			push("small", 4000)
 			i, ok := q.Pop(now, capacity)
 			require.True(t, ok)
@@ -141,22 +140,21 @@
 				continue
 			}
 			shortTokens += float64(i.Work.Tokens())
-			require.LessOrEqual(t, shortTokens, float64(started)*(q.settings.ShortTurn*(prompt+100)+4100))
+			require.LessOrEqual(t, shortTokens, float64(started)*(q.settings.ShortPerAgedToken*(prompt+100)+4100))
 		}
 	})
 }
 
-// Symptom: an aged long prompt never gets its memory together.
-// Sequence: memory comes free 4,000 tokens at a time and a short prompt takes each bit.
-// Cause: short prompts may start whenever they fit.
-func TestMemoryGathersForAnAgedItem(t *testing.T) {
-	q := queue(document.ShortSlowdown)
-	require.True(t, q.Push(item(1, "big", 200_000, start)))
+// Memory becomes free 4,000 tokens at a time. If a short item could start whenever it fits,
+// short items would take all of it and the aged long item would never start.
+func TestShortItemsLeaveMemoryToAnAgedItem(t *testing.T) {
+	q := newTestQueue(document.ShortSlowdown)
+	require.True(t, q.Push(testItem(1, "big", 200_000, start)))
 	for n := range uint64(100) {
-		require.True(t, q.Push(item(n+2, "small", 4000, start)))
+		require.True(t, q.Push(testItem(n+2, "small", 4000, start)))
 	}
 	now := start.Add(q.settings.MaxWait[call.Long])
-	q.SetRunning(Running{ShortMemory: int64(q.settings.ShortShare * capacity)})
+	q.SetRunning(Running{ShortMemory: int64(q.settings.ShortMemoryShare * capacity)})
 	for free := int64(0); free < 200_100+40_000; free += 4100 {
 		_, ok := q.Pop(now, free)
 		require.False(t, ok, free)
@@ -166,13 +164,13 @@
 	require.Equal(t, id(1), i.ID)
 }
 
-func TestLongLeavesTheShareForShort(t *testing.T) {
+func TestLongItemsLeaveTheShareOfShortItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := queue(document.ShortSlowdown)
+		q := newTestQueue(document.ShortSlowdown)
 		free := int64(capacity)
 		now := start
 		for n := range uint64(40) {
-			require.True(t, q.Push(item(n+1, "big", rapid.IntRange(call.ShortMax+1, 150_000).Draw(t, "prompt"), now)))
+			require.True(t, q.Push(testItem(n+1, "big", rapid.IntRange(call.ShortMax+1, 150_000).Draw(t, "prompt"), now)))
 		}
 		for {
 			i, ok := q.Pop(now, free)
@@ -181,22 +179,22 @@
 			}
 			free -= int64(i.Work.Tokens())
 		}
-		require.GreaterOrEqual(t, free, int64(q.settings.ShortShare*capacity))
-		require.True(t, q.Push(item(99, "small", call.ShortMax, now)))
+		require.GreaterOrEqual(t, free, int64(q.settings.ShortMemoryShare*capacity))
+		require.True(t, q.Push(testItem(99, "small", call.ShortMax, now)))
 		_, ok := q.Pop(now, free)
-		require.True(t, ok, "a short one always fits")
+		require.True(t, ok, "a short item always fits")
 	})
 }
 
-// A flooding organisation gets no more tokens than another that always has work queued,
-// but for one quantum and one item.
+// A flooding organisation gets no more tokens than another that always has items queued,
+// except for one quantum and one item.
 func TestOrganisationsShareByTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := queue(document.ShortSlowdown)
+		q := newTestQueue(document.ShortSlowdown)
 		next := uint64(0)
 		push := func(organisation string, prompt int) {
 			next++
-			require.True(t, q.Push(item(next, organisation, prompt, start)))
+			require.True(t, q.Push(testItem(next, organisation, prompt, start)))
 		}
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for range 700 {
@@ -213,15 +211,15 @@
 	})
 }
 
-// Symptom: other organisations' requests find no room though it is their turn.
-// Sequence: one organisation fills memory and engine, then another's request arrives.
-// Cause: a fair queue alone hands out all room while nobody else waits.
-func TestFloodingOrganisationLeavesRoom(t *testing.T) {
-	q := queue(document.ShortSlowdown)
+// One organisation floods the queue before requests of another arrive. With fair queueing
+// alone it would fill the memory while no other organisation waits, and the later requests
+// would find no free memory.
+func TestFloodingOrganisationLeavesMemoryToOthers(t *testing.T) {
+	q := newTestQueue(document.ShortSlowdown)
 	now, next := start, uint64(0)
 	push := func(organisation string, prompt int) {
 		next++
-		require.True(t, q.Push(item(next, organisation, prompt, now)))
+		require.True(t, q.Push(testItem(next, organisation, prompt, now)))
 	}
 	for range 200 {
 		push("flood", 4000)
@@ -236,9 +234,9 @@
 		}
 		free -= int64(i.Work.Tokens())
 	}
-	require.GreaterOrEqual(t, free, int64(othersShare*capacity))
+	require.GreaterOrEqual(t, free, int64(othersMemoryShare*capacity))
 	require.Zero(t, q.Queued()[call.Short], "others don't wait for the flood")
-	flood, modest := item(1000, "flood", 4000, now), item(1001, "modest", 4000, now)
+	flood, modest := testItem(1000, "flood", 4000, now), testItem(1001, "modest", 4000, now)
 	require.Positive(t, q.Ahead(&flood))
 	require.Zero(t, q.Ahead(&modest))
 	require.Equal(t, PriorityFlood, q.EnginePriority(&flood, now))
@@ -252,16 +250,16 @@
 	require.Equal(t, 20_000, i.Work.PromptTokens, "the flood goes last")
 }
 
-// Symptom: after a pause an organisation has the queue to itself.
-// Sequence: b uses some, goes idle while a goes on, and comes back with many items.
-// Cause: b's virtual time stood still, so that idle time counts as unused share.
-func TestIdleTimeIsNotSavedUp(t *testing.T) {
-	q := queue(document.ShortSlowdown)
+// Organisation b starts some items, is idle while a continues, and returns with many items.
+// If the virtual time of b did not advance in between, b would have the queue to itself
+// until it caught up.
+func TestIdleTimeEarnsNoCredit(t *testing.T) {
+	q := newTestQueue(document.ShortSlowdown)
 	next := uint64(0)
 	push := func(organisation string, count int) {
 		for range count {
 			next++
-			require.True(t, q.Push(item(next, organisation, 4000, start)))
+			require.True(t, q.Push(testItem(next, organisation, 4000, start)))
 		}
 	}
 	starts := func(count int) map[string]int {
@@ -282,11 +280,11 @@
 }
 
 func TestAgingRaisesEnginePriority(t *testing.T) {
-	q := queue(document.ShortSlowdown)
-	long := item(1, "a", 200_000, start)
+	q := newTestQueue(document.ShortSlowdown)
+	long := testItem(1, "a", 200_000, start)
 	require.Equal(t, PriorityLong, q.EnginePriority(&long, start))
 	require.Equal(t, PriorityAged, q.EnginePriority(&long, start.Add(time.Minute)))
-	short := item(2, "a", 100, start)
+	short := testItem(2, "a", 100, start)
 	require.Equal(t, PriorityShort, q.EnginePriority(&short, start))
 }
 
@@ -294,7 +292,7 @@
 	for _, organisations := range []int{10, 10_000} {
 		b.Run(fmt.Sprintf("queued=10000/organisations=%d", organisations), func(b *testing.B) {
 			random := rand.New(rand.NewPCG(1, 2))
-			q := queue(document.ShortSlowdown)
+			q := newTestQueue(document.ShortSlowdown)
 			q.settings.Limit++
 			names := make([]string, organisations)
 			for i := range names {
@@ -306,7 +304,7 @@
 				if n%50 == 0 {
 					prompt = call.MediumMax + random.IntN(300_000)
 				}
-				q.Push(item(n, names[random.IntN(organisations)], prompt, now))
+				q.Push(testItem(n, names[random.IntN(organisations)], prompt, now))
 			}
 			for n := range uint64(10_000) {
 				push(n)
--- a/core/scheduling/scheduling.go
+++ b/core/scheduling/scheduling.go
@@ -1,5 +1,6 @@
-// Package scheduling orders the requests that wait at one agent. Its decisions are
-// pure: arrivals, departures and the time go in, the next request to start comes out.
+// Package scheduling orders the requests that wait at one agent. It does no I/O and reads
+// no clock: arrivals, departures and the time are inputs, the next request to start is the
+// output.
 package scheduling
 
 import (
@@ -13,10 +14,10 @@
 	ID           call.ID
 	Organisation string
 	Work         call.Work
-	// Cached is the number of prompt tokens believed to be in the engine's prefix cache.
+	// Cached is the estimated number of prompt tokens in the engine's prefix cache.
 	Cached int
-	// Need is the memory that the item takes at this engine, in tokens; 0 means all of
-	// Work.Tokens. It is less for a request that a group of engines shares.
+	// Need is the memory that the item occupies at this engine, in tokens; 0 means all of
+	// Work.Tokens. It is smaller for a request that a group of engines shares.
 	Need     int64
 	Enqueued time.Time
 	Deadline time.Time
@@ -24,18 +25,18 @@
 
 // Queue orders the requests that wait at one agent. It is not safe for concurrent use.
 type Queue interface {
-	// Push adds an item; false when the queue is full.
+	// Push adds an item. It returns false when the queue is full.
 	Push(item Item) bool
 	// Pop removes and returns the item to start now, given the engine's free memory in
-	// tokens; false when nothing can start.
+	// tokens. It returns false when no item can start.
 	Pop(now time.Time, freeTokens int64) (Item, bool)
-	// Remove takes out a cancelled item; false when it is not queued.
+	// Remove removes a cancelled item. It returns false when the item is not queued.
 	Remove(id call.ID) bool
-	// Len is the number of items queued.
+	// Len returns the number of queued items.
 	Len() int
 }
 
-// FIFO is the baseline: first in, first out, one length class.
+// FIFO is the baseline queue: first in, first out, without length classes.
 type FIFO struct {
 	limit int
 	items []Item
@@ -55,7 +56,7 @@
 
 // Pop implements Queue.
 func (q *FIFO) Pop(_ time.Time, freeTokens int64) (Item, bool) {
-	if len(q.items) == 0 || q.items[0].need() > freeTokens {
+	if len(q.items) == 0 || q.items[0].memory() > freeTokens {
 		return Item{}, false
 	}
 	item := q.items[0]
@@ -63,8 +64,8 @@
 	return item, true
 }
 
-// need is the memory that the item takes at this engine, in tokens.
-func (i *Item) need() int64 {
+// memory returns the memory that the item occupies at this engine, in tokens.
+func (i *Item) memory() int64 {
 	if i.Need > 0 {
 		return i.Need
 	}
