--- a/core/reservation/book.go
+++ b/core/reservation/book.go
@@ -1,7 +1,7 @@
-// Package reservation keeps account of engine memory: an agent's Book of who holds what,
-// and Group, which takes memory of several engines all or nothing. Both are pure state
-// machines: events and the time go in, decisions come out. Neither is safe for
-// concurrent use.
+// Package reservation tracks reservations of engine memory. A Book holds the reservations
+// at one agent's engine, and a Group reserves memory at several engines, all or nothing.
+// Both are state machines without I/O: events and the time are inputs, decisions are the
+// output. Neither is safe for concurrent use.
 package reservation
 
 import (
@@ -12,116 +12,118 @@
 	"acaciacleat.example/core/result"
 )
 
-// State is where a reservation stands.
+// State is the state of a reservation.
 type State uint8
 
 // The states of a reservation.
 const (
-	// Reserved memory is kept free for its owner until ConfirmWithin has passed.
+	// Reserved memory is kept for its owner until ConfirmWithin has passed.
 	Reserved State = iota
-	// Confirmed memory is in use until it is released, the deadline passes or its owner
-	// stays silent.
+	// Confirmed memory is in use until it is released, its deadline passes or its owner is
+	// silent for too long.
 	Confirmed
 )
 
 // Reservation is memory that one request holds at one engine.
 type Reservation struct {
 	ID call.ID
-	// Attempt counts the tries of the request, or of its group, to get memory here.
+	// Attempt numbers the attempts of the request, or of its group, to reserve memory here.
 	Attempt call.Attempt
-	// Owner is the incarnation of the process that asked: an entry, or for a group the
-	// agent that leads it.
+	// Owner is the incarnation of the process that reserved the memory: an entry, or the
+	// agent that leads a group.
 	Owner    call.Incarnation
 	Tokens   int64
 	Deadline time.Time
 	State    State
-	// Since is when the reservation came into its present state.
+	// Since is when the reservation entered its current state.
 	Since time.Time
 }
 
-// Options bounds how long memory may be held without a sign of life.
+// Options bounds how long memory may be held without activity of its owner.
 type Options struct {
-	// ConfirmWithin is how long a reservation waits to be confirmed.
+	// ConfirmWithin is how long a reservation may stay unconfirmed.
 	ConfirmWithin time.Duration
-	// SilenceGrace is how long an owner may stay silent before all it holds is released.
-	SilenceGrace time.Duration
-	// ReportMargin is how much older than it says an engine's report may be.
+	// OwnerTimeout is how long an owner may be silent before all its memory is released.
+	OwnerTimeout time.Duration
+	// ReportMargin is how much older an engine's report may be than its stated age.
 	ReportMargin time.Duration
 }
 
 // DefaultOptions returns the usual bounds.
 func DefaultOptions() Options {
 	return Options{
-		ConfirmWithin: 5 * time.Second,  // a group of four asked one by one takes under 20 ms
-		SilenceGrace:  10 * time.Second, // several missed heartbeats
+		ConfirmWithin: 5 * time.Second,  // reserving at a group of four one by one takes under 20 ms
+		OwnerTimeout:  10 * time.Second, // several missed heartbeats
 		ReportMargin:  2 * time.Second,  // reports lag about a second
 	}
 }
 
-// releasedLimit bounds the releases remembered to judge late reports and late requests.
-const releasedLimit = 65_536
+// maxTombstones bounds the number of tombstones, which are kept to recognise late reports
+// and late requests.
+const maxTombstones = 65_536
 
-// Book is an agent's account of its engine's memory.
+// Book holds the reservations of one engine's memory.
 type Book struct {
-	options  Options
-	capacity int64
-	held     map[call.ID]*Reservation
-	owners   map[call.Incarnation]*owner
-	// released remembers releases: requests and reports that are older come for a while.
-	released map[call.ID]release
-	used     int64
-	orphaned int64
+	options      Options
+	capacity     int64
+	reservations map[call.ID]*Reservation
+	owners       map[call.Incarnation]*owner
+	// tombstones records releases, since requests and reports from before a release may still
+	// arrive for a while.
+	tombstones     map[call.ID]tombstone
+	used           int64
+	orphanedTokens int64
 }
 
-type release struct {
-	at      time.Time
-	attempt call.Attempt
+type tombstone struct {
+	releasedAt time.Time
+	attempt    call.Attempt
 }
 
 type owner struct {
-	heard    time.Time
-	holdings int
+	lastSeen     time.Time
+	reservations int
 }
 
-// NewBook returns the book of an engine with the given memory in tokens.
+// NewBook returns an empty book for an engine with the given memory in tokens.
 func NewBook(capacity int64, options Options) *Book {
 	return &Book{
-		options:  options,
-		capacity: capacity,
-		held:     make(map[call.ID]*Reservation),
-		owners:   make(map[call.Incarnation]*owner),
-		released: make(map[call.ID]release),
+		options:      options,
+		capacity:     capacity,
+		reservations: make(map[call.ID]*Reservation),
+		owners:       make(map[call.Incarnation]*owner),
+		tombstones:   make(map[call.ID]tombstone),
 	}
 }
 
-// Free is the memory in tokens that is neither reserved nor held by orphans, never negative.
-func (b *Book) Free() int64 { return max(0, b.capacity-b.used-b.orphaned) }
+// Free returns the memory in tokens that neither reservations nor orphans hold. It is never
+// negative.
+func (b *Book) Free() int64 { return max(0, b.capacity-b.used-b.orphanedTokens) }
 
-// Used is the memory in tokens that reservations hold.
+// Used returns the memory in tokens that reservations hold.
 func (b *Book) Used() int64 { return b.used }
 
-// Len is the number of reservations.
-func (b *Book) Len() int { return len(b.held) }
+// Len returns the number of reservations.
+func (b *Book) Len() int { return len(b.reservations) }
 
 // Get returns the reservation of an ID.
 func (b *Book) Get(id call.ID) (Reservation, bool) {
-	r := b.held[id]
+	r := b.reservations[id]
 	if r == nil {
 		return Reservation{}, false
 	}
 	return *r, true
 }
 
-// Reserve keeps memory for r.Owner. A repeat of the same reservation succeeds and changes
-// nothing; a later attempt of the same owner takes the place of an earlier one. Errors are
+// Reserve reserves memory for r.Owner. Repeating a reservation succeeds and changes
+// nothing; a later attempt of the same owner replaces an earlier one. Errors are of type
 // *result.Error, all not-run: MemoryFull, DeadlinePassed, Tombstoned when the attempt was
-// released before, WrongIncarnation when another owner holds the ID.
+// released before, and WrongIncarnation when another owner holds the ID.
 //
-// What goes wrong: a reserve that was delayed arrives after the release of its own
-// request. It shows as memory held for a request that is over. The release is
-// remembered, so the late one is refused.
+// A delayed reserve message may arrive after the release of its own request and would then
+// hold memory for a request that has ended. The tombstone of the release rejects it.
 func (b *Book) Reserve(r Reservation, now time.Time) error {
-	if known := b.held[r.ID]; known != nil {
+	if known := b.reservations[r.ID]; known != nil {
 		if known.Owner != r.Owner {
 			return result.New(result.WrongIncarnation, result.NotRun, "%s is held by another owner", r.ID)
 		}
@@ -130,7 +132,7 @@
 		}
 		b.Release(r.ID, known.Attempt, now)
 	}
-	if over, known := b.released[r.ID]; known && over.attempt >= r.Attempt {
+	if released, known := b.tombstones[r.ID]; known && released.attempt >= r.Attempt {
 		return result.New(result.Tombstoned, result.NotRun, "attempt %d of %s was released before", r.Attempt, r.ID)
 	}
 	if !now.Before(r.Deadline) {
@@ -141,30 +143,30 @@
 	}
 	r.State = Reserved
 	r.Since = now
-	b.held[r.ID] = &r
+	b.reservations[r.ID] = &r
 	b.used += r.Tokens
-	b.owner(r.Owner, now).holdings++
+	b.touchOwner(r.Owner, now).reservations++
 	return nil
 }
 
-func (b *Book) owner(incarnation call.Incarnation, now time.Time) *owner {
+func (b *Book) touchOwner(incarnation call.Incarnation, now time.Time) *owner {
 	o := b.owners[incarnation]
 	if o == nil {
 		o = &owner{}
 		b.owners[incarnation] = o
 	}
-	o.heard = now
+	o.lastSeen = now
 	return o
 }
 
-// Confirm marks memory as used from now on. The error is Tombstoned when the reservation
-// has expired or was never made; the owner must then give up the whole request.
+// Confirm marks reserved memory as in use. The error is Tombstoned when the reservation has
+// expired or was never made; the owner must then abort the whole request.
 func (b *Book) Confirm(id call.ID, attempt call.Attempt, incarnation call.Incarnation, now time.Time) error {
-	r := b.held[id]
+	r := b.reservations[id]
 	if r == nil || r.Owner != incarnation || r.Attempt != attempt {
 		return result.New(result.Tombstoned, result.NotRun, "%s holds no memory here", id)
 	}
-	b.owner(incarnation, now)
+	b.touchOwner(incarnation, now)
 	if r.State == Reserved {
 		r.State = Confirmed
 		r.Since = now
@@ -172,93 +174,94 @@
 	return nil
 }
 
-// Release frees the memory that an ID holds by this attempt or an earlier one, and
-// remembers that these are over; false when it held none.
+// Release frees the memory that an ID holds under this attempt or an earlier one, and
+// records a tombstone for these attempts. It returns false when the ID held no memory.
 func (b *Book) Release(id call.ID, attempt call.Attempt, now time.Time) bool {
-	b.remember(id, attempt, now)
-	r := b.held[id]
+	b.addTombstone(id, attempt, now)
+	r := b.reservations[id]
 	if r == nil || r.Attempt > attempt {
 		return false
 	}
-	delete(b.held, id)
+	delete(b.reservations, id)
 	b.used -= r.Tokens
 	o := b.owners[r.Owner]
-	o.holdings--
-	if o.holdings == 0 {
+	o.reservations--
+	if o.reservations == 0 {
 		delete(b.owners, r.Owner)
 	}
 	return true
 }
 
-func (b *Book) remember(id call.ID, attempt call.Attempt, now time.Time) {
-	if len(b.released) >= releasedLimit {
-		b.forget(now)
+func (b *Book) addTombstone(id call.ID, attempt call.Attempt, now time.Time) {
+	if len(b.tombstones) >= maxTombstones {
+		b.pruneTombstones(now)
 	}
-	b.released[id] = release{at: now, attempt: max(attempt, b.released[id].attempt)}
+	b.tombstones[id] = tombstone{releasedAt: now, attempt: max(attempt, b.tombstones[id].attempt)}
 }
 
-// forget drops releases that no report or request can still be about, and in a flood all.
-func (b *Book) forget(now time.Time) {
-	for id, over := range b.released {
-		if now.Sub(over.at) > b.memory() {
-			delete(b.released, id)
+// pruneTombstones drops the tombstones for which no late report or request can arrive any
+// more. If too many remain, it drops all of them.
+func (b *Book) pruneTombstones(now time.Time) {
+	for id, released := range b.tombstones {
+		if now.Sub(released.releasedAt) > b.tombstoneTTL() {
+			delete(b.tombstones, id)
 		}
 	}
-	if len(b.released) >= releasedLimit {
-		clear(b.released)
+	if len(b.tombstones) >= maxTombstones {
+		clear(b.tombstones)
 	}
 }
 
-// memory is how long a release is remembered.
-func (b *Book) memory() time.Duration {
-	return 2 * (b.options.ConfirmWithin + b.options.SilenceGrace + b.options.ReportMargin)
+// tombstoneTTL returns how long a tombstone is kept.
+func (b *Book) tombstoneTTL() time.Duration {
+	return 2 * (b.options.ConfirmWithin + b.options.OwnerTimeout + b.options.ReportMargin)
 }
 
-// Alive records a sign of life of an owner: any frame on its link.
+// Alive records activity of an owner, which is any frame on its link.
 func (b *Book) Alive(incarnation call.Incarnation, now time.Time) {
 	if o := b.owners[incarnation]; o != nil {
-		o.heard = now
+		o.lastSeen = now
 	}
 }
 
-// Expire releases what was not confirmed in time, what is past its deadline and what
-// belongs to silent owners, and returns it, ordered by ID. The caller cancels it at the
+// Expire releases the reservations that were not confirmed in time, are past their deadline
+// or belong to silent owners. It returns them sorted by ID; the caller cancels them at the
 // engine.
 //
-// What goes wrong: an entry dies, or its link goes silent, and nothing asks for the
-// release of what it held. It shows as an engine that refuses work while it idles. Every
-// reservation ends by the clock unless its owner gives signs of life.
+// When an entry crashes or its link fails, no release message arrives for its reservations,
+// and the engine would reject requests while it is idle. Every reservation therefore
+// expires unless its owner shows activity.
 func (b *Book) Expire(now time.Time) []Reservation {
 	var expired []Reservation
-	for _, r := range b.held {
-		if !now.Before(b.end(r)) {
+	for _, r := range b.reservations {
+		if !now.Before(b.expiresAt(r)) {
 			expired = append(expired, *r)
 		}
 	}
-	sort.Slice(expired, func(i, j int) bool { return before(expired[i].ID, expired[j].ID) })
+	sort.Slice(expired, func(i, j int) bool { return lessID(expired[i].ID, expired[j].ID) })
 	for _, r := range expired {
 		b.Release(r.ID, r.Attempt, now)
 	}
-	b.forget(now)
+	b.pruneTombstones(now)
 	return expired
 }
 
-// NextExpiry is when Expire next has something to release if nothing else happens; false
-// when there is no reservation.
+// NextExpiry returns when the next reservation expires if nothing else happens. It returns
+// false when there is no reservation.
 func (b *Book) NextExpiry() (time.Time, bool) {
 	var next time.Time
-	for _, r := range b.held {
-		if end := b.end(r); next.IsZero() || end.Before(next) {
+	for _, r := range b.reservations {
+		if end := b.expiresAt(r); next.IsZero() || end.Before(next) {
 			next = end
 		}
 	}
 	return next, !next.IsZero()
 }
 
-// end is when a reservation ends without a further sign of its owner.
-func (b *Book) end(r *Reservation) time.Time {
+// expiresAt returns when a reservation expires without further activity of its owner.
+func (b *Book) expiresAt(r *Reservation) time.Time {
 	end := r.Deadline
-	if silent := b.owners[r.Owner].heard.Add(b.options.SilenceGrace); silent.Before(end) {
+	if silent := b.owners[r.Owner].lastSeen.Add(b.options.OwnerTimeout); silent.Before(end) {
 		end = silent
 	}
 	if unconfirmed := r.Since.Add(b.options.ConfirmWithin); r.State == Reserved && unconfirmed.Before(end) {
@@ -267,7 +270,7 @@
 	return end
 }
 
-func before(a, b call.ID) bool {
+func lessID(a, b call.ID) bool {
 	for i := range a {
 		if a[i] != b[i] {
 			return a[i] < b[i]
--- a/core/reservation/book_test.go
+++ b/core/reservation/book_test.go
@@ -16,7 +16,7 @@
 
 func id(n int) call.ID { return call.ID{byte(n)} }
 
-func reserve(n int, owner call.Incarnation, tokens int64) Reservation {
+func newReservation(n int, owner call.Incarnation, tokens int64) Reservation {
 	return Reservation{ID: id(n), Attempt: 1, Owner: owner, Tokens: tokens, Deadline: start.Add(time.Minute)}
 }
 
@@ -27,108 +27,107 @@
 	require.Equal(t, result.NotRun, refused.Execution)
 }
 
-func TestBookRefusals(t *testing.T) {
+func TestPoolRefusals(t *testing.T) {
 	b := NewBook(100, DefaultOptions())
-	require.NoError(t, b.Reserve(reserve(1, 7, 60), start))
-	require.NoError(t, b.Reserve(reserve(1, 7, 60), start), "a repeat")
-	requireCode(t, result.WrongIncarnation, b.Reserve(reserve(1, 8, 60), start))
-	requireCode(t, result.MemoryFull, b.Reserve(reserve(2, 7, 41), start))
-	requireCode(t, result.DeadlinePassed, b.Reserve(reserve(3, 7, 1), start.Add(time.Hour)))
+	require.NoError(t, b.Reserve(newReservation(1, 7, 60), start))
+	require.NoError(t, b.Reserve(newReservation(1, 7, 60), start), "repeated reservation")
+	requireCode(t, result.WrongIncarnation, b.Reserve(newReservation(1, 8, 60), start))
+	requireCode(t, result.MemoryFull, b.Reserve(newReservation(2, 7, 41), start))
+	requireCode(t, result.DeadlinePassed, b.Reserve(newReservation(3, 7, 1), start.Add(time.Hour)))
 	requireCode(t, result.Tombstoned, b.Confirm(id(1), 1, 8, start))
 	require.NoError(t, b.Confirm(id(1), 1, 7, start))
 	require.True(t, b.Release(id(1), 1, start))
 	require.False(t, b.Release(id(1), 1, start))
-	requireCode(t, result.Tombstoned, b.Reserve(reserve(1, 7, 60), start))
-	again := reserve(1, 7, 60)
+	requireCode(t, result.Tombstoned, b.Reserve(newReservation(1, 7, 60), start))
+	again := newReservation(1, 7, 60)
 	again.Attempt = 2
 	require.NoError(t, b.Reserve(again, start))
 	require.False(t, b.Release(id(1), 1, start), "late release of the first attempt")
 	require.EqualValues(t, 40, b.Free())
 }
 
-// Symptom: an engine refuses work while it idles.
-// Sequence: an entry reserves, dies, and sends no release.
-// Cause: memory that only its owner could free.
-func TestSilentOwnersAndUnconfirmedExpire(t *testing.T) {
+// An entry reserves memory, crashes and sends no release. If only the owner could free the
+// memory, the engine would reject requests while it is idle.
+func TestReservationsOfSilentOwnersAndUnconfirmedOnesExpire(t *testing.T) {
 	b := NewBook(100, DefaultOptions())
 	for n, owner := range map[int]call.Incarnation{1: 7, 2: 7, 3: 8} {
-		require.NoError(t, b.Reserve(reserve(n, owner, 10), start))
+		require.NoError(t, b.Reserve(newReservation(n, owner, 10), start))
 	}
 	require.NoError(t, b.Confirm(id(1), 1, 7, start))
 	require.NoError(t, b.Confirm(id(3), 1, 8, start))
 	next, ok := b.NextExpiry()
 	require.True(t, ok)
 	require.Equal(t, start.Add(b.options.ConfirmWithin), next)
-	require.Len(t, b.Expire(next), 1, "2 was never confirmed")
+	require.Len(t, b.Expire(next), 1, "reservation 2 was never confirmed")
 	b.Alive(8, start.Add(9*time.Second))
-	expired := b.Expire(start.Add(b.options.SilenceGrace))
+	expired := b.Expire(start.Add(b.options.OwnerTimeout))
 	require.Len(t, expired, 1)
 	require.Equal(t, id(1), expired[0].ID)
 	b.Alive(8, start.Add(59*time.Second))
-	require.Len(t, b.Expire(start.Add(time.Minute)), 1, "the deadline ends it, alive or not")
+	require.Len(t, b.Expire(start.Add(time.Minute)), 1, "it expires at its deadline although the owner is active")
 	require.EqualValues(t, 100, b.Free())
 	require.Empty(t, b.owners)
 }
 
-// Symptom: the book has free memory, the engine has none.
-// Sequence: a cancel's answer is lost, or the agent restarts; the engine runs on.
-// Cause: nobody compares the engine's report with the book.
+// The answer to a cancellation is lost, or the agent restarts, and the engine keeps running
+// the request. Without reconciliation the book would show free memory that the engine does
+// not have.
 func TestReconcileFindsOrphansAndMissing(t *testing.T) {
 	b := NewBook(100, DefaultOptions())
 	for n := 1; n <= 3; n++ {
-		require.NoError(t, b.Reserve(reserve(n, 7, 10), start))
+		require.NoError(t, b.Reserve(newReservation(n, 7, 10), start))
 		require.NoError(t, b.Confirm(id(n), 1, 7, start))
 	}
 	at := start.Add(5 * time.Second)
 	b.Release(id(3), 1, at)
 	report := Report{TakenAt: at, Held: []Holding{{id(1), 10}, {id(3), 10}, {id(9), 30}}, ForeignTokens: 5}
 	require.Equal(t, Difference{Orphans: []call.ID{id(9)}, Missing: []call.ID{id(2)}}, b.Reconcile(report))
-	require.EqualValues(t, 100-20-30-5, b.Free(), "3 was released about the time of the report")
+	require.EqualValues(t, 100-20-30-5, b.Free(), "reservation 3 was released shortly before the report")
 	report.TakenAt = at.Add(5 * time.Second)
 	require.Equal(t, []call.ID{id(3), id(9)}, b.Reconcile(report).Orphans)
 	b.Reconcile(Report{TakenAt: start, Held: nil})
-	require.EqualValues(t, 80, b.Free(), "orphans are gone from the report")
+	require.EqualValues(t, 80, b.Free(), "the report no longer lists orphans")
 	require.Empty(t, b.Reconcile(Report{TakenAt: start}).Missing, "the report is older than the confirmation")
 }
 
-// The book's sums agree with a plain list after any sequence of events.
-func TestBookAgreesWithNaiveSum(t *testing.T) {
+// After any sequence of events, the book's sums agree with a map of the reservations.
+func TestPoolMatchesNaiveModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBook(1000, DefaultOptions())
-		naive := make(map[call.ID]int64)
+		model := make(map[call.ID]int64)
 		now := start
 		n := rapid.IntRange(0, 20)
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": func(t *rapid.T) {
-				r := reserve(n.Draw(t, "id"), call.Incarnation(rapid.IntRange(1, 3).Draw(t, "owner")), int64(rapid.IntRange(1, 400).Draw(t, "tokens")))
+				r := newReservation(n.Draw(t, "id"), call.Incarnation(rapid.IntRange(1, 3).Draw(t, "owner")), int64(rapid.IntRange(1, 400).Draw(t, "tokens")))
 				r.Deadline = now.Add(20 * time.Second)
-				if _, held := naive[r.ID]; b.Reserve(r, now) == nil && !held {
-					naive[r.ID] = r.Tokens
+				if _, held := model[r.ID]; b.Reserve(r, now) == nil && !held {
+					model[r.ID] = r.Tokens
 				}
 			},
 			"confirm": func(t *rapid.T) { _ = b.Confirm(id(n.Draw(t, "id")), 1, 1, now) },
 			"alive":   func(t *rapid.T) { b.Alive(1, now) },
 			"release": func(t *rapid.T) {
-				victim := id(n.Draw(t, "id"))
-				_, held := naive[victim]
-				require.Equal(t, held, b.Release(victim, 1, now))
-				delete(naive, victim)
+				released := id(n.Draw(t, "id"))
+				_, held := model[released]
+				require.Equal(t, held, b.Release(released, 1, now))
+				delete(model, released)
 			},
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 8000).Draw(t, "ms")) * time.Millisecond)
 				for _, r := range b.Expire(now) {
-					require.Contains(t, naive, r.ID)
-					delete(naive, r.ID)
+					require.Contains(t, model, r.ID)
+					delete(model, r.ID)
 				}
 			},
 			"": func(t *rapid.T) {
 				sum := int64(0)
-				for _, tokens := range naive {
+				for _, tokens := range model {
 					sum += tokens
 				}
 				require.Equal(t, sum, b.Used())
 				require.LessOrEqual(t, sum, int64(1000))
-				require.Equal(t, len(naive), b.Len())
+				require.Equal(t, len(model), b.Len())
 			},
 		})
 	})
--- a/core/reservation/group.go
+++ b/core/reservation/group.go
@@ -6,68 +6,69 @@
 	"time"
 )
 
-// Phase is where a Group stands.
+// Phase is the phase of a Group.
 type Phase uint8
 
-// The phases of a Group, in order. Failed and Over are final.
+// The phases of a Group, in order. Failed and Released are final.
 const (
-	// Reserving asks one member after the other.
+	// Reserving means that the members are asked to reserve, one after the other.
 	Reserving Phase = iota
-	// Confirming has all reservations and asks all members to confirm.
+	// Confirming means that all members have reserved and are asked to confirm.
 	Confirming
-	// Held has all the memory.
+	// Held means that the group holds all its memory.
 	Held
-	// Failed has got nothing, and has asked every member that may hold memory to release it.
+	// Failed means that the group did not get its memory, and that every member that may
+	// hold some has been asked to release it.
 	Failed
-	// Over was held and has been released.
-	Over
+	// Released means that the group held its memory and has released it.
+	Released
 )
 
-// Verb is what an Action asks of a member's agent.
+// Verb is the operation that an Action requests of a member's agent.
 type Verb uint8
 
-// The verbs, each a call of Book.
+// The operations, each a call of Book.
 const (
 	DoReserve Verb = iota
 	DoConfirm
 	DoRelease
 )
 
-// Member is one agent of a group and the memory asked of its engine.
+// Member is one agent of a group and the memory requested at its engine.
 type Member struct {
 	Agent  string
 	Tokens int64
 }
 
-// Action is a message that the shell sends to the agent of a member.
+// Action is a message that the caller sends to a member's agent.
 type Action struct {
 	Verb   Verb
 	Agent  string
 	Tokens int64
 }
 
-// Group takes memory at several engines, all or nothing, for a prompt larger than one
-// engine's memory. The agent that will run the request leads it.
+// Group reserves memory at several engines, all or nothing, for a prompt larger than one
+// engine's memory. The agent that will run the request leads the group.
 //
-// What goes wrong without it: two groups each hold a part of the engines and wait for the
-// rest for ever, or a leader dies between two reservations and strands the first. Here
-// members are asked one at a time in the order of their names, which is the same for all
-// groups; a refusal gives up the whole group, so nothing held waits; and each Book ends
-// by the clock what was not confirmed or whose owner is silent. Two groups on the same
-// engines can't both fail on each other: the one that got the first common member is
-// refused by none of the rest. A new try of a failed group is a new Group with a higher
-// Attempt in its reservations, so that late messages of the old one can't touch it.
+// Two groups must not deadlock by each holding a part of the engines, and a leader that
+// crashes between two reservations must not leak the first. Members are therefore asked one
+// at a time in the order of their names, which is the same for all groups; a refusal fails
+// the whole group, so that no memory is held while waiting; and each Book expires what was
+// not confirmed in time or whose owner is silent. Two groups on the same engines can't
+// both fail because of each other: the one that reserves the first common member is not
+// refused by the other members. A failed group is retried as a new Group with a higher
+// Attempt in its reservations, so that late messages of the old one have no effect on it.
 type Group struct {
-	members   []Member
-	phase     Phase
-	next      int // the member that is being asked to reserve
-	confirmed []bool
-	deadline  time.Time
+	members    []Member
+	phase      Phase
+	nextMember int // index of the member that is being asked to reserve
+	confirmed  []bool
+	deadline   time.Time
 }
 
-// NewGroup returns a group and its first actions. Members must have different agents;
-// deadline bounds the taking of all the memory, and should be under the books'
-// ConfirmWithin.
+// NewGroup returns a group and its first actions. Members must have different agents.
+// deadline is the time by which all memory must be held; it should be less than the books'
+// ConfirmWithin away.
 func NewGroup(members []Member, deadline time.Time) (*Group, []Action) {
 	g := &Group{
 		members:   slices.Clone(members),
@@ -79,28 +80,28 @@
 		g.phase = Held
 		return g, nil
 	}
-	return g, []Action{g.ask(DoReserve, 0)}
+	return g, []Action{g.actionFor(DoReserve, 0)}
 }
 
-// Phase returns where the group stands.
+// Phase returns the group's phase.
 func (g *Group) Phase() Phase { return g.phase }
 
-func (g *Group) ask(verb Verb, i int) Action {
+func (g *Group) actionFor(verb Verb, i int) Action {
 	return Action{Verb: verb, Agent: g.members[i].Agent, Tokens: g.members[i].Tokens}
 }
 
-// Answered takes the answer of an agent to DoReserve or DoConfirm; answers to DoRelease
-// need not be told. Answers that are late, repeated or of other agents change nothing.
+// Answered handles an agent's answer to DoReserve or DoConfirm; answers to DoRelease need
+// not be passed in. Late or repeated answers and those of other agents have no effect.
 func (g *Group) Answered(verb Verb, agent string, ok bool) []Action {
 	i := g.index(agent)
 	if i < 0 {
 		return nil
 	}
 	switch {
-	case verb == DoReserve && g.phase == Reserving && i == g.next:
-		return g.reserved(ok)
+	case verb == DoReserve && g.phase == Reserving && i == g.nextMember:
+		return g.handleReserveAnswer(ok)
 	case verb == DoConfirm && g.phase == Confirming:
-		return g.confirm(i, ok)
+		return g.handleConfirmAnswer(i, ok)
 	default:
 		return nil
 	}
@@ -110,19 +111,19 @@
 	return slices.IndexFunc(g.members, func(m Member) bool { return m.Agent == agent })
 }
 
-func (g *Group) reserved(ok bool) []Action {
+func (g *Group) handleReserveAnswer(ok bool) []Action {
 	if !ok {
-		return g.fail(g.next)
+		return g.fail(g.nextMember)
 	}
-	g.next++
-	if g.next < len(g.members) {
-		return []Action{g.ask(DoReserve, g.next)}
+	g.nextMember++
+	if g.nextMember < len(g.members) {
+		return []Action{g.actionFor(DoReserve, g.nextMember)}
 	}
 	g.phase = Confirming
-	return g.all(DoConfirm, len(g.members))
+	return g.actionsForFirst(DoConfirm, len(g.members))
 }
 
-func (g *Group) confirm(i int, ok bool) []Action {
+func (g *Group) handleConfirmAnswer(i int, ok bool) []Action {
 	if !ok {
 		return g.fail(len(g.members))
 	}
@@ -133,49 +134,51 @@
 	return nil
 }
 
-// fail gives up the group; the first count members may hold memory.
+// fail fails the group and releases the memory of the first count members, which may hold
+// some.
 func (g *Group) fail(count int) []Action {
 	g.phase = Failed
-	return g.all(DoRelease, count)
+	return g.actionsForFirst(DoRelease, count)
 }
 
-func (g *Group) all(verb Verb, count int) []Action {
+func (g *Group) actionsForFirst(verb Verb, count int) []Action {
 	actions := make([]Action, 0, count)
 	for i := range count {
-		actions = append(actions, g.ask(verb, i))
+		actions = append(actions, g.actionFor(verb, i))
 	}
 	return actions
 }
 
-// Tick gives up a group that is not held by its deadline. The member being asked may have
-// reserved and its answer be lost, so it is told to release too.
+// Tick fails a group that does not hold its memory by the deadline. The member being asked
+// may have reserved although its answer was lost, so it is asked to release too.
 func (g *Group) Tick(now time.Time) []Action {
 	if g.phase >= Held || now.Before(g.deadline) {
 		return nil
 	}
-	return g.fail(min(g.next+1, len(g.members)))
+	return g.fail(min(g.nextMember+1, len(g.members)))
 }
 
-// MemberLost tells that an agent or its engine is gone: the rest is released together.
+// MemberLost handles the loss of a member's agent or engine: the group releases the memory
+// at all members.
 func (g *Group) MemberLost(agent string) []Action {
-	if g.index(agent) < 0 || g.phase == Failed || g.phase == Over {
+	if g.index(agent) < 0 || g.phase == Failed || g.phase == Released {
 		return nil
 	}
 	if g.phase == Held {
 		return g.Release()
 	}
-	return g.fail(min(g.next+1, len(g.members)))
+	return g.fail(min(g.nextMember+1, len(g.members)))
 }
 
-// Release gives up all the memory of the group, whatever its phase.
+// Release releases all memory of the group, whatever its phase.
 func (g *Group) Release() []Action {
 	switch g.phase {
-	case Failed, Over:
+	case Failed, Released:
 		return nil
 	case Held:
-		g.phase = Over
-		return g.all(DoRelease, len(g.members))
+		g.phase = Released
+		return g.actionsForFirst(DoRelease, len(g.members))
 	default:
-		return g.fail(min(g.next+1, len(g.members)))
+		return g.fail(min(g.nextMember+1, len(g.members)))
 	}
 }
--- a/core/reservation/reconcile.go
+++ b/core/reservation/reconcile.go
@@ -7,64 +7,64 @@
 	"acaciacleat.example/core/call"
 )
 
-// Report is what an engine says it holds.
+// Report is an engine's report of the memory it holds.
 type Report struct {
-	// TakenAt is when the engine was in that state, by the agent's clock: the time of
-	// receipt less the age that the report states.
+	// TakenAt is when the engine was in the reported state, by the agent's clock: the time of
+	// receipt minus the age given in the report.
 	TakenAt time.Time
 	Held    []Holding
-	// ForeignTokens is memory held under names that are no call.ID.
+	// ForeignTokens is memory held under names that are not a call.ID.
 	ForeignTokens int64
 }
 
-// Holding is one holder of memory in a Report.
+// Holding is the memory of one request in a Report.
 type Holding struct {
 	ID     call.ID
 	Tokens int64
 }
 
-// Difference is where the book and the engine's report disagree. Both lists are ordered.
+// Difference lists where the book and the engine's report disagree. Both lists are sorted.
 type Difference struct {
-	// Orphans are held by the engine and owned by nobody: cancel them.
+	// Orphans are held by the engine without a reservation. The caller cancels them.
 	Orphans []call.ID
-	// Missing are in the book as confirmed but not held by the engine: their streams are
-	// over or broken. The agent releases those of which it has no open stream.
+	// Missing are confirmed in the book but not held by the engine, since their streams have
+	// ended or broken. The agent releases those without an open stream.
 	Missing []call.ID
 }
 
 // Reconcile compares the book with an engine's report. Orphans count as used memory
 // until a later report no longer lists them.
 //
-// What goes wrong: an agent restarts, or the answer to a cancel is lost, and the engine
-// keeps memory for a request that nobody remembers. It shows as free memory in the book
-// while the engine refuses for lack of it. The report lags, so what changed in the book
-// about the time of the report, or after, is left for the next one.
+// When an agent restarts or the answer to a cancellation is lost, the engine keeps memory
+// for a request that has no reservation; the book would then show free memory while the
+// engine rejects requests for lack of it. Reports lag, so changes made in the book within
+// ReportMargin before the report, or after it, are left to the next one.
 func (b *Book) Reconcile(report Report) Difference {
 	var difference Difference
-	certain := report.TakenAt.Add(-b.options.ReportMargin)
+	cutoff := report.TakenAt.Add(-b.options.ReportMargin)
 	listed := make(map[call.ID]bool, len(report.Held))
-	b.orphaned = report.ForeignTokens
+	b.orphanedTokens = report.ForeignTokens
 	for _, holding := range report.Held {
 		listed[holding.ID] = true
-		if b.held[holding.ID] != nil {
+		if b.reservations[holding.ID] != nil {
 			continue
 		}
-		if over, known := b.released[holding.ID]; known && over.at.After(certain) {
-			continue // released after the report was taken, or nearly so
+		if released, known := b.tombstones[holding.ID]; known && released.releasedAt.After(cutoff) {
+			continue // released shortly before the report was taken, or after
 		}
-		b.orphaned += holding.Tokens
+		b.orphanedTokens += holding.Tokens
 		difference.Orphans = append(difference.Orphans, holding.ID)
 	}
-	for id, r := range b.held {
-		if !listed[id] && r.State == Confirmed && r.Since.Before(certain) {
+	for id, r := range b.reservations {
+		if !listed[id] && r.State == Confirmed && r.Since.Before(cutoff) {
 			difference.Missing = append(difference.Missing, id)
 		}
 	}
-	order(difference.Orphans)
-	order(difference.Missing)
+	sortIDs(difference.Orphans)
+	sortIDs(difference.Missing)
 	return difference
 }
 
-func order(ids []call.ID) {
-	sort.Slice(ids, func(i, j int) bool { return before(ids[i], ids[j]) })
+func sortIDs(ids []call.ID) {
+	sort.Slice(ids, func(i, j int) bool { return lessID(ids[i], ids[j]) })
 }
