--- a/core/limits/entry.go
+++ b/core/limits/entry.go
@@ -8,56 +8,57 @@
 	"acaciacleat.example/core/rendezvous"
 )
 
-// account is an organisation's account at an entry that doesn't own it.
+// account is the state of an organisation at an entry. Only its concurrency is used when the
+// entry itself is the owner.
 type account struct {
 	owner      string
 	generation uint64
-	// requests and tokens are what is left of the grants, until expires.
+	// requests and tokens are the rest of the grants, valid until grantExpires.
 	requests, tokens float64
-	expires          time.Time
-	// usedRequests and usedTokens are what the last grants were used for: the size of
+	grantExpires     time.Time
+	// usedRequests and usedTokens are the used part of the grants. They determine the size of
 	// the next batch.
 	usedRequests, usedTokens float64
-	// slots is the concurrency granted, inUse what requests use.
+	// slots is the concurrency granted, inUse the concurrency that requests use.
 	slots, inUse int
 	sequence     uint64
-	// unused says that the key is in Entry.unused.
-	unused bool
-	// refusedTokens and refusedUntil remember the owner's last no.
+	// releasedSinceTick is set while the key is in Entry.releasedKeys.
+	releasedSinceTick bool
+	// refusedTokens and refusedUntil are from the owner's last refusal.
 	refusedTokens float64
 	refusedUntil  time.Time
-	share         meter
+	localShare    meter
 	lastUsed      time.Time
 }
 
-// Entry is the state of one entry, for all organisations. It is not safe for concurrent
-// use: a caller that needs more keeps several, each with its part of the keys.
+// Entry is the state of one entry for all organisations. It is not safe for concurrent use;
+// a caller that needs concurrency uses several, each with a part of the keys.
 type Entry struct {
-	self       string
-	entries    []string
-	hashes     []uint64
-	generation uint64
-	sequence   uint64
-	accounts   map[Key]*account
-	owned      owner
-	silent     map[string]time.Time
-	// unused lists accounts where a request ended since the last Tick.
-	unused                 []Key
+	self             string
+	entries          []string
+	hashes           []uint64
+	generation       uint64
+	sequence         uint64
+	accounts         map[Key]*account
+	owned            owner
+	unreachableUntil map[string]time.Time
+	// releasedKeys lists the accounts in which a request has ended since the last Tick.
+	releasedKeys           []Key
 	lastSweep, lastRenewal time.Time
 }
 
-// NewEntry returns the state of the named entry. sequence must be higher than any that an
-// earlier process of that name used; the wall clock in nanoseconds will do.
+// NewEntry returns the state of the named entry. sequence must be higher than any used by an
+// earlier process of that name; the wall clock in nanoseconds is suitable.
 func NewEntry(self string, sequence uint64) *Entry {
 	e := &Entry{
 		self: self, sequence: sequence, accounts: make(map[Key]*account),
-		owned: owner{accounts: make(map[Key]*ownedAccount)}, silent: make(map[string]time.Time),
+		owned: owner{accounts: make(map[Key]*ownedAccount)}, unreachableUntil: make(map[string]time.Time),
 	}
 	e.SetEntries(nil)
 	return e
 }
 
-// SetEntries takes the live entries, this one among them or not.
+// SetEntries sets the live entries. It adds this entry if it is missing.
 func (e *Entry) SetEntries(entries []string) {
 	e.entries = slices.Clone(entries)
 	if !slices.Contains(e.entries, e.self) {
@@ -70,7 +71,7 @@
 	e.generation++
 }
 
-// Owner returns the entry that owns a key. It allocates nothing.
+// Owner returns the entry that owns a key. It does not allocate.
 func (e *Entry) Owner(key Key) string {
 	hash := rendezvous.Score(rendezvous.Hash(key.Service), rendezvous.Hash(key.Organisation))
 	best, at := uint64(0), 0
@@ -88,13 +89,13 @@
 		a = &account{}
 		e.accounts[key] = a
 	}
-	e.place(key, a)
+	e.assignOwner(key, a)
 	a.lastUsed = now
 	return a
 }
 
-// place works out an account's owner after the entries changed.
-func (e *Entry) place(key Key, a *account) {
+// assignOwner updates an account's owner after the entries have changed.
+func (e *Entry) assignOwner(key Key, a *account) {
 	if a.generation == e.generation {
 		return
 	}
@@ -103,17 +104,17 @@
 	a.refusedUntil = time.Time{}
 }
 
-// begin counts a request under a limit of concurrency.
-func (a *account) begin(limits *document.Limits) {
+// acquireSlot counts an admitted request if concurrency is limited.
+func (a *account) acquireSlot(limits *document.Limits) {
 	if limits.Concurrency > 0 {
 		a.inUse++
 	}
 }
 
-// Decide decides on a request of the given tokens. It allocates nothing, except at an
-// organisation's first request in a while.
+// Decide decides on a request of the given tokens. It does not allocate, except at an
+// organisation's first request after it was idle.
 func (e *Entry) Decide(now time.Time, key Key, limits *document.Limits, tokens int) Verdict {
-	if unlimited(limits) {
+	if isUnlimited(limits) {
 		return Verdict{Outcome: Admitted}
 	}
 	a := e.account(now, key)
@@ -121,12 +122,12 @@
 	switch {
 	case a.owner == e.self:
 		return e.decideAsOwner(now, key, a, limits, n)
-	case a.spend(now, limits, n):
+	case a.useGrant(now, limits, n):
 		return Verdict{Outcome: Admitted}
 	case now.Before(a.refusedUntil) && n >= a.refusedTokens:
 		return Verdict{Outcome: Refused, RetryAfter: a.refusedUntil.Sub(now)}
-	case now.Before(e.silent[a.owner]):
-		return e.decideOnShare(now, a, limits, n)
+	case now.Before(e.unreachableUntil[a.owner]):
+		return e.decideOnLocalShare(now, a, limits, n)
 	}
 	return Verdict{Outcome: AskOwner, Owner: a.owner}
 }
@@ -139,76 +140,77 @@
 		owned.holders[e.self] = h
 	}
 	h.held = a.inUse
-	h.seen = now
+	h.lastSeen = now
 	if wait := owned.admit(now, h, limits, tokens); wait > 0 {
 		return Verdict{Outcome: Refused, RetryAfter: wait}
 	}
-	a.begin(limits)
+	a.acquireSlot(limits)
 	return Verdict{Outcome: Admitted}
 }
 
-// decideOnShare lets an entry go on that can't reach the owner: with its part of the
-// limits, as if all entries were in its place.
-func (e *Entry) decideOnShare(now time.Time, a *account, limits *document.Limits, tokens float64) Verdict {
+// decideOnLocalShare decides without the owner, which can't be reached. The entry uses an
+// equal share of the limits, as if no entry could reach the owner.
+func (e *Entry) decideOnLocalShare(now time.Time, a *account, limits *document.Limits, tokens float64) Verdict {
 	slots := max(1, limits.Concurrency/len(e.entries))
 	if limits.Concurrency > 0 && a.inUse >= max(slots, a.slots) {
-		return Verdict{Outcome: Refused, RetryAfter: slotRetry}
+		return Verdict{Outcome: Refused, RetryAfter: concurrencyRetryAfter}
 	}
 	share := 1 / float64(len(e.entries))
-	if wait := a.share.take(now, limits, share, tokens); wait > 0 {
+	if wait := a.localShare.take(now, limits, share, tokens); wait > 0 {
 		return Verdict{Outcome: Refused, RetryAfter: wait}
 	}
-	a.begin(limits)
+	a.acquireSlot(limits)
 	return Verdict{Outcome: Admitted}
 }
 
-// spend takes a request from the grants, if they suffice.
-func (a *account) spend(now time.Time, limits *document.Limits, tokens float64) bool {
-	a.expire(now)
+// useGrant takes a request from the grants and reports whether they sufficed.
+func (a *account) useGrant(now time.Time, limits *document.Limits, tokens float64) bool {
+	a.expireGrant(now)
 	switch {
 	case limits.RequestsPerSecond > 0 && a.requests < 1,
 		limits.TokensPerSecond > 0 && a.tokens < tokens,
 		limits.Concurrency > 0 && a.inUse >= a.slots,
-		a.expires.IsZero():
+		a.grantExpires.IsZero():
 		return false
 	}
 	a.requests--
 	a.tokens -= tokens
 	a.usedRequests++
 	a.usedTokens += tokens
-	a.begin(limits)
+	a.acquireSlot(limits)
 	return true
 }
 
-// expire drops grants that are over.
-func (a *account) expire(now time.Time) {
-	if now.After(a.expires) {
+// expireGrant drops grants that have expired.
+func (a *account) expireGrant(now time.Time) {
+	if now.After(a.grantExpires) {
 		a.requests, a.tokens = 0, 0
 		a.usedRequests, a.usedTokens = 0, 0
 	}
 }
 
-// Want returns the message to the owner for a request on which Decide said AskOwner.
+// Want returns the message to the owner for a request for which Decide returned AskOwner.
 func (e *Entry) Want(now time.Time, key Key, tokens int) Want {
 	a := e.account(now, key)
-	want := e.message(key, a, max(a.slots, a.inUse))
+	want := e.newRequest(key, a, max(a.slots, a.inUse))
 	want.Tokens = float64(tokens)
 	want.MoreRequests, want.MoreTokens = a.usedRequests, a.usedTokens
 	return want
 }
 
-func (e *Entry) message(key Key, a *account, held int) Want {
+func (e *Entry) newRequest(key Key, a *account, held int) Want {
 	e.sequence++
 	a.sequence = e.sequence
 	return Want{Key: key, Sequence: e.sequence, Held: held}
 }
 
-// Granted takes the owner's answer.
+// Granted handles the owner's answer.
 func (e *Entry) Granted(now time.Time, grant *Grant) {
 	a := e.account(now, grant.Key)
-	delete(e.silent, a.owner)
-	// Slots are counted whole, so that only the answer to the newest message tells them;
-	// requests and tokens were taken from the bucket for this entry in any case.
+	delete(e.unreachableUntil, a.owner)
+	// Held replaces the number of slots, so only the answer to the latest message counts.
+	// Requests and tokens are added in any case, since the owner has taken them from its
+	// buckets.
 	if grant.Sequence == a.sequence {
 		a.slots = grant.Held
 	}
@@ -217,53 +219,55 @@
 		a.refusedUntil = now.Add(grant.RetryAfter)
 		return
 	}
-	a.expire(now)
+	a.expireGrant(now)
 	a.requests += grant.Requests
 	a.tokens += grant.Tokens
-	a.expires = now.Add(grantLife)
+	a.grantExpires = now.Add(grantTTL)
 }
 
-// OwnerSilent takes that an owner didn't answer in time. The entry lives on its shares of
-// all that this owner owns, until it asks again.
-func (e *Entry) OwnerSilent(now time.Time, owner string) { e.silent[owner] = now.Add(silenceBound) }
+// OwnerSilent records that an owner did not answer in time. The entry uses its local shares
+// for all organisations of this owner until ownerRetryInterval has passed.
+func (e *Entry) OwnerSilent(now time.Time, owner string) {
+	e.unreachableUntil[owner] = now.Add(ownerRetryInterval)
+}
 
-// Answer decides on another entry's message, as the owner. The limits are those of the
-// owner's own documents.
+// Answer handles another entry's message as the owner. The limits are those of the owner's
+// documents.
 func (e *Entry) Answer(now time.Time, entry string, want *Want, limits *document.Limits) Grant {
 	return e.owned.answer(now, entry, want, limits)
 }
 
-// Release takes the end of a request that was admitted under the given limits.
+// Release records the end of a request that was admitted under the given limits.
 func (e *Entry) Release(key Key, limits *document.Limits) {
 	a := e.accounts[key]
 	if a == nil || limits.Concurrency == 0 || a.inUse == 0 {
 		return
 	}
 	a.inUse--
-	if !a.unused {
-		a.unused = true
-		e.unused = append(e.unused, key)
+	if !a.releasedSinceTick {
+		a.releasedSinceTick = true
+		e.releasedKeys = append(e.releasedKeys, key)
 	}
 }
 
-// Renewal is a message to an owner that needs no answer.
+// Renewal is a message to an owner that requires no answer.
 type Renewal struct {
 	Owner string
 	Want  Want
 }
 
-// Tick gives back the concurrency that ended since the last one and renews what this
-// entry still holds. It is to be called about every 100 ms: until then the owner counts
-// ended requests and refuses others in their place.
+// Tick returns the messages that release the concurrency of requests ended since the last
+// call and renew what this entry still holds. Call it about every 100 ms: until then the owner counts ended
+// requests and refuses others in their place.
 func (e *Entry) Tick(now time.Time) []Renewal {
 	var renewals []Renewal
-	for _, key := range e.unused {
+	for _, key := range e.releasedKeys {
 		if a := e.accounts[key]; a != nil {
-			a.unused = false
+			a.releasedSinceTick = false
 			renewals = e.renew(now, renewals, key, a)
 		}
 	}
-	e.unused = e.unused[:0]
+	e.releasedKeys = e.releasedKeys[:0]
 	if now.Sub(e.lastRenewal) >= renewInterval {
 		e.lastRenewal = now
 		for key, a := range e.accounts {
@@ -272,39 +276,39 @@
 			}
 		}
 	}
-	e.sweep(now)
+	e.dropIdle(now)
 	return renewals
 }
 
 func (e *Entry) renew(now time.Time, renewals []Renewal, key Key, a *account) []Renewal {
-	e.place(key, a)
+	e.assignOwner(key, a)
 	a.slots = a.inUse
 	if a.owner != e.self {
-		want := e.message(key, a, a.inUse)
+		want := e.newRequest(key, a, a.inUse)
 		want.Renewal = true
 		return append(renewals, Renewal{Owner: a.owner, Want: want})
 	}
 	if h := e.owned.account(now, key).holders[e.self]; h != nil {
 		h.held = a.inUse
-		h.seen = now
+		h.lastSeen = now
 	}
 	return renewals
 }
 
-func (e *Entry) sweep(now time.Time) {
-	if now.Sub(e.lastSweep) < idleBound {
+func (e *Entry) dropIdle(now time.Time) {
+	if now.Sub(e.lastSweep) < idleTimeout {
 		return
 	}
 	e.lastSweep = now
-	e.owned.sweep(now)
+	e.owned.dropIdle(now)
 	for key, a := range e.accounts {
-		if a.inUse == 0 && a.slots == 0 && now.Sub(a.lastUsed) > idleBound {
+		if a.inUse == 0 && a.slots == 0 && now.Sub(a.lastUsed) > idleTimeout {
 			delete(e.accounts, key)
 		}
 	}
-	for owner, until := range e.silent {
+	for owner, until := range e.unreachableUntil {
 		if now.After(until) {
-			delete(e.silent, owner)
+			delete(e.unreachableUntil, owner)
 		}
 	}
 }
--- a/core/limits/limits.go
+++ b/core/limits/limits.go
@@ -1,30 +1,30 @@
-// Package limits keeps organisations within their fleet-wide limits of requests and
-// tokens a second and of concurrency, without a write to the store. Its decisions are
-// pure: requests, messages and the time go in, verdicts and messages come out.
+// Package limits enforces fleet-wide limits of organisations on requests per second, tokens
+// per second and concurrency, without writes to the store. It does no I/O: requests,
+// messages and the time are inputs, decisions and messages are the output.
 //
-// Every organisation of a service has one owner among the entries, chosen by rendezvous
-// hashing, which holds its buckets. Other entries ask the owner and get what they need,
-// and a batch beyond it in proportion to what they used lately. What is granted has been
-// taken from the bucket before, so that a lost, late or expired grant can only let too
-// little through. Without an answer from the owner an entry lives on its own share.
+// Each organisation of a service has one owner among the entries, chosen by rendezvous
+// hashing, which holds its token buckets. Other entries ask the owner and are granted what
+// they need, plus a batch in proportion to their recent use. A grant is taken from the
+// bucket before it is sent, so that a lost, late or expired grant can only admit too few
+// requests. An entry that gets no answer from the owner falls back to its local share.
 //
-// The bounds, for one organisation over any T seconds, where rate and burst are those of
-// the fleet, E is the number of entries and k of them don't reach the owner:
+// The bounds for one organisation over any T seconds, where rate and burst are those of
+// the fleet, E is the number of entries and k of them can't reach the owner:
 //
-//   - the owner reached by all: requests ≤ rate·(T + grantLife) + burst, and concurrency
-//     ≤ the limit. Tokens likewise and one request more, since a request larger than the
-//     burst is let through on a full bucket and leaves a debt;
-//   - k entries on their shares: in addition k·(rate·T/E + max(1, burst/E)) requests, the
-//     same of tokens with one request for each of the k, and k·max(1, limit/E) of
-//     concurrency;
-//   - each change of owner: in addition one burst, and once the limit of concurrency, until
-//     the holders' next renewals tell the new owner what they hold, HoldBound at most.
+//   - if all entries reach the owner: requests ≤ rate·(T + grantTTL) + burst, and
+//     concurrency ≤ the limit. The same holds for tokens, plus one request, since a request
+//     larger than the burst is admitted on a full bucket and leaves a debt;
+//   - k entries on their local shares: in addition k·(rate·T/E + max(1, burst/E)) requests,
+//     the same for tokens plus one request for each of the k entries, and k·max(1, limit/E)
+//     of concurrency;
+//   - each change of owner: in addition one burst, and once the concurrency limit until
+//     the holders' next renewals tell the new owner what they hold, at most HoldTimeout.
 //
 // An entry sends one message for a request that no grant covers and, where concurrency is
-// limited, one when it ends and renewals while it lasts. Measured at 12 requests a second
-// an entry and 350 entries, with limits for all organisations: 1.8 KB/s sent with limits of
-// rates, 6.7 KB/s with limits of concurrency too (BenchmarkCapacityLimits). None is sent for
-// organisations without limits.
+// limited, one when the request ends and renewals while it runs. With 350 entries, 12
+// requests per second per entry and limits for all organisations, an entry sends 1.8 KB/s
+// with rate limits and 6.7 KB/s with concurrency limits too (BenchmarkCapacityLimits). It
+// sends none for organisations without limits.
 package limits
 
 import (
@@ -39,42 +39,42 @@
 	Organisation string
 }
 
-// Settings of the decisions. They trade messages for accuracy and are the same everywhere.
+// These values trade the number of messages for accuracy. All entries must use the same.
 const (
-	// burstSeconds is how much of a rate may be used at once: a crew that syncs a day's
-	// photos sends a handful of calls together.
+	// burstSeconds is the burst in seconds of the rate: a client that syncs a day's photos
+	// sends several calls at once.
 	burstSeconds = 2
-	// grantLife is how long an entry may use a grant. It bounds how long a lowered
-	// limit isn't felt, and what is lost when an entry goes.
-	grantLife = 2 * time.Second
-	// batchShare is the part of what is left in a bucket that one batch may take, so
-	// that one entry can't hold back all that the others need.
+	// grantTTL is how long an entry may use a grant. It bounds how long a lowered limit has
+	// no effect, and how much is lost when an entry crashes.
+	grantTTL = 2 * time.Second
+	// batchShare is the share of a bucket's level that one batch may take, so that one entry
+	// can't take everything that the others need.
 	batchShare = 0.25
-	// HoldBound is how long an owner counts concurrency that isn't renewed.
-	HoldBound = 5 * time.Second
+	// HoldTimeout is how long an owner counts concurrency that is not renewed.
+	HoldTimeout = 5 * time.Second
 	// renewInterval leaves time for a second renewal before HoldBound ends.
 	renewInterval = 2 * time.Second
-	// silenceBound is how long an entry lives on its share before it asks a silent
-	// owner again.
-	silenceBound = time.Second
-	// slotRetry is the time after which a caller over its concurrency may try again;
-	// short requests take about as long.
-	slotRetry = 500 * time.Millisecond
-	// idleBound is how long an unused account is kept; by then its buckets are full.
-	idleBound = 30 * time.Second
+	// ownerRetryInterval is how long an entry uses its local share before it asks an owner
+	// that did not answer again.
+	ownerRetryInterval = time.Second
+	// concurrencyRetryAfter is the time after which a caller over its concurrency limit may
+	// try again, about the duration of a short request.
+	concurrencyRetryAfter = 500 * time.Millisecond
+	// idleTimeout is how long an unused account is kept. Its buckets are full by then.
+	idleTimeout = 30 * time.Second
 )
 
-// Outcome is what becomes of a request.
+// Outcome is the result of a decision on a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Admitted: the request may go on; Release follows at its end.
+	// Admitted means that the request may proceed. The caller calls Release when it ends.
 	Admitted Outcome = iota
-	// Refused: the organisation is over a limit.
+	// Refused means that the organisation is over a limit.
 	Refused
-	// AskOwner: send Want to the owner and decide again at its Grant. Where none comes
-	// in time, call OwnerSilent and decide again.
+	// AskOwner means that the caller must send a Want to the owner and decide again after its
+	// Grant. If no Grant arrives in time, it calls OwnerSilent and decides again.
 	AskOwner
 )
 
@@ -87,18 +87,18 @@
 	Owner string
 }
 
-// Want is the message with which an entry asks an owner.
+// Want is the message with which an entry asks the owner for a grant.
 type Want struct {
 	Key Key
-	// Sequence rises with each message of an entry; the owner drops older ones.
+	// Sequence increases with each message of an entry; the owner ignores older ones.
 	Sequence uint64
-	// Tokens are those of the request at hand; 0 in a renewal.
+	// Tokens is the number of tokens of the waiting request; 0 in a renewal.
 	Tokens float64
-	// Renewal says that Held is only to be noted and no request waits.
+	// Renewal means that the message only reports Held and that no request waits.
 	Renewal bool
 	// Held is the concurrency that the entry uses or was granted.
 	Held int
-	// MoreRequests and MoreTokens are wanted beyond the request.
+	// MoreRequests and MoreTokens are requested as a batch beyond the waiting request.
 	MoreRequests, MoreTokens float64
 }
 
@@ -107,12 +107,12 @@
 	Key      Key
 	Sequence uint64
 	OK       bool
-	// Requests and Tokens may be used within grantLife of their arrival.
+	// Requests and Tokens may be used within grantTTL after the grant arrives.
 	Requests, Tokens float64
 	// Held is the concurrency that the entry may use from now on.
 	Held int
-	// RetryAfter and Refused are set when the answer is no: a request of Refused tokens
-	// or more has no chance before.
+	// RetryAfter and Refused are set when OK is false: until RetryAfter has passed, requests
+	// of at least Refused tokens are refused.
 	RetryAfter time.Duration
 	Refused    float64
 }
@@ -123,7 +123,7 @@
 	last  time.Time
 }
 
-// fill brings the bucket up to now.
+// fill refills the bucket for the time since the last call.
 func (b *bucket) fill(now time.Time, rate, burst float64) {
 	if b.last.IsZero() {
 		b.level = burst
@@ -137,15 +137,15 @@
 	b.level = min(b.level, burst)
 }
 
-// wait returns how long until n can be taken; 0 means now. A rate of 0 means no bound.
-// More than the burst can be taken from a full bucket: a prompt of a million tokens
-// would otherwise never pass a limit of a hundred thousand a second.
-func (b *bucket) wait(rate, burst, n float64) time.Duration {
-	short := min(n, burst) - b.level
-	if rate <= 0 || short <= 0 {
+// waitFor returns the time until n can be taken; 0 means now. A rate of 0 means no limit.
+// More than the burst can be taken from a full bucket: a prompt of a million tokens would
+// otherwise never pass a limit of a hundred thousand tokens per second.
+func (b *bucket) waitFor(rate, burst, n float64) time.Duration {
+	missing := min(n, burst) - b.level
+	if rate <= 0 || missing <= 0 {
 		return 0
 	}
-	return time.Duration(short/rate*float64(time.Second)) + time.Nanosecond
+	return time.Duration(missing/rate*float64(time.Second)) + time.Nanosecond
 }
 
 func requestBurst(limits *document.Limits) float64 {
@@ -156,19 +156,20 @@
 	return max(1, limits.TokensPerSecond*burstSeconds)
 }
 
-// meter holds the two buckets of an organisation.
+// meter holds the request and token buckets of an organisation.
 type meter struct {
 	requests, tokens bucket
 }
 
-// take fills both buckets, scaled by share, and takes one request of the given tokens
-// from both or from none. It returns the time to wait, 0 when it was taken.
+// take refills both buckets, with rates and bursts scaled by share, and takes one request of
+// the given tokens from both or from neither. It returns the time to wait, or 0 when it took
+// the request.
 func (m *meter) take(now time.Time, limits *document.Limits, share, tokens float64) time.Duration {
 	requestRate, requestMax := limits.RequestsPerSecond*share, max(1, requestBurst(limits)*share)
 	tokenRate, tokenMax := limits.TokensPerSecond*share, max(1, tokenBurst(limits)*share)
 	m.requests.fill(now, requestRate, requestMax)
 	m.tokens.fill(now, tokenRate, tokenMax)
-	wait := max(m.requests.wait(requestRate, requestMax, 1), m.tokens.wait(tokenRate, tokenMax, tokens))
+	wait := max(m.requests.waitFor(requestRate, requestMax, 1), m.tokens.waitFor(tokenRate, tokenMax, tokens))
 	if wait > 0 {
 		return wait
 	}
@@ -181,5 +182,5 @@
 	return 0
 }
 
-// unlimited reports whether nothing bounds the organisation.
-func unlimited(limits *document.Limits) bool { return *limits == document.Limits{} }
+// isUnlimited reports whether no limit is set.
+func isUnlimited(limits *document.Limits) bool { return *limits == document.Limits{} }
--- a/core/limits/limits_test.go
+++ b/core/limits/limits_test.go
@@ -17,236 +17,237 @@
 
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
-// fleet joins entries by messages; nothing is delivered to or from an entry that is cut.
-type fleet struct {
-	now     time.Time
-	limits  *document.Limits
-	names   []string
-	entries map[string]*Entry
-	cut     map[string]bool
-	lose    func() bool
-	begun   []time.Time // when each admitted request began
-	running map[string]int
-	tokens  float64
+// cluster connects entries by messages. No message passes between partitioned entries and
+// the others.
+type cluster struct {
+	now         time.Time
+	limits      *document.Limits
+	names       []string
+	entries     map[string]*Entry
+	partitioned map[string]bool
+	loseMessage func() bool
+	admittedAt  []time.Time // one time for each admitted request
+	inFlight    map[string]int
+	tokens      float64
 }
 
-func newFleet(size int, limits document.Limits) *fleet {
-	f := &fleet{now: at(0), limits: &limits, entries: map[string]*Entry{}, cut: map[string]bool{}, running: map[string]int{}, lose: func() bool { return false }}
+func newCluster(size int, limits document.Limits) *cluster {
+	c := &cluster{now: at(0), limits: &limits, entries: map[string]*Entry{}, partitioned: map[string]bool{}, inFlight: map[string]int{}, loseMessage: func() bool { return false }}
 	for i := range size {
-		f.names = append(f.names, fmt.Sprint("entry-", i))
+		c.names = append(c.names, fmt.Sprint("entry-", i))
 	}
-	for _, name := range f.names {
-		f.entries[name] = NewEntry(name, 0)
-		f.entries[name].SetEntries(f.names)
+	for _, name := range c.names {
+		c.entries[name] = NewEntry(name, 0)
+		c.entries[name].SetEntries(c.names)
 	}
-	return f
+	return c
 }
 
-func (f *fleet) owner() string { return f.entries[f.names[0]].Owner(key) }
+func (c *cluster) owner() string { return c.entries[c.names[0]].Owner(key) }
 
-// request takes one request at an entry to its verdict.
-func (f *fleet) request(name string, tokens int) Verdict {
-	e := f.entries[name]
-	verdict := e.Decide(f.now, key, f.limits, tokens)
+// request sends one request to an entry and returns the final decision.
+func (c *cluster) request(name string, tokens int) Verdict {
+	e := c.entries[name]
+	verdict := e.Decide(c.now, key, c.limits, tokens)
 	for range 2 {
 		if verdict.Outcome != AskOwner {
 			break
 		}
-		want := e.Want(f.now, key, tokens)
-		lost := f.cut[name] != f.cut[verdict.Owner] || f.lose()
+		want := e.Want(c.now, key, tokens)
+		lost := c.partitioned[name] != c.partitioned[verdict.Owner] || c.loseMessage()
 		var grant Grant
 		if !lost {
-			grant = f.entries[verdict.Owner].Answer(f.now, name, &want, f.limits)
-			lost = f.lose()
+			grant = c.entries[verdict.Owner].Answer(c.now, name, &want, c.limits)
+			lost = c.loseMessage()
 		}
 		if lost {
-			e.OwnerSilent(f.now, verdict.Owner)
+			e.OwnerSilent(c.now, verdict.Owner)
 		} else {
-			e.Granted(f.now, &grant)
+			e.Granted(c.now, &grant)
 		}
-		verdict = e.Decide(f.now, key, f.limits, tokens)
+		verdict = e.Decide(c.now, key, c.limits, tokens)
 	}
 	if verdict.Outcome == Admitted {
-		f.begun = append(f.begun, f.now)
-		f.running[name]++
-		f.tokens += float64(tokens)
+		c.admittedAt = append(c.admittedAt, c.now)
+		c.inFlight[name]++
+		c.tokens += float64(tokens)
 	}
 	return verdict
 }
 
-func (f *fleet) release(name string) {
-	if f.running[name] > 0 {
-		f.running[name]--
-		f.entries[name].Release(key, f.limits)
+func (c *cluster) release(name string) {
+	if c.inFlight[name] > 0 {
+		c.inFlight[name]--
+		c.entries[name].Release(key, c.limits)
 	}
 }
 
-func (f *fleet) step() {
-	f.now = f.now.Add(step)
-	for _, name := range f.names {
-		for _, renewal := range f.entries[name].Tick(f.now) {
-			if f.cut[name] == f.cut[renewal.Owner] {
-				f.entries[renewal.Owner].Answer(f.now, name, &renewal.Want, f.limits)
+func (c *cluster) step() {
+	c.now = c.now.Add(step)
+	for _, name := range c.names {
+		for _, renewal := range c.entries[name].Tick(c.now) {
+			if c.partitioned[name] == c.partitioned[renewal.Owner] {
+				c.entries[renewal.Owner].Answer(c.now, name, &renewal.Want, c.limits)
 			}
 		}
 	}
 }
 
-func (f *fleet) concurrency() (sum int) {
-	for _, n := range f.running {
+func (c *cluster) concurrency() (sum int) {
+	for _, n := range c.inFlight {
 		sum += n
 	}
 	return sum
 }
 
-// With loss and k entries cut from the owner, the requests of every window and the
-// concurrency stay within the bounds that the package states.
+// With message loss and k entries partitioned from the owner, the requests in every window
+// and the concurrency stay within the bounds in the package comment.
 func TestBoundsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := document.Limits{RequestsPerSecond: float64(rapid.IntRange(1, 40).Draw(t, "rate")), Concurrency: rapid.IntRange(0, 12).Draw(t, "concurrency")}
-		f := newFleet(5, limits)
+		c := newCluster(5, limits)
 		k := rapid.IntRange(0, 2).Draw(t, "cut")
-		for _, name := range f.names {
-			if len(f.cut) < k && name != f.owner() {
-				f.cut[name] = true
+		for _, name := range c.names {
+			if len(c.partitioned) < k && name != c.owner() {
+				c.partitioned[name] = true
 			}
 		}
 		percent := rapid.SampledFrom([]int{0, 20}).Draw(t, "loss")
-		f.lose = func() bool { return rapid.IntRange(0, 99).Draw(t, "lost") < percent }
+		c.loseMessage = func() bool { return rapid.IntRange(0, 99).Draw(t, "lost") < percent }
 		if percent > 0 {
-			k = len(f.names) // any entry may be on its share
+			k = len(c.names) // any entry may use its local share
 		}
 		for range 60 {
-			for _, name := range f.names {
+			for _, name := range c.names {
 				for range rapid.IntRange(0, 2).Draw(t, "requests") {
-					f.request(name, 1)
+					c.request(name, 1)
 				}
 				if rapid.Bool().Draw(t, "ends") {
-					f.release(name)
+					c.release(name)
 				}
 			}
-			f.step()
+			c.step()
 			if limits.Concurrency > 0 {
-				require.LessOrEqual(t, f.concurrency(), limits.Concurrency+k*max(1, limits.Concurrency/5))
+				require.LessOrEqual(t, c.concurrency(), limits.Concurrency+k*max(1, limits.Concurrency/5))
 			}
 		}
 		rate, burst := limits.RequestsPerSecond, requestBurst(&limits)
-		for i := range f.begun {
-			seconds := f.begun[len(f.begun)-1].Sub(f.begun[i]).Seconds()
-			bound := rate*(seconds+grantLife.Seconds()) + burst + float64(k)*(rate*seconds/5+max(1, burst/5))
-			require.LessOrEqual(t, float64(len(f.begun)-i), bound+1)
+		for i := range c.admittedAt {
+			seconds := c.admittedAt[len(c.admittedAt)-1].Sub(c.admittedAt[i]).Seconds()
+			bound := rate*(seconds+grantTTL.Seconds()) + burst + float64(k)*(rate*seconds/5+max(1, burst/5))
+			require.LessOrEqual(t, float64(len(c.admittedAt)-i), bound+1)
 		}
 	})
 }
 
-// A saturating organisation gets most of its limit, whichever entries it comes through.
-func TestLimitCanBeUsed(t *testing.T) {
-	f := newFleet(5, document.Limits{RequestsPerSecond: 20, TokensPerSecond: 40_000})
+// An organisation that saturates its limit gets most of it, whichever entries it uses.
+func TestSaturatingOrganisationGetsMostOfItsLimit(t *testing.T) {
+	c := newCluster(5, document.Limits{RequestsPerSecond: 20, TokensPerSecond: 40_000})
 	for range 400 {
-		for _, name := range f.names {
-			f.request(name, 2000)
-			f.release(name)
+		for _, name := range c.names {
+			c.request(name, 2000)
+			c.release(name)
 		}
-		f.step()
+		c.step()
 	}
-	require.GreaterOrEqual(t, len(f.begun), 20*20*8/10)
-	require.LessOrEqual(t, f.tokens, 40_000.0*22+2000)
+	require.GreaterOrEqual(t, len(c.admittedAt), 20*20*8/10)
+	require.LessOrEqual(t, c.tokens, 40_000.0*22+2000)
 }
 
-func TestVerdicts(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	t.Run("no limits, no message", func(t *testing.T) {
-		require.Equal(t, Admitted, newFleet(3, document.Limits{}).request("entry-0", 1_000_000).Outcome)
+		require.Equal(t, Admitted, newCluster(3, document.Limits{}).request("entry-0", 1_000_000).Outcome)
 	})
 	t.Run("a request above the burst leaves a debt", func(t *testing.T) {
-		f := newFleet(1, document.Limits{TokensPerSecond: 100_000})
-		require.Equal(t, Admitted, f.request("entry-0", 1_000_000).Outcome)
-		refused := f.request("entry-0", 1)
+		c := newCluster(1, document.Limits{TokensPerSecond: 100_000})
+		require.Equal(t, Admitted, c.request("entry-0", 1_000_000).Outcome)
+		refused := c.request("entry-0", 1)
 		require.Equal(t, Refused, refused.Outcome)
 		require.InDelta(t, 8, refused.RetryAfter.Seconds(), 0.01)
 	})
-	t.Run("an ended request makes room at another entry", func(t *testing.T) {
-		f := newFleet(3, document.Limits{Concurrency: 1})
+	t.Run("an ended request frees its slot for another entry", func(t *testing.T) {
+		c := newCluster(3, document.Limits{Concurrency: 1})
 		for range 5 {
-			for _, name := range f.names {
-				require.Equal(t, Admitted, f.request(name, 1).Outcome)
-				require.Equal(t, Refused, f.request(name, 1).Outcome)
-				f.release(name)
-				f.step()
-				f.now = f.now.Add(slotRetry)
+			for _, name := range c.names {
+				require.Equal(t, Admitted, c.request(name, 1).Outcome)
+				require.Equal(t, Refused, c.request(name, 1).Outcome)
+				c.release(name)
+				c.step()
+				c.now = c.now.Add(concurrencyRetryAfter)
 			}
 		}
 	})
-	// Symptom: an organisation was refused for good. Events: an entry died with its
-	// requests. Cause: nobody gave their slots back.
-	t.Run("a dead entry's slots come free", func(t *testing.T) {
-		f := newFleet(3, document.Limits{Concurrency: 1})
-		var dead, other string
-		for _, name := range f.names {
-			if name != f.owner() {
-				dead, other = other, name
+	// An entry crashes with its requests. If the owner kept counting their slots, the
+	// organisation would be refused for good.
+	t.Run("a crashed entry's slots are freed", func(t *testing.T) {
+		c := newCluster(3, document.Limits{Concurrency: 1})
+		var crashed, other string
+		for _, name := range c.names {
+			if name != c.owner() {
+				crashed, other = other, name
 			}
 		}
-		require.Equal(t, Admitted, f.request(dead, 1).Outcome)
-		require.Equal(t, Refused, f.request(other, 1).Outcome)
-		f.now = f.now.Add(HoldBound + step)
-		require.Equal(t, Admitted, f.request(other, 1).Outcome)
+		require.Equal(t, Admitted, c.request(crashed, 1).Outcome)
+		require.Equal(t, Refused, c.request(other, 1).Outcome)
+		c.now = c.now.Add(HoldTimeout + step)
+		require.Equal(t, Admitted, c.request(other, 1).Outcome)
 	})
-	// Symptom: two requests ran under a limit of one. Events: a grant was late, and a
-	// renewal told the owner meanwhile that nothing is held. Cause: the entry used it.
+	// A grant arrives after a renewal has told the owner that the entry holds no slot. If the
+	// entry used the grant, two requests would run under a concurrency limit of one.
 	t.Run("a late grant gives no slot", func(t *testing.T) {
-		f := newFleet(3, document.Limits{Concurrency: 1})
-		owner, asks := f.entries[f.owner()], f.entries[f.names[0]]
-		if owner == asks {
-			asks = f.entries[f.names[1]]
+		c := newCluster(3, document.Limits{Concurrency: 1})
+		owner, entry := c.entries[c.owner()], c.entries[c.names[0]]
+		if owner == entry {
+			entry = c.entries[c.names[1]]
 		}
-		asks.Decide(f.now, key, f.limits, 1)
-		want := asks.Want(f.now, key, 1)
-		late := owner.Answer(f.now, asks.self, &want, f.limits)
-		renewal := asks.Want(f.now, key, 0)
+		entry.Decide(c.now, key, c.limits, 1)
+		want := entry.Want(c.now, key, 1)
+		late := owner.Answer(c.now, entry.self, &want, c.limits)
+		renewal := entry.Want(c.now, key, 0)
 		renewal.Renewal = true
-		owner.Answer(f.now, asks.self, &renewal, f.limits)
-		asks.Granted(f.now, &late)
-		require.Equal(t, AskOwner, asks.Decide(f.now, key, f.limits, 1).Outcome)
+		owner.Answer(c.now, entry.self, &renewal, c.limits)
+		entry.Granted(c.now, &late)
+		require.Equal(t, AskOwner, entry.Decide(c.now, key, c.limits, 1).Outcome)
 	})
 	t.Run("a new owner learns what is held", func(t *testing.T) {
-		f := newFleet(3, document.Limits{Concurrency: 3})
-		old := f.owner()
+		c := newCluster(3, document.Limits{Concurrency: 3})
+		old := c.owner()
 		var rest []string
-		for _, name := range f.names {
+		for _, name := range c.names {
 			if name != old {
 				rest = append(rest, name)
-				require.Equal(t, Admitted, f.request(name, 1).Outcome)
+				require.Equal(t, Admitted, c.request(name, 1).Outcome)
 			}
 		}
 		for _, name := range rest {
-			f.entries[name].SetEntries(rest)
+			c.entries[name].SetEntries(rest)
 		}
-		f.names = rest
-		f.now = f.now.Add(renewInterval)
-		f.step()
-		require.Equal(t, Admitted, f.request(rest[0], 1).Outcome)
-		require.Equal(t, Refused, f.request(rest[1], 1).Outcome)
+		c.names = rest
+		c.now = c.now.Add(renewInterval)
+		c.step()
+		require.Equal(t, Admitted, c.request(rest[0], 1).Outcome)
+		require.Equal(t, Refused, c.request(rest[1], 1).Outcome)
 	})
 }
 
 func TestDecideDoesNotAllocate(t *testing.T) {
-	f := newFleet(2, document.Limits{RequestsPerSecond: 1e6, TokensPerSecond: 1e9, Concurrency: 1000})
-	for _, name := range f.names {
-		e := f.entries[name]
-		f.request(name, 1)
+	c := newCluster(2, document.Limits{RequestsPerSecond: 1e6, TokensPerSecond: 1e9, Concurrency: 1000})
+	for _, name := range c.names {
+		e := c.entries[name]
+		c.request(name, 1)
 		require.Zero(t, testing.AllocsPerRun(100, func() {
-			if e.Decide(f.now, key, f.limits, 1).Outcome == Admitted {
-				e.Release(key, f.limits)
+			if e.Decide(c.now, key, c.limits, 1).Outcome == Admitted {
+				e.Release(key, c.limits)
 			}
 		}))
 	}
 }
 
 func BenchmarkDecide(b *testing.B) {
-	f := newFleet(1, document.Limits{RequestsPerSecond: 1e12, TokensPerSecond: 1e12, Concurrency: 1000})
+	c := newCluster(1, document.Limits{RequestsPerSecond: 1e12, TokensPerSecond: 1e12, Concurrency: 1000})
 	b.ReportAllocs()
 	for b.Loop() {
-		f.entries["entry-0"].Decide(f.now, key, f.limits, 1)
-		f.entries["entry-0"].Release(key, f.limits)
+		c.entries["entry-0"].Decide(c.now, key, c.limits, 1)
+		c.entries["entry-0"].Release(key, c.limits)
 	}
 }
--- a/core/limits/owner.go
+++ b/core/limits/owner.go
@@ -6,7 +6,7 @@
 	"acaciacleat.example/core/document"
 )
 
-// ownedAccount is an organisation's account at its owner.
+// ownedAccount is the state of an organisation at its owner.
 type ownedAccount struct {
 	meter    meter
 	holders  map[string]*holder
@@ -17,10 +17,10 @@
 type holder struct {
 	sequence uint64
 	held     int
-	seen     time.Time
+	lastSeen time.Time
 }
 
-// owner is the part of an entry that owns organisations.
+// owner is the state of an entry for the organisations that it owns.
 type owner struct {
 	accounts map[Key]*ownedAccount
 }
@@ -35,7 +35,7 @@
 	return a
 }
 
-// answer decides on an entry's message.
+// answer handles an entry's request for a grant.
 func (o *owner) answer(now time.Time, entry string, want *Want, limits *document.Limits) Grant {
 	a := o.account(now, want.Key)
 	grant := Grant{Key: want.Key, Sequence: want.Sequence}
@@ -50,7 +50,7 @@
 	}
 	h.sequence = want.Sequence
 	h.held = want.Held
-	h.seen = now
+	h.lastSeen = now
 	if want.Renewal {
 		grant.Held = want.Held
 		return grant
@@ -59,28 +59,29 @@
 	grant.Held = h.held
 	if wait > 0 {
 		grant.RetryAfter = wait
-		if full := a.meter.requests.level >= 1 && wait != slotRetry; full {
+		if full := a.meter.requests.level >= 1 && wait != concurrencyRetryAfter; full {
 			grant.Refused = want.Tokens
 		}
 		return grant
 	}
 	grant.OK = true
-	grant.Requests = 1 + batch(&a.meter.requests, want.MoreRequests)
-	grant.Tokens = want.Tokens + batch(&a.meter.tokens, want.MoreTokens)
+	grant.Requests = 1 + takeBatch(&a.meter.requests, want.MoreRequests)
+	grant.Tokens = want.Tokens + takeBatch(&a.meter.tokens, want.MoreTokens)
 	return grant
 }
 
-// batch takes up to n more, within the share that one batch may take.
-func batch(b *bucket, n float64) float64 {
+// takeBatch takes up to n from the bucket, but at most batchShare of its level.
+func takeBatch(b *bucket, n float64) float64 {
 	more := max(0, min(n, b.level*batchShare))
 	b.level -= more
 	return more
 }
 
-// admit takes one request and one slot of concurrency for a holder, or neither.
+// admit takes one request from the buckets and one concurrency slot for the holder, or
+// neither. It returns the time to wait, or 0 when it took both.
 func (a *ownedAccount) admit(now time.Time, h *holder, limits *document.Limits, tokens float64) time.Duration {
 	if limits.Concurrency > 0 && a.held(now) >= limits.Concurrency {
-		return slotRetry
+		return concurrencyRetryAfter
 	}
 	if wait := a.meter.take(now, limits, 1, tokens); wait > 0 {
 		return wait
@@ -91,28 +92,29 @@
 	return 0
 }
 
-// held adds up the concurrency. A holder that no longer renews is gone, and with it its
-// requests; nobody would give its slots back.
+// held returns the concurrency held by all entries. It ignores a holder that no longer
+// renews: the entry and its requests have ended, and no message will return its slots.
 func (a *ownedAccount) held(now time.Time) int {
 	sum := 0
 	for _, h := range a.holders {
-		if now.Sub(h.seen) <= HoldBound {
+		if now.Sub(h.lastSeen) <= HoldTimeout {
 			sum += h.held
 		}
 	}
 	return sum
 }
 
-// sweep drops what is idle. An account in debt stays: it would come back with a full bucket.
-func (o *owner) sweep(now time.Time) {
+// dropIdle drops idle holders and accounts. It keeps an account in debt, since a new account
+// would start with full buckets.
+func (o *owner) dropIdle(now time.Time) {
 	for key, a := range o.accounts {
 		for entry, h := range a.holders {
-			if now.Sub(h.seen) > idleBound {
+			if now.Sub(h.lastSeen) > idleTimeout {
 				delete(a.holders, entry)
 			}
 		}
 		debt := a.meter.requests.level < 0 || a.meter.tokens.level < 0
-		if now.Sub(a.lastUsed) > idleBound && len(a.holders) == 0 && !debt {
+		if now.Sub(a.lastUsed) > idleTimeout && len(a.holders) == 0 && !debt {
 			delete(o.accounts, key)
 		}
 	}
