--- a/core/load/load.go
+++ b/core/load/load.go
@@ -1,14 +1,14 @@
-// Package load decides which load digests agents tell each other and entries.
+// Package load decides which load digests agents send to each other and to entries.
 //
-// One entry sees too few requests to know the load of a whole group of replicas by its
-// own. So the agents of one model in one availability zone tell each other their
-// digests, and each reply to an entry carries a few of them. The bytes that this costs
-// are bounded: the interval between two tellings grows with the size of the group.
+// A single entry sees too few requests to know the load of a whole group of replicas. The
+// agents of one model in one availability zone therefore exchange digests, and each reply
+// to an entry carries a few of them. The traffic is bounded: the interval between two sends
+// grows with the size of the group.
 //
-// The list of VMs does not say which model an agent's engine serves, and orders change it.
-// So peers' models are learned from their digests. A peer whose model is unknown is told
-// like one of the own model; one of another model is told seldom, just so that it learns
-// of a change.
+// The list of VMs does not contain the model that an agent's engine serves, and orders
+// change it, so peers' models are taken from their digests. A peer whose model is unknown
+// gets digests like one of the same model. A peer of another model gets them seldom, just
+// often enough to learn of a change of model.
 package load
 
 import (
@@ -20,64 +20,64 @@
 	"acaciacleat.example/core/routing"
 )
 
-// Report is one agent's digest as somebody else knows it.
+// Report is one agent's load digest as known to another process.
 type Report struct {
 	Agent       string
 	Incarnation call.Incarnation
 	Model       string
 	Leaving     bool
 	Load        routing.Load
-	// At is when the digest was made, by the holder's clock.
+	// At is when the digest was taken, by the clock of the process that keeps it.
 	At time.Time
 }
 
 const (
-	// digestBytes is the size that the budget assumes of one digest on a link, with its
-	// frame. TestDigestSize in peers/link logs 114 bytes with all fields large.
+	// digestBytes is the assumed size of one digest on a link, with its frame. TestDigestSize
+	// in peers/link logs 114 bytes with all fields large.
 	digestBytes = 112
-	// budgetBytes is what an agent may send to tell its peers, in bytes a second. About as
-	// much is received, so that telling may take nearly all of the 2 KB/s that a node may
-	// spend on control.
+	// budgetBytes is the number of bytes per second that an agent may send to its peers. It
+	// receives about as much, so that digests may use nearly all of the 2 KB/s that a node
+	// may spend on control traffic.
 	budgetBytes = 1000
-	// othersBytes is the part of it for peers of other models, where there are any.
-	othersBytes = 200
-	// othersInterval is the least time between two tellings of a peer of another model.
-	othersInterval = 10 * time.Second
-	// minInterval is the least time between two tellings.
+	// otherModelsBytes is the part of budgetBytes for peers of other models, if there are any.
+	otherModelsBytes = 200
+	// otherModelsInterval is the minimum time between two digests to a peer of another model.
+	otherModelsInterval = 10 * time.Second
+	// minInterval is the minimum time between two digests.
 	minInterval = 250 * time.Millisecond
-	// maxInterval is the time after which an unchanged digest is told again.
+	// maxInterval is the time after which an unchanged digest is sent again.
 	maxInterval = 5 * time.Second
-	// forgetAfter is the age at which a digest says nothing any more.
-	forgetAfter = 10 * time.Second
-	// changeShare is the least change of the prompt tokens in hand that is worth telling
-	// before maxInterval, as a share of the larger value.
-	changeShare = 0.1
+	// maxReportAge is the age from which a digest is ignored.
+	maxReportAge = 10 * time.Second
+	// minChangeShare is the relative change of the outstanding prompt tokens from which a
+	// digest is sent before maxInterval.
+	minChangeShare = 0.1
 )
 
-// Group is one agent's part in its group. It is used by one goroutine at a time.
+// Group is one agent's view of its group of peers. It is not safe for concurrent use.
 type Group struct {
 	self  string
 	model string
 	peers []string
-	// models are those of the peers that were heard of.
-	models  map[string]string
-	known   map[string]Report
-	told    routing.Load
-	toldAt  time.Time
-	leaving bool
-	// othersAt is when the peers of other models were told last.
-	othersAt time.Time
+	// peerModels holds the models of the peers that have sent a digest.
+	peerModels      map[string]string
+	reports         map[string]Report
+	lastSent        routing.Load
+	lastSentAt      time.Time
+	lastSentLeaving bool
+	// otherModelsSentAt is when a digest was last sent to the peers of other models.
+	otherModelsSentAt time.Time
 }
 
-// NewGroup returns the part of the agent self, which knows no peers yet.
+// NewGroup returns the group of the agent self, without peers.
 func NewGroup(self string) *Group {
-	return &Group{self: self, models: make(map[string]string), known: make(map[string]Report)}
+	return &Group{self: self, peerModels: make(map[string]string), reports: make(map[string]Report)}
 }
 
-// SetModel says which model the own engine serves.
+// SetModel sets the model that this agent's engine serves.
 func (g *Group) SetModel(model string) { g.model = model }
 
-// SetPeers replaces the agents that are told; self is left out.
+// SetPeers replaces the peers. It leaves out self.
 func (g *Group) SetPeers(agents []string) {
 	g.peers = g.peers[:0]
 	for _, agent := range agents {
@@ -85,97 +85,99 @@
 			g.peers = append(g.peers, agent)
 		}
 	}
-	for agent := range g.models {
+	for agent := range g.peerModels {
 		if !slices.Contains(g.peers, agent) {
-			delete(g.models, agent)
-			delete(g.known, agent)
+			delete(g.peerModels, agent)
+			delete(g.reports, agent)
 		}
 	}
 }
 
-// other tells whether a peer is known to serve another model.
-func (g *Group) other(agent string) bool {
-	model, known := g.models[agent]
+// servesOtherModel reports whether a peer is known to serve another model.
+func (g *Group) servesOtherModel(agent string) bool {
+	model, known := g.peerModels[agent]
 	return known && model != g.model
 }
 
-// countOthers returns the number of peers that are known to serve another model.
-func (g *Group) countOthers() int {
+// countOtherModels returns the number of peers that are known to serve another model.
+func (g *Group) countOtherModels() int {
 	n := 0
-	for agent := range g.models {
-		if g.other(agent) {
+	for agent := range g.peerModels {
+		if g.servesOtherModel(agent) {
 			n++
 		}
 	}
 	return n
 }
 
-// Interval is the least time between two tellings for the group's size. Were peers of
-// other models counted, then with enough of them it would pass forgetAfter: every digest
-// would be forgotten before the next one comes, and the group would share nothing.
+// Interval returns the minimum time between two digests for the group's size. It does not
+// count peers of other models: with enough of them the interval would exceed maxReportAge,
+// and every digest would expire before the next one arrives.
 func (g *Group) Interval() time.Duration {
-	others := g.countOthers()
+	others := g.countOtherModels()
 	budget := budgetBytes
 	if others > 0 {
-		budget -= othersBytes
+		budget -= otherModelsBytes
 	}
-	return max(minInterval, spending(len(g.peers)-others, budget))
+	return max(minInterval, budgetInterval(len(g.peers)-others, budget))
 }
 
-// spending is the time in which the budget allows to tell so many peers once.
-func spending(peers, budget int) time.Duration {
+// budgetInterval returns the time in which the budget, in bytes per second, allows one
+// digest to each of the given number of peers.
+func budgetInterval(peers, budget int) time.Duration {
 	return time.Duration(peers*digestBytes) * time.Second / time.Duration(budget)
 }
 
-// Tell returns the agents that must now be told own, which is nobody most of the time.
+// Tell returns the agents to which own must be sent now; most of the time there are none.
 func (g *Group) Tell(now time.Time, own *Report) []string {
 	var to []string
-	if g.tellsGroup(now, own) {
-		to = g.pick(to, false)
+	if g.groupSendDue(now, own) {
+		to = g.appendPeers(to, false)
 	}
-	if others := g.countOthers(); others > 0 && now.Sub(g.othersAt) >= max(othersInterval, spending(others, othersBytes)) {
-		g.othersAt = now
-		to = g.pick(to, true)
+	if others := g.countOtherModels(); others > 0 && now.Sub(g.otherModelsSentAt) >= max(otherModelsInterval, budgetInterval(others, otherModelsBytes)) {
+		g.otherModelsSentAt = now
+		to = g.appendPeers(to, true)
 	}
 	return to
 }
 
-// pick appends the peers of other models, or all but these.
-func (g *Group) pick(to []string, other bool) []string {
+// appendPeers appends the peers of other models if other is set, else all other peers.
+func (g *Group) appendPeers(to []string, other bool) []string {
 	for _, agent := range g.peers {
-		if g.other(agent) == other {
+		if g.servesOtherModel(agent) == other {
 			to = append(to, agent)
 		}
 	}
 	return to
 }
 
-// tellsGroup decides whether the peers of the own model must now be told.
-func (g *Group) tellsGroup(now time.Time, own *Report) bool {
-	since := now.Sub(g.toldAt)
-	urgent := own.Leaving && !g.leaving || own.Load.Down != g.told.Down
-	due := since >= g.Interval() && (since >= maxInterval || changed(&g.told, &own.Load))
+// groupSendDue reports whether own must be sent now to the peers that are not known to
+// serve another model. If so, it records own as sent.
+func (g *Group) groupSendDue(now time.Time, own *Report) bool {
+	since := now.Sub(g.lastSentAt)
+	urgent := own.Leaving && !g.lastSentLeaving || own.Load.Down != g.lastSent.Down
+	due := since >= g.Interval() && (since >= maxInterval || changedEnough(&g.lastSent, &own.Load))
 	if !urgent && !due {
 		return false
 	}
-	g.told = own.Load
-	g.toldAt = now
-	g.leaving = own.Leaving
+	g.lastSent = own.Load
+	g.lastSentAt = now
+	g.lastSentLeaving = own.Leaving
 	return true
 }
 
-// changed reports whether a digest differs enough from the one told last.
-func changed(old, now *routing.Load) bool {
-	before, after := inHand(old), inHand(now)
+// changedEnough reports whether a digest differs enough from the one sent last.
+func changedEnough(old, now *routing.Load) bool {
+	before, after := outstandingTokens(old), outstandingTokens(now)
 	larger := max(before, after)
-	if larger > 0 && float64(max(before-after, after-before)) > changeShare*float64(larger) {
+	if larger > 0 && float64(max(before-after, after-before)) > minChangeShare*float64(larger) {
 		return true
 	}
 	return old.QueuedCalls == 0 != (now.QueuedCalls == 0) || old.FreeTokens != now.FreeTokens && now.FreeTokens < now.CapacityTokens/4
 }
 
-// inHand is the number of prompt tokens that wait or run.
-func inHand(l *routing.Load) int64 {
+// outstandingTokens returns the number of prompt tokens that wait or run.
+func outstandingTokens(l *routing.Load) int64 {
 	sum := int64(0)
 	for class := range l.QueuedPrompt {
 		sum += l.QueuedPrompt[class] + l.RunningPrompt[class]
@@ -183,30 +185,30 @@
 	return sum
 }
 
-// Hear takes a peer's digest. One that is older than what is known is dropped: links
-// may deliver late, and an old digest would send work where it no longer fits.
+// Hear stores a peer's digest. It drops a digest that is older than the stored one: links
+// may deliver late, and an old digest would route requests to a replica that is full.
 func (g *Group) Hear(report Report) {
 	if !slices.Contains(g.peers, report.Agent) {
 		return
 	}
-	old, known := g.known[report.Agent]
+	old, known := g.reports[report.Agent]
 	if known && old.Incarnation == report.Incarnation && report.Load.Sequence <= old.Load.Sequence {
 		return
 	}
 	if known && old.Incarnation != report.Incarnation && report.At.Before(old.At) {
 		return
 	}
-	g.models[report.Agent] = report.Model
-	g.known[report.Agent] = report
+	g.peerModels[report.Agent] = report.Model
+	g.reports[report.Agent] = report
 }
 
-// Best returns up to n fresh digests of peers of the own model, least loaded first, for a
-// reply.
+// Best returns up to n current digests of peers of the same model for a reply, least loaded
+// first.
 func (g *Group) Best(now time.Time, n int) []Report {
-	fresh := make([]Report, 0, len(g.known))
-	for agent, report := range g.known {
-		if now.Sub(report.At) > forgetAfter {
-			delete(g.known, agent)
+	fresh := make([]Report, 0, len(g.reports))
+	for agent, report := range g.reports {
+		if now.Sub(report.At) > maxReportAge {
+			delete(g.reports, agent)
 			continue
 		}
 		if report.Model != g.model {
@@ -218,7 +220,7 @@
 		if a.Load.Down != b.Load.Down {
 			return compareDown(a.Load.Down)
 		}
-		if byLoad := cmp.Compare(inHand(&a.Load), inHand(&b.Load)); byLoad != 0 {
+		if byLoad := cmp.Compare(outstandingTokens(&a.Load), outstandingTokens(&b.Load)); byLoad != 0 {
 			return byLoad
 		}
 		return cmp.Compare(a.Agent, b.Agent)
@@ -226,8 +228,8 @@
 	return fresh[:min(n, len(fresh))]
 }
 
-// compareDown orders a digest against one that differs in Down: a broken engine is idle
-// and would otherwise lead the list.
+// compareDown compares a digest with the given Down to one with the opposite value. Engines
+// that are down sort last; being idle, they would otherwise come first.
 func compareDown(down bool) int {
 	if down {
 		return 1
@@ -235,14 +237,14 @@
 	return -1
 }
 
-// Better names a peer that is believed to have less in hand than own by more than the
-// given number of prompt tokens, and room for need tokens; "" when there is none.
+// Better returns a peer that has fewer outstanding prompt tokens than own by more than
+// margin and at least need free tokens, or "" if there is none.
 func (g *Group) Better(now time.Time, own *routing.Load, need int64, margin int64) string {
-	for _, report := range g.Best(now, len(g.known)) {
+	for _, report := range g.Best(now, len(g.reports)) {
 		if report.Leaving || report.Load.Down || report.Load.FreeTokens < need {
 			continue
 		}
-		if inHand(&report.Load)+margin < inHand(own) {
+		if outstandingTokens(&report.Load)+margin < outstandingTokens(own) {
 			return report.Agent
 		}
 	}
--- a/core/load/load_test.go
+++ b/core/load/load_test.go
@@ -24,7 +24,7 @@
 	return r
 }
 
-func TestUnchangedDigestIsToldSeldom(t *testing.T) {
+func TestUnchangedDigestIsSentSeldom(t *testing.T) {
 	g := NewGroup("a")
 	g.SetPeers([]string{"a", "b", "c"})
 	own := report("a", 1, 100)
@@ -34,13 +34,12 @@
 	require.Empty(t, g.Tell(start.Add(minInterval/2), &own))
 	require.Len(t, g.Tell(start.Add(minInterval), &own), 2)
 	own.Leaving = true
-	require.Len(t, g.Tell(start.Add(minInterval), &own), 2, "leaving is told at once")
+	require.Len(t, g.Tell(start.Add(minInterval), &own), 2, "leaving is sent at once")
 	require.Len(t, g.Tell(start.Add(minInterval+maxInterval), &own), 2)
 }
 
-// Symptom: an entry sends a burst to a replica that has been full for a while.
-// Sequence: digest 7 says full, digest 6 was delayed on another link and says idle.
-// Cause: taking digests in the order of arrival.
+// Digest 7 reports a full replica; digest 6, delayed on another link, reports an idle one.
+// If digests were stored in order of arrival, entries would send a burst to a full replica.
 func TestLateDigestIsDropped(t *testing.T) {
 	g := NewGroup("a")
 	g.SetPeers([]string{"b"})
@@ -49,7 +48,7 @@
 	require.Equal(t, int64(500), g.Best(start, 1)[0].Load.QueuedPrompt[call.Short])
 }
 
-func TestBetterNamesALessLoadedPeerWithRoom(t *testing.T) {
+func TestLessLoadedPeerHasRoom(t *testing.T) {
 	g := NewGroup("a")
 	g.SetPeers([]string{"b", "c", "d", "e"})
 	full := report("b", 1, 0)
@@ -65,13 +64,13 @@
 	own := routing.Load{}
 	own.QueuedPrompt[call.Short] = 1000
 	require.Equal(t, "c", g.Better(start, &own, 100, 50))
-	require.Equal(t, "e", g.Best(start, 4)[3].Agent, "a broken engine is named last")
+	require.Equal(t, "e", g.Best(start, 4)[3].Agent, "an engine that is down comes last")
 	require.Empty(t, g.Better(start, &own, 100, 800))
-	require.Empty(t, g.Better(start.Add(time.Minute), &own, 100, 50), "old digests say nothing")
+	require.Empty(t, g.Better(start.Add(time.Minute), &own, 100, 50), "old digests are ignored")
 }
 
-// TestTellingKeepsItsBudget drives random loads and group sizes.
-func TestTellingKeepsItsBudget(t *testing.T) {
+// With random loads and group sizes, the digests sent stay within budgetBytes.
+func TestDigestsKeepTheByteBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewGroup("self")
 		var peers []string
@@ -86,18 +85,18 @@
 		for tick := range seconds * 10 {
 			own.Load.Sequence++
 			own.Load.QueuedPrompt[call.Short] = int64(random.IntN(1e6))
-			told := g.Tell(start.Add(time.Duration(tick)*100*time.Millisecond), &own)
-			bytes += len(told) * digestBytes
+			recipients := g.Tell(start.Add(time.Duration(tick)*100*time.Millisecond), &own)
+			bytes += len(recipients) * digestBytes
 		}
-		// Under 3 peers, minInterval alone bounds the cost at 880 bytes a second.
+		// With fewer than 3 peers, minInterval alone bounds the traffic at 880 bytes per second.
 		require.LessOrEqual(t, bytes, budgetBytes*seconds+len(peers)*digestBytes)
 	})
 }
 
-// Symptom: entries get no peers' digests from the agents of a service with many models.
-// Sequence: 300 agents of other models stand in the zone beside 3 of the own one.
-// Cause: all are told alike; the interval of the whole, 33 s, is longer than a digest counts.
-func TestPeersOfOtherModelsAreToldSeldom(t *testing.T) {
+// A zone has 300 agents of other models and 3 of the same one. If all got digests at the
+// same interval, this would be 33 s, longer than maxReportAge, and entries would get no
+// digests of peers.
+func TestPeersOfOtherModelsGetDigestsSeldom(t *testing.T) {
 	const others, ticks = 300, 1200
 	g := NewGroup("self")
 	g.SetModel("m")
@@ -114,21 +113,21 @@
 		}
 		g.Hear(r)
 	}
-	require.LessOrEqual(t, g.Interval(), forgetAfter/2)
-	require.Len(t, g.Best(start, len(peers)), 3, "digests of other models say nothing here")
+	require.LessOrEqual(t, g.Interval(), maxReportAge/2)
+	require.Len(t, g.Best(start, len(peers)), 3, "digests of other models are left out")
 	own := report("self", 0, 0)
-	told := make(map[string]int)
+	sent := make(map[string]int)
 	bytes := 0
 	for tick := range ticks {
 		own.Load.QueuedPrompt[call.Short] = int64(tick%2) * 1000
 		for _, agent := range g.Tell(start.Add(time.Duration(tick)*100*time.Millisecond), &own) {
-			told[agent]++
+			sent[agent]++
 			bytes += digestBytes
 		}
 	}
-	require.Greater(t, told["a"], 200, "twice a second or more, over two minutes")
-	require.GreaterOrEqual(t, told["other-0"], 1, "it may change its model")
-	require.LessOrEqual(t, told["other-0"], 120/10+1)
+	require.Greater(t, sent["a"], 200, "almost twice a second over two minutes")
+	require.GreaterOrEqual(t, sent["other-0"], 1, "it may change its model")
+	require.LessOrEqual(t, sent["other-0"], 120/10+1)
 	require.LessOrEqual(t, bytes, budgetBytes*ticks/10+len(peers)*digestBytes)
 }
 
