--- a/core/prefix/digest.go
+++ b/core/prefix/digest.go
@@ -1,6 +1,6 @@
-// Package prefix tells which replica probably holds the KV cache of a prompt's
-// beginning. It makes rolling digests of a prompt and remembers, in bounded memory,
-// where prompts with the same digests were sent. Nothing here is safe for concurrent use.
+// Package prefix estimates which replica holds the KV cache of a prompt's prefix. It computes
+// rolling digests of a prompt and records, in bounded memory, to which replicas prompts with
+// the same digests were sent. Its types are not safe for concurrent use.
 package prefix
 
 import (
@@ -10,29 +10,31 @@
 )
 
 const (
-	// BlockBytes is the smallest step between two digests: 512 tokens of 4 bytes. Engines
+	// BlockBytes is the smallest distance between two digests: 512 tokens of 4 bytes. Engines
 	// cache in blocks of 16 to 512 tokens; a shorter match saves under 13 ms at 40,000 tokens/s.
 	BlockBytes = 2048
-	// MaxDigests bounds the digests of one prompt.
+	// MaxDigests is the maximum number of digests of one prompt.
 	MaxDigests = 64
-	// evenDigests are spaced by BlockBytes: they cover the short class (8,000 tokens).
-	evenDigests = 16
-	// growth divides a boundary to get the next step: each is 1/8 longer than the last, so
-	// at most 1/9 of a match is missed and 64 digests cover 7.8 MB, or 1 M tokens of 7 bytes.
-	growth = 8
+	// evenlySpacedDigests is the number of digests at a distance of BlockBytes. They cover the
+	// short class (8,000 tokens).
+	evenlySpacedDigests = 16
+	// growthDivisor divides a boundary to get the distance to the next one. Each boundary is
+	// 1/8 longer than the last, so that at most 1/9 of a match is missed and 64 digests cover
+	// 7.8 MB, or 1 M tokens of 7 bytes.
+	growthDivisor = 8
 )
 
-// boundaries holds the prompt lengths in bytes at which digests are taken.
+// boundaries holds the prefix lengths in bytes at which digests are taken.
 var boundaries = makeBoundaries()
 
 func makeBoundaries() [MaxDigests]int {
 	var b [MaxDigests]int
 	for i := range b {
-		if i < evenDigests {
+		if i < evenlySpacedDigests {
 			b[i] = (i + 1) * BlockBytes
 			continue
 		}
-		step := b[i-1] / growth / BlockBytes * BlockBytes
+		step := b[i-1] / growthDivisor / BlockBytes * BlockBytes
 		b[i] = b[i-1] + step
 	}
 	return b
@@ -46,13 +48,13 @@
 	return boundaries[min(depth, MaxDigests)-1]
 }
 
-// Depth returns the number of digests that a prompt of the given bytes has.
+// Depth returns the number of digests of a prompt with the given number of bytes.
 func Depth(bytes int) int {
 	return sort.SearchInts(boundaries[:], bytes+1)
 }
 
 // Digests appends the rolling digests of prompt to dst, shortest prefix first. The seed
-// separates prompts that can't share a cache: name the model and its adapter in it.
+// separates prompts that can't share a cache; it should name the model and its adapter.
 // A prompt shorter than BlockBytes has none.
 func Digests(seed string, prompt []byte, dst []uint64) []uint64 {
 	var hash xxhash.Digest
--- a/core/prefix/prefix_test.go
+++ b/core/prefix/prefix_test.go
@@ -34,10 +34,10 @@
 	})
 }
 
-// Symptom: prompts keep going to a replica that no longer holds their prefix.
-// Sequence: event 7 arrives, 8 (an eviction) is lost, 9 arrives.
-// Cause: without a check of the sequence the lost eviction would never be noticed.
-func TestGapInEventsResetsTrust(t *testing.T) {
+// Event 7 arrives, event 8 (an eviction) is lost, event 9 arrives. Without a check of the
+// sequence, the loss would go unnoticed and prompts would keep going to a replica that no
+// longer caches their prefix.
+func TestGapInEventsInvalidatesTheReplica(t *testing.T) {
 	e := NewEstimator(64, time.Minute)
 	a, b := e.Register("a", 1, start), e.Register("b", 1, start)
 	later := start.Add(time.Second)
@@ -45,10 +45,10 @@
 	e.Learn(b, []uint64{10, 11}, later)
 	require.Equal(t, []Match{{a, 3}, {b, 2}}, e.Match([]uint64{10, 11, 12}, later, nil))
 
-	require.False(t, e.Event(a, Event{Sequence: 7, Digest: 12, Evicted: true}, later))
+	require.False(t, e.ApplyEvent(a, Event{Sequence: 7, Digest: 12, Evicted: true}, later))
 	require.Equal(t, []Match{{a, 2}, {b, 2}}, e.Match([]uint64{10, 11, 12}, later, nil))
-	require.False(t, e.Event(a, Event{Sequence: 6, Digest: 10, Evicted: true}, later), "late duplicate")
-	require.True(t, e.Event(a, Event{Sequence: 9, Digest: 99}, later))
+	require.False(t, e.ApplyEvent(a, Event{Sequence: 6, Digest: 10, Evicted: true}, later), "late duplicate")
+	require.True(t, e.ApplyEvent(a, Event{Sequence: 9, Digest: 99}, later))
 	require.Equal(t, []Match{{b, 2}}, e.Match([]uint64{10, 11, 12}, later, nil))
 
 	e.Learn(a, []uint64{10}, later.Add(time.Second))
@@ -68,7 +68,7 @@
 	require.Equal(t, a, e.Register("a", 2, now))
 	require.Empty(t, e.Match([]uint64{10_000}, now, nil))
 	e.Learn(a, []uint64{5}, now.Add(time.Second))
-	e.Forget("a")
+	e.Unregister("a")
 	b := e.Register("b", 1, now.Add(2*time.Second))
 	require.Equal(t, a, b, "the number is reused")
 	require.Empty(t, e.Match([]uint64{5}, now.Add(2*time.Second), nil))
