--- a/core/placement/canary.go
+++ b/core/placement/canary.go
@@ -8,29 +8,30 @@
 	"acaciacleat.example/core/document"
 )
 
-// judgeCanaries works out the targets, without the canaries that do worse than the
-// stable version. A rejected canary stays rejected until the document names another
-// version, so that it can't come back once its bad figures have gone.
-func (r *round) judgeCanaries() {
+// evaluateCanaries computes the targets, without canaries that perform worse than the stable
+// version. A rejected canary stays rejected until the document names another version, so
+// that it is not tried again once its bad statistics are out of date.
+func (r *round) evaluateCanaries() {
 	for i := range r.in.Service.Models {
 		model := &r.in.Service.Models[i]
-		t := target{model: model, canaries: canaries(model)}
+		t := target{model: model, canaryReplicas: canaryReplicas(model)}
 		version := ModelVersion{Model: model.Name, Version: model.Canary}
-		if t.canaries > 0 && r.reject(model, version) {
-			t.canaries = 0
+		if t.canaryReplicas > 0 && r.isRejected(model, version) {
+			t.canaryReplicas = 0
 		}
 		r.targets = append(r.targets, t)
 	}
 }
 
-// reject reports whether a canary is or was rejected, and has it stored until it is.
-func (r *round) reject(model *document.Model, version ModelVersion) bool {
+// isRejected reports whether a canary is rejected, now or by an earlier decision. It requests
+// the storing of a rejection until Input.Rejected shows it.
+func (r *round) isRejected(model *document.Model, version ModelVersion) bool {
 	if slices.Contains(r.in.Rejected, version) {
 		return true
 	}
 	reason := r.placer.rejected[version]
 	if reason == "" {
-		reason = r.judge(model)
+		reason = r.evaluateCanary(model)
 	}
 	if reason == "" {
 		return false
@@ -40,9 +41,9 @@
 	return true
 }
 
-// canaries returns the number of replicas for the canary: at least one, so that it is
-// tried at all, and never all, so that it can be compared.
-func canaries(model *document.Model) int {
+// canaryReplicas returns the number of replicas for the canary: at least one, so that it is
+// tried at all, and never all, so that it can be compared with the stable version.
+func canaryReplicas(model *document.Model) int {
 	if model.Canary == "" || model.CanaryShare <= 0 {
 		return 0
 	}
@@ -50,15 +51,15 @@
 	return min(n, model.Replicas-1)
 }
 
-// figures sums up the replicas of one version.
-type figures struct {
+// versionStats are the statistics over all replicas of one version.
+type versionStats struct {
 	requests   int
 	errors     float64
 	firstToken float64
 }
 
-func (r *round) figures(model, version string) figures {
-	var f figures
+func (r *round) versionStats(model, version string) versionStats {
+	var f versionStats
 	for _, e := range r.engines {
 		if e.Model != model || e.Version != version {
 			continue
@@ -75,13 +76,14 @@
 	return f
 }
 
-// firstTokenFloor is a difference that no caller notices: below it a factor means nothing.
+// firstTokenFloor is a difference in time to first token that callers do not notice. Up to
+// it the factor is not applied.
 const firstTokenFloor = 50 * time.Millisecond
 
-// judge returns why the canary is to be rejected, or nothing.
-func (r *round) judge(model *document.Model) Reason {
+// evaluateCanary returns the reason to reject the canary, or "" to keep it.
+func (r *round) evaluateCanary(model *document.Model) Reason {
 	config := &r.placer.config
-	stable, canary := r.figures(model.Name, model.Version), r.figures(model.Name, model.Canary)
+	stable, canary := r.versionStats(model.Name, model.Version), r.versionStats(model.Name, model.Canary)
 	if stable.requests < config.MinRequests || canary.requests < config.MinRequests {
 		return ""
 	}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,11 +1,11 @@
 // Package placement decides which engine serves which model, version, adapters and role
-// of one service. Its decisions are pure: the document, what is observed of the replicas
-// and the time go in, a bounded number of orders comes out.
+// of one service. It does no I/O: the document, the observed replicas and the time are
+// inputs, a bounded number of orders is the output.
 //
-// Orders name the state wanted and not a step, so that one that is given twice does no
-// harm. One process at a time places a service, under a lease; a second holder by mistake
-// gives the same orders from the same observations. What two holders might still exceed
-// together is the weight store's rate: so every order that fetches weights needs one of a
+// Orders are idempotent: they name the desired state, not a step towards it. One process at
+// a time, the lease holder, places a service; if two processes act as holder by mistake,
+// they give the same orders from the same observations. Together they could still exceed
+// the rate of the weight store. Every order that fetches weights therefore needs one of a
 // fixed number of slots, each a row of the table that is taken by a conditional write.
 package placement
 
@@ -16,17 +16,17 @@
 	"acaciacleat.example/core/routing"
 )
 
-// Kind is what an order asks for.
+// Kind is the kind of an order.
 type Kind string
 
-// The kinds of order, as engines spell them.
+// The kinds of orders, as in the engines' interface.
 const (
 	LoadModel   Kind = "load-model"
 	LoadAdapter Kind = "load-adapter"
 	SetRole     Kind = "role"
 )
 
-// Reason says why an order or a rejection was made.
+// Reason is the reason for an order or a rejection.
 type Reason string
 
 // The reasons.
@@ -41,25 +41,25 @@
 	ReasonFirstTokens Reason = "the canary's first tokens come later than the stable version's"
 )
 
-// Replica is what is observed of one engine.
+// Replica is the observed state of one engine.
 type Replica struct {
 	VM   string
 	Zone string
-	// Model and Version are empty for an engine that serves nothing.
+	// Model and Version are empty for an engine that serves no model.
 	Model    string
 	Version  string
 	Adapters []string
 	Role     string
 	State    routing.State
-	// Requests, ErrorRate (0 to 1) and FirstToken, the mean time to first token, are of
-	// the last minutes and of the version served now.
+	// Requests, ErrorRate (0 to 1) and FirstToken, the mean time to first token, cover the
+	// last minutes and only the version served now.
 	Requests   int
 	ErrorRate  float64
 	FirstToken time.Duration
 }
 
-// RoleShare is the share of a model's replicas that should have a role; the others keep
-// theirs.
+// RoleShare is the share of a model's replicas that should have a role. The others keep
+// their roles.
 type RoleShare struct {
 	Model string
 	Role  string
@@ -69,37 +69,38 @@
 // ModelVersion is a version of a model.
 type ModelVersion struct{ Model, Version string }
 
-// Slot is a row of the table that allows one fetch from the weight store at a time.
+// Slot is a row of the table that permits one fetch from the weight store at a time.
 type Slot struct {
 	Index int
 	// Version is the row's version; 0 when there is no row.
 	Version uint64
-	// Service and Order tell who holds the slot; Order is nil when it is free.
+	// Service and Order identify the holder of the slot; Order is nil when the slot is free.
 	Service string
 	Order   *Order
 }
 
-// Input is what a decision is made from.
+// Input is the input of a decision.
 type Input struct {
 	Service  *document.Service
 	Replicas []Replica
-	// Slots are all slots of the weight store, shared with other services. Their number
-	// is the weight store's share for placement divided by the rate of one fetch.
+	// Slots are all slots of the weight store, shared with other services. Their number is
+	// the part of the weight store's rate that is reserved for placement, divided by the rate
+	// of one fetch.
 	Slots []Slot
-	// Rejected are the canaries that were rolled back, as RejectCanary had them stored.
+	// Rejected are the canaries that were rolled back, as stored for RejectCanary.
 	Rejected []ModelVersion
 	Roles    []RoleShare
 }
 
-// Action is what the caller must do; it is one of the types below.
+// Action is an action for the caller, one of the types below.
 type Action interface{ action() }
 
-// Order asks an engine to change what it serves. The caller adds its fencing number.
+// Order instructs an engine to change what it serves. The caller adds its fencing token.
 type Order struct {
 	VM    string `json:"vm"`
 	Kind  Kind   `json:"kind"`
 	Model string `json:"model,omitempty"`
-	// Version is the model's version, Adapter or Role what the other kinds ask for.
+	// Version is the model's version for LoadModel; Adapter and Role are for the other kinds.
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Role    string `json:"role,omitempty"`
@@ -108,21 +109,21 @@
 
 // Reserved is an order that fetches weights. The caller first writes the order into the
 // slot's row, on condition that the row has the given version, and gives the order only
-// if that took effect. Otherwise it calls Placer.Dropped.
+// if the write succeeded. Otherwise it calls Placer.Dropped.
 type Reserved struct {
 	Order   Order
 	Slot    int
 	Version uint64
 }
 
-// ReleaseSlot empties the slot's row, on condition that it has the given version.
+// ReleaseSlot clears the slot's row, on condition that it has the given version.
 type ReleaseSlot struct {
 	Slot    int
 	Version uint64
 }
 
-// RejectCanary stores that a canary was rolled back; Input.Rejected lists it from then on.
-// A new holder of the lease would otherwise try the same version again.
+// RejectCanary stores that a canary was rolled back. Input.Rejected lists it from then on;
+// otherwise a new lease holder would try the same version again.
 type RejectCanary struct {
 	ModelVersion
 	Reason Reason
@@ -135,35 +136,36 @@
 
 // Config bounds the decisions.
 type Config struct {
-	// OrdersPerRound and OrdersAtOnce bound the orders of one decision and those not yet
-	// seen to be done.
-	OrdersPerRound, OrdersAtOnce int
-	// LoadingShare is the part of a model's replicas that may load at the same time.
+	// MaxOrdersPerRound bounds the orders of one decision, MaxPendingOrders those not yet
+	// observed as done.
+	MaxOrdersPerRound, MaxPendingOrders int
+	// LoadingShare is the share of a model's replicas that may be loading at the same time.
 	LoadingShare float64
-	// DeadGrace is how long a dead replica is waited for before another takes its place.
+	// DeadGrace is how long a replica may be dead before it is replaced.
 	DeadGrace time.Duration
 	// OrderLife is how long an order may take. The engine's agent drops it after that.
 	OrderLife time.Duration
-	// SlotLife is how long a slot's row may stay unchanged before it counts as free. It
-	// is longer than OrderLife, so that a fetch under a dropped order has ended.
-	SlotLife time.Duration
-	// Rest is how long an engine gets no order after its last one ended.
+	// SlotTimeout is how long a slot's row may stay unchanged before it counts as free. It
+	// is longer than OrderLife, so that the fetch of a dropped order has ended by then.
+	SlotTimeout time.Duration
+	// Rest is how long an engine gets no order after its last one has ended.
 	Rest time.Duration
-	// MinRequests is the number of requests that both versions need before a canary is judged.
+	// MinRequests is the number of requests that both versions need before a canary is
+	// compared with the stable version.
 	MinRequests int
-	// ErrorMargin is how much higher a canary's error rate may be, FirstTokenFactor how
-	// many times as late its first tokens.
+	// ErrorMargin is by how much a canary's error rate may exceed that of the stable version,
+	// FirstTokenFactor by which factor its mean time to first token may.
 	ErrorMargin, FirstTokenFactor float64
 }
 
-// DefaultConfig returns settings for fleets of tens to thousands of engines. A model's
-// weights take minutes to load, hence the lives and the rest; an agent's restart takes
-// seconds, hence the grace. At 200 requests an error rate of 1 % has a standard error of
-// 0.7 %, so that a margin of 2 % is seldom passed by chance.
+// DefaultConfig returns settings for fleets of tens to thousands of engines. OrderLife,
+// SlotTimeout and Rest allow for minutes to load a model's weights, DeadGrace for seconds to
+// restart an agent. At 200 requests an error rate of 1 % has a standard error of 0.7 %, so
+// that it seldom exceeds a margin of 2 % by chance.
 func DefaultConfig() Config {
 	return Config{
-		OrdersPerRound: 2, OrdersAtOnce: 8, LoadingShare: 0.1,
-		DeadGrace: 30 * time.Second, OrderLife: 10 * time.Minute, SlotLife: 20 * time.Minute, Rest: time.Minute,
+		MaxOrdersPerRound: 2, MaxPendingOrders: 8, LoadingShare: 0.1,
+		DeadGrace: 30 * time.Second, OrderLife: 10 * time.Minute, SlotTimeout: 20 * time.Minute, Rest: time.Minute,
 		MinRequests: 200, ErrorMargin: 0.02, FirstTokenFactor: 1.5,
 	}
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -15,25 +15,25 @@
 
 const interval = 10 * time.Second
 
-// fleet is what placers act on: engines that take a few rounds to load, and slots that
-// are taken by conditional writes.
+// fleet simulates the environment of placers: engines that take a few rounds to load, and
+// slots that are taken by conditional writes.
 type fleet struct {
 	t       require.TestingT
 	now     time.Time
 	in      Input
-	loading map[string]load
+	running map[string]runningOrder
 	orders  []Order
-	// tableDown keeps rejections from being stored.
+	// tableDown prevents rejections from being stored.
 	tableDown bool
 }
 
-type load struct {
-	order Order
-	left  int
+type runningOrder struct {
+	order      Order
+	roundsLeft int
 }
 
 func newFleet(t require.TestingT, engines, slots int, models ...document.Model) *fleet {
-	f := &fleet{t: t, now: time.Unix(1000, 0), loading: map[string]load{}}
+	f := &fleet{t: t, now: time.Unix(1000, 0), running: map[string]runningOrder{}}
 	f.in.Service = &document.Service{Name: "chat", Models: models}
 	for i := range engines {
 		f.in.Replicas = append(f.in.Replicas, Replica{VM: fmt.Sprintf("vm-%02d", i), Zone: fmt.Sprint("zone-", i%3)})
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// do gives a placer its round and carries the actions out, on the view that it was given.
-func (f *fleet) do(p *Placer, view Input) []Action {
+// runRound runs one round of a placer on the given view and carries out the actions.
+func (f *fleet) runRound(p *Placer, view Input) []Action {
 	actions := p.Decide(f.now, &view)
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -66,7 +66,7 @@
 			}
 			slot.Version++
 			slot.Service, slot.Order = "chat", &a.Order
-			f.give(a.Order)
+			f.startOrder(a.Order)
 		case ReleaseSlot:
 			if slot := &f.in.Slots[a.Slot]; slot.Version == a.Version {
 				slot.Version++
@@ -78,11 +78,11 @@
 			}
 			f.in.Rejected = append(f.in.Rejected, a.ModelVersion)
 		case Order:
-			f.give(a)
+			f.startOrder(a)
 		}
 	}
 	fetching := 0
-	for _, l := range f.loading {
+	for _, l := range f.running {
 		if l.order.Kind != SetRole {
 			fetching++
 		}
@@ -91,11 +91,11 @@
 	return actions
 }
 
-func (f *fleet) give(order Order) {
+func (f *fleet) startOrder(order Order) {
 	require.NotEmpty(f.t, order.Reason)
 	f.orders = append(f.orders, order)
-	if l, ok := f.loading[order.VM]; !ok || l.order != order {
-		f.loading[order.VM] = load{order: order, left: 3}
+	if l, ok := f.running[order.VM]; !ok || l.order != order {
+		f.running[order.VM] = runningOrder{order: order, roundsLeft: 3}
 	}
 }
 
@@ -106,15 +106,15 @@
 	return view
 }
 
-// pass moves time on and ends loads.
-func (f *fleet) pass() {
+// advance advances the time and completes orders.
+func (f *fleet) advance() {
 	f.now = f.now.Add(interval)
-	for vm, l := range f.loading {
-		if l.left--; l.left > 0 {
-			f.loading[vm] = l
+	for vm, l := range f.running {
+		if l.roundsLeft--; l.roundsLeft > 0 {
+			f.running[vm] = l
 			continue
 		}
-		delete(f.loading, vm)
+		delete(f.running, vm)
 		r := f.replica(vm)
 		switch l.order.Kind {
 		case LoadModel:
@@ -127,23 +127,24 @@
 	}
 }
 
-// settle runs rounds until nothing has been done for a while, and fails if that never comes.
-func (f *fleet) settle(p *Placer) {
+// runUntilIdle runs rounds until no order has been given for a while, and fails if that never
+// happens.
+func (f *fleet) runUntilIdle(p *Placer) {
 	idle := 0
 	for range 2000 {
 		orders := len(f.orders)
-		f.do(p, f.view())
-		if len(f.orders) == orders && len(f.loading) == 0 {
+		f.runRound(p, f.view())
+		if len(f.orders) == orders && len(f.running) == 0 {
 			idle++
 		} else {
 			idle = 0
 		}
-		f.pass()
+		f.advance()
 		if idle > 20 {
 			return
 		}
 	}
-	require.Fail(f.t, "placement never comes to rest")
+	require.Fail(f.t, "placement does not become idle")
 }
 
 func (f *fleet) count(match func(*Replica) bool) (n int) {
@@ -159,13 +160,13 @@
 	return document.Model{Name: name, Version: "1", Replicas: replicas}
 }
 
-func TestFillsSpreadsAndReplaces(t *testing.T) {
+func TestAddsSpreadsAndReplacesReplicas(t *testing.T) {
 	a := model("a", 6)
 	a.Adapters = []string{"x", "y"}
 	f := newFleet(t, 12, 3, a, model("b", 3))
 	f.in.Roles = []RoleShare{{Model: "a", Role: "prefill", Share: 0.5}}
 	p := New(DefaultConfig())
-	f.settle(p)
+	f.runUntilIdle(p)
 	for _, zone := range []string{"zone-0", "zone-1", "zone-2"} {
 		require.Equal(t, 2, f.count(func(r *Replica) bool { return r.Model == "a" && r.Zone == zone }))
 		require.Equal(t, 1, f.count(func(r *Replica) bool { return r.Model == "b" && r.Zone == zone }))
@@ -174,13 +175,13 @@
 	require.Equal(t, 3, f.count(func(r *Replica) bool { return r.Role == "prefill" }))
 
 	f.replica("vm-00").State = routing.Dead
-	require.Empty(t, f.do(p, f.view()), "a dead replica is waited for")
-	f.settle(p)
+	require.Empty(t, f.runRound(p, f.view()), "a dead replica is not replaced at once")
+	f.runUntilIdle(p)
 	require.Equal(t, 6, f.count(func(r *Replica) bool { return r.Model == "a" }))
 }
 
-// A canary is tried on its share, kept while it does well and rolled back for good when
-// it does worse, also by the lease's next holder.
+// A canary is tried on its share of the replicas, kept while it performs well and rolled
+// back for good when it performs worse, also by the next lease holder.
 func TestCanary(t *testing.T) {
 	for name, c := range map[string]struct {
 		requests int
@@ -200,9 +201,9 @@
 			m := model("a", 10)
 			f := newFleet(t, 10, 2, m)
 			p := New(DefaultConfig())
-			f.settle(p)
+			f.runUntilIdle(p)
 			f.in.Service.Models[0].Canary, f.in.Service.Models[0].CanaryShare = "2", 0.2
-			f.settle(p)
+			f.runUntilIdle(p)
 			canary := func(r *Replica) bool { return r.Version == "2" }
 			require.Equal(t, 2, f.count(canary))
 			for i := range f.in.Replicas {
@@ -213,9 +214,9 @@
 				}
 			}
 			f.tableDown = c.down
-			f.settle(p)
+			f.runUntilIdle(p)
 			if !c.down {
-				f.settle(New(DefaultConfig()))
+				f.runUntilIdle(New(DefaultConfig()))
 			}
 			if !c.bad {
 				require.Equal(t, 2, f.count(canary))
@@ -227,28 +228,28 @@
 	}
 }
 
-// Symptom: the weight store slowed down for everyone. Events: a holder was paused, its
-// lease lapsed, the next holder and it gave orders together. Cause: each kept to the rate
-// by itself. Here two placers act on one view, so that each is behind the other's writes.
-func TestTwoHoldersKeepTheRate(t *testing.T) {
+// A lease holder is paused, its lease expires, and it gives orders at the same time as the
+// next holder. If each kept to the rate on its own, they would overload the weight store
+// together. Both placers act on the same view, so that neither sees the other's writes.
+func TestTwoLeaseHoldersKeepTheFetchRate(t *testing.T) {
 	f := newFleet(t, 20, 2, model("a", 20))
 	one, two := New(DefaultConfig()), New(DefaultConfig())
 	for range 200 {
 		view := f.view()
-		f.do(one, view)
-		f.do(two, view)
-		f.pass()
+		f.runRound(one, view)
+		f.runRound(two, view)
+		f.advance()
 	}
 	require.Equal(t, 20, f.count(func(r *Replica) bool { return r.Model == "a" }))
 }
 
-// Symptom: more fetches at once than slots. Events: an order is done; another holder by
-// mistake empties its slot and takes it for an order of its own. Cause: the first holder
-// empties the slot that it remembers, whatever is in it by then.
+// An order is done, and a second lease holder by mistake clears its slot and takes it for an
+// order of its own. If the first holder cleared the slot whatever it contains by then, more
+// fetches than slots would run at once.
 func TestSlotOfAnotherOrderIsNotReleased(t *testing.T) {
 	f := newFleet(t, 3, 1, model("a", 3))
 	p := New(DefaultConfig())
-	order := f.do(p, f.view())[0].(Reserved).Order
+	order := f.runRound(p, f.view())[0].(Reserved).Order
 	other := order
 	other.VM = "vm-02"
 	for _, slot := range []Slot{{Version: 2, Service: "chat", Order: &other}, {Version: 2, Service: "search", Order: &order}} {
@@ -263,41 +264,41 @@
 	}
 }
 
-// Two models that want more engines than there are must not take them from each other.
-func TestScarceFleetRests(t *testing.T) {
+// Two models that together need more engines than exist must not take them from each other.
+func TestModelsDoNotTakeEnginesFromEachOther(t *testing.T) {
 	f := newFleet(t, 6, 2, model("a", 4), model("b", 4))
-	f.settle(New(DefaultConfig()))
+	f.runUntilIdle(New(DefaultConfig()))
 	require.Len(t, f.orders, 6)
 }
 
-func TestOrdersAtOnceAreBounded(t *testing.T) {
+func TestPendingOrdersAreBounded(t *testing.T) {
 	f := newFleet(t, 30, 30, model("a", 30))
 	p := New(DefaultConfig())
-	p.config.OrdersAtOnce = 3
+	p.config.MaxPendingOrders = 3
 	for range 200 {
-		f.do(p, f.view())
-		require.LessOrEqual(t, len(f.loading), 3)
-		f.pass()
+		f.runRound(p, f.view())
+		require.LessOrEqual(t, len(f.running), 3)
+		f.advance()
 	}
 	require.Equal(t, 30, f.count(func(r *Replica) bool { return r.Model == "a" }))
 }
 
-// Symptom: placement stood still after a change of holder. Events: a holder took a slot
-// and died before it gave the order. Cause: nobody else knew of the order.
-func TestNextHolderGivesTheOrderAgain(t *testing.T) {
+// A lease holder takes a slot and crashes before it gives the order. If the next holder did
+// not take over the order from the slot, placement would stop.
+func TestNextLeaseHolderReissuesTheOrder(t *testing.T) {
 	f := newFleet(t, 3, 1, model("a", 1))
 	view := f.view()
 	reserved := New(DefaultConfig()).Decide(f.now, &view)[0].(Reserved)
 	f.in.Slots[0] = Slot{Version: 1, Service: "chat", Order: &reserved.Order}
-	require.Equal(t, []Action{reserved.Order}, f.do(New(DefaultConfig()), f.view()))
-	f.settle(New(DefaultConfig()))
+	require.Equal(t, []Action{reserved.Order}, f.runRound(New(DefaultConfig()), f.view()))
+	f.runUntilIdle(New(DefaultConfig()))
 	require.Nil(t, f.in.Slots[0].Order)
 	require.Equal(t, 1, f.count(func(r *Replica) bool { return r.Model == "a" }))
 }
 
-// From any state and after any losses, placement reaches what the document wants wherever
-// the fleet allows it, within the bounds on orders, and then rests.
-func TestConvergesAndRests(t *testing.T) {
+// From any state and after any failures, placement reaches the document's desired state
+// as far as the fleet allows, within the bounds on orders, and then gives no more orders.
+func TestConvergesAndStaysIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := model("a", rapid.IntRange(0, 8).Draw(t, "a")), model("b", rapid.IntRange(0, 4).Draw(t, "b"))
 		if a.Replicas > 1 && rapid.Bool().Draw(t, "canary") {
@@ -317,24 +318,24 @@
 				p = New(DefaultConfig())
 			}
 			before := len(f.orders)
-			f.do(p, f.view())
-			require.LessOrEqual(t, len(f.orders)-before, p.config.OrdersPerRound+len(f.in.Slots))
-			require.LessOrEqual(t, len(p.pending), p.config.OrdersAtOnce)
-			f.pass()
+			f.runRound(p, f.view())
+			require.LessOrEqual(t, len(f.orders)-before, p.config.MaxOrdersPerRound+len(f.in.Slots))
+			require.LessOrEqual(t, len(p.pending), p.config.MaxPendingOrders)
+			f.advance()
 		}
 		for i := range f.in.Replicas {
 			f.in.Replicas[i].State = routing.Live
 		}
-		f.settle(p)
+		f.runUntilIdle(p)
 		for _, m := range []document.Model{a, b} {
 			require.GreaterOrEqual(t, f.count(func(r *Replica) bool { return r.Model == m.Name }), m.Replicas)
-			if n := canaries(&m); n > 0 {
+			if n := canaryReplicas(&m); n > 0 {
 				require.Equal(t, n, f.count(func(r *Replica) bool { return r.Model == m.Name && r.Version == "2" }))
 			}
 			require.Zero(t, f.count(func(r *Replica) bool { return r.Model == m.Name && r.Version == "0" }))
 		}
 		orders := len(f.orders)
-		f.settle(New(DefaultConfig()))
-		require.Len(t, f.orders, orders, "a new holder finds nothing to do")
+		f.runUntilIdle(New(DefaultConfig()))
+		require.Len(t, f.orders, orders, "a new holder gives no orders")
 	})
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -8,51 +8,52 @@
 	"acaciacleat.example/core/routing"
 )
 
-// pending is an order that isn't yet seen to be done.
-type pending struct {
+// pendingOrder is an order that is not yet observed as done.
+type pendingOrder struct {
 	order Order
 	since time.Time
 	// slot is the slot that the order holds, -1 for none.
 	slot int
-	// again says that the order was found in a slot and is to be given once more.
-	again bool
+	// reissue is set when the order was found in a slot and must be given once more.
+	reissue bool
 }
 
-// slotSeen is when a version of a slot's row was first seen, by this process's clock:
-// the clocks of two holders differ, so that a row can't say when it ends.
-type slotSeen struct {
+// slotObservation records when a version of a slot's row was first seen, by this process's
+// clock. A row can't contain its own expiry time, since the clocks of two holders differ.
+type slotObservation struct {
 	version uint64
 	since   time.Time
 }
 
-// Placer is the state of the process that places a service. It is not safe for
-// concurrent use. A new holder of the lease starts with a new one and learns the orders
-// under way from the slots.
+// Placer is the state of the process that places a service. It is not safe for concurrent
+// use. A new lease holder starts with a new Placer, which finds the pending orders in the
+// slots.
 type Placer struct {
-	config    Config
-	pending   map[string]pending
-	restUntil map[string]time.Time
-	deadSince map[string]time.Time
-	slots     map[int]slotSeen
-	// rejected repeats Input.Rejected until that shows what this process rejected.
+	config        Config
+	pending       map[string]pendingOrder
+	cooldownUntil map[string]time.Time
+	deadSince     map[string]time.Time
+	slotsSeen     map[int]slotObservation
+	// rejected holds this process's rejections, since Input.Rejected shows them only once
+	// they are stored.
 	rejected map[ModelVersion]Reason
 }
 
-// New returns a Placer that knows of no orders.
+// New returns a Placer without pending orders.
 func New(config Config) *Placer {
 	return &Placer{
-		config: config, pending: make(map[string]pending), restUntil: make(map[string]time.Time),
-		deadSince: make(map[string]time.Time), slots: make(map[int]slotSeen), rejected: make(map[ModelVersion]Reason),
+		config: config, pending: make(map[string]pendingOrder), cooldownUntil: make(map[string]time.Time),
+		deadSince: make(map[string]time.Time), slotsSeen: make(map[int]slotObservation), rejected: make(map[ModelVersion]Reason),
 	}
 }
 
-// Decide returns what to do now. It is to be called every few seconds.
+// Decide returns the actions to take now. Call it every few seconds.
 func (p *Placer) Decide(now time.Time, in *Input) []Action {
-	p.watchSlots(now, in)
+	p.observeSlots(now, in)
 	r := p.newRound(now, in)
 	r.finishOrders()
-	r.judgeCanaries()
-	for _, step := range []func(*target){r.fill, r.correctVersion, r.addAdapters, r.spreadOverZones, r.setRoles} {
+	r.evaluateCanaries()
+	for _, step := range []func(*target){r.addReplicas, r.correctVersion, r.addAdapters, r.spreadOverZones, r.setRoles} {
 		for i := range r.targets {
 			step(&r.targets[i])
 		}
@@ -60,57 +61,57 @@
 	return r.actions
 }
 
-// Dropped takes that an order was not given, because its slot was taken or its lease had
+// Dropped records that an order was not given, because its slot was taken or the lease had
 // ended.
 func (p *Placer) Dropped(vm string) { delete(p.pending, vm) }
 
-// watchSlots notes changes of the slots' rows and takes over orders of this service that
-// it doesn't know of. They are given again unless they are done: an earlier holder, or this
-// one when the answer to its write was lost, may have taken the slot and gone no further.
-func (p *Placer) watchSlots(now time.Time, in *Input) {
+// observeSlots records changes of the slots' rows and takes over unknown orders of this
+// service. These are given again unless they are done: an earlier lease holder, or this one
+// if the answer to its write was lost, may have taken the slot without giving the order.
+func (p *Placer) observeSlots(now time.Time, in *Input) {
 	for _, slot := range in.Slots {
-		if seen, ok := p.slots[slot.Index]; ok && seen.version == slot.Version {
+		if seen, ok := p.slotsSeen[slot.Index]; ok && seen.version == slot.Version {
 			continue
 		}
-		p.slots[slot.Index] = slotSeen{version: slot.Version, since: now}
+		p.slotsSeen[slot.Index] = slotObservation{version: slot.Version, since: now}
 		if slot.Order == nil || slot.Service != in.Service.Name {
 			continue
 		}
 		if _, known := p.pending[slot.Order.VM]; !known {
-			p.pending[slot.Order.VM] = pending{order: *slot.Order, since: now, slot: slot.Index, again: true}
+			p.pending[slot.Order.VM] = pendingOrder{order: *slot.Order, since: now, slot: slot.Index, reissue: true}
 		}
 	}
 }
 
 func (p *Placer) slotExpired(now time.Time, slot Slot) bool {
-	return now.Sub(p.slots[slot.Index].since) >= p.config.SlotLife
+	return now.Sub(p.slotsSeen[slot.Index].since) >= p.config.SlotTimeout
 }
 
-// engine is a replica as it will be once the orders under way are done.
+// engine is a replica with the state it will have once its pending order is done.
 type engine struct {
 	*Replica
 	model, version string
 	busy           bool
-	// present is false for engines that can't be counted on.
+	// present is false for engines that do not count as replicas: leaving or dead ones.
 	present bool
 }
 
-// free reports whether the engine may get an order.
-func (r *round) free(e *engine) bool {
-	return e.State == routing.Live && !e.busy && !r.now.Before(r.placer.restUntil[e.VM])
+// canTakeOrder reports whether the engine may get an order now.
+func (r *round) canTakeOrder(e *engine) bool {
+	return e.State == routing.Live && !e.busy && !r.now.Before(r.placer.cooldownUntil[e.VM])
 }
 
-// round is one decision.
+// round is the state of one decision.
 type round struct {
-	placer  *Placer
-	now     time.Time
-	in      *Input
-	engines []*engine
-	zones   []string
-	targets []target
-	slots   []Slot // those that are free
-	budget  int
-	actions []Action
+	placer     *Placer
+	now        time.Time
+	in         *Input
+	engines    []*engine
+	zones      []string
+	targets    []target
+	freeSlots  []Slot // neither held nor expired
+	ordersLeft int
+	actions    []Action
 }
 
 func (p *Placer) newRound(now time.Time, in *Input) *round {
@@ -119,7 +120,7 @@
 	for i := range in.Replicas {
 		replica := &in.Replicas[i]
 		known[replica.VM] = true
-		e := &engine{Replica: replica, model: replica.Model, version: replica.Version, present: p.present(now, replica)}
+		e := &engine{Replica: replica, model: replica.Model, version: replica.Version, present: p.isPresent(now, replica)}
 		r.engines = append(r.engines, e)
 		if e.present && !slices.Contains(r.zones, e.Zone) {
 			r.zones = append(r.zones, e.Zone)
@@ -127,18 +128,18 @@
 	}
 	slices.SortFunc(r.engines, func(a, b *engine) int { return cmp.Compare(a.VM, b.VM) })
 	slices.Sort(r.zones)
-	p.forget(known)
+	p.pruneVMs(known)
 	for _, slot := range in.Slots {
 		if slot.Order == nil || p.slotExpired(now, slot) {
-			r.slots = append(r.slots, slot)
+			r.freeSlots = append(r.freeSlots, slot)
 		}
 	}
 	return r
 }
 
-// present reports whether a replica counts. A dead one does for a while: its engine may
-// be back, with its weights, before another could have loaded them.
-func (p *Placer) present(now time.Time, replica *Replica) bool {
+// isPresent reports whether a replica counts. A dead replica counts for DeadGrace: its engine
+// may return with its weights before another engine could have loaded them.
+func (p *Placer) isPresent(now time.Time, replica *Replica) bool {
 	if replica.State != routing.Dead {
 		delete(p.deadSince, replica.VM)
 		return replica.State != routing.Leaving
@@ -149,76 +150,77 @@
 	return now.Sub(p.deadSince[replica.VM]) < p.config.DeadGrace
 }
 
-// forget drops what is kept of VMs that are gone, but for orders, which end by themselves.
-func (p *Placer) forget(known map[string]bool) {
+// pruneVMs drops the state of VMs that no longer exist, except their orders, which time out.
+func (p *Placer) pruneVMs(known map[string]bool) {
 	for vm := range p.deadSince {
 		if !known[vm] {
 			delete(p.deadSince, vm)
 		}
 	}
-	for vm := range p.restUntil {
+	for vm := range p.cooldownUntil {
 		if !known[vm] {
-			delete(p.restUntil, vm)
+			delete(p.cooldownUntil, vm)
 		}
 	}
 }
 
-// finishOrders ends the orders that are seen to be done or too old and enters the others
-// into the engines.
+// finishOrders ends the orders that are done or have timed out, and applies the others to
+// the engines.
 func (r *round) finishOrders() {
 	p := r.placer
 	for _, e := range r.engines {
-		under, ok := p.pending[e.VM]
+		pending, ok := p.pending[e.VM]
 		if !ok {
 			continue
 		}
 		switch {
-		case Done(&under.order, e.Replica):
-			r.release(&under)
-			r.end(e.VM)
-		case r.now.Sub(under.since) >= p.config.OrderLife:
-			// The slot stays taken until SlotLife: the engine may still be fetching.
-			r.end(e.VM)
+		case Done(&pending.order, e.Replica):
+			r.releaseSlot(&pending)
+			r.endOrder(e.VM)
+		case r.now.Sub(pending.since) >= p.config.OrderLife:
+			// The slot stays taken until SlotTimeout: the engine may still be fetching.
+			r.endOrder(e.VM)
 		default:
-			e.enter(&under.order)
-			r.giveAgain(under)
+			e.apply(&pending.order)
+			r.reissueOrder(pending)
 		}
 	}
-	for vm, under := range p.pending {
-		if r.now.Sub(under.since) >= p.config.OrderLife {
-			r.end(vm)
+	for vm, pending := range p.pending {
+		if r.now.Sub(pending.since) >= p.config.OrderLife {
+			r.endOrder(vm)
 		}
 	}
-	r.budget = max(0, min(p.config.OrdersPerRound, p.config.OrdersAtOnce-len(p.pending)))
+	r.ordersLeft = max(0, min(p.config.MaxOrdersPerRound, p.config.MaxPendingOrders-len(p.pending)))
 }
 
-func (r *round) giveAgain(under pending) {
-	if !under.again {
+func (r *round) reissueOrder(pending pendingOrder) {
+	if !pending.reissue {
 		return
 	}
-	under.again = false
-	r.placer.pending[under.order.VM] = under
-	r.actions = append(r.actions, under.order)
+	pending.reissue = false
+	r.placer.pending[pending.order.VM] = pending
+	r.actions = append(r.actions, pending.order)
 }
 
-func (r *round) end(vm string) {
+func (r *round) endOrder(vm string) {
 	delete(r.placer.pending, vm)
-	r.placer.restUntil[vm] = r.now.Add(r.placer.config.Rest)
+	r.placer.cooldownUntil[vm] = r.now.Add(r.placer.config.Rest)
 }
 
-// release empties the slot of an order that is done, if the slot still holds it. What goes
-// wrong otherwise: another holder by mistake has emptied the slot and taken it for the next
-// order, and this one frees it under a fetch; the loads then take more than the rate.
-func (r *round) release(under *pending) {
+// releaseSlot clears the slot of an order that is done, if the slot still holds that order.
+// A second lease holder may by mistake have cleared the slot and taken it for its own next
+// order. Clearing it again would free the slot during that fetch, and the fetches would
+// exceed the rate of the weight store.
+func (r *round) releaseSlot(pending *pendingOrder) {
 	for _, slot := range r.in.Slots {
-		mine := slot.Order != nil && slot.Service == r.in.Service.Name && *slot.Order == under.order
-		if slot.Index == under.slot && mine {
+		holdsOrder := slot.Order != nil && slot.Service == r.in.Service.Name && *slot.Order == pending.order
+		if slot.Index == pending.slot && holdsOrder {
 			r.actions = append(r.actions, ReleaseSlot{Slot: slot.Index, Version: slot.Version})
 		}
 	}
 }
 
-// Done reports whether a replica is seen to be as an order asks.
+// Done reports whether a replica is observed in the state that an order asks for.
 func Done(order *Order, replica *Replica) bool {
 	switch order.Kind {
 	case LoadModel:
@@ -230,30 +232,31 @@
 	}
 }
 
-// enter shows the engine as it will be after the order.
-func (e *engine) enter(order *Order) {
+// apply sets the engine to the state it will have after the order.
+func (e *engine) apply(order *Order) {
 	e.busy = true
 	if order.Kind == LoadModel {
 		e.model, e.version = order.Model, order.Version
 	}
 }
 
-// order gives an order if the round has room and, where weights are fetched, a slot.
-func (r *round) order(e *engine, order Order) bool {
-	if r.budget == 0 || (order.Kind != SetRole && len(r.slots) == 0) {
+// placeOrder gives an order if the round has orders left and, for orders that fetch weights,
+// a free slot. It reports whether it did.
+func (r *round) placeOrder(e *engine, order Order) bool {
+	if r.ordersLeft == 0 || (order.Kind != SetRole && len(r.freeSlots) == 0) {
 		return false
 	}
-	r.budget--
+	r.ordersLeft--
 	order.VM = e.VM
-	e.enter(&order)
+	e.apply(&order)
 	if order.Kind == SetRole {
-		r.placer.pending[e.VM] = pending{order: order, since: r.now, slot: -1}
+		r.placer.pending[e.VM] = pendingOrder{order: order, since: r.now, slot: -1}
 		r.actions = append(r.actions, order)
 		return true
 	}
-	slot := r.slots[0]
-	r.slots = r.slots[1:]
-	r.placer.pending[e.VM] = pending{order: order, since: r.now, slot: slot.Index}
+	slot := r.freeSlots[0]
+	r.freeSlots = r.freeSlots[1:]
+	r.placer.pending[e.VM] = pendingOrder{order: order, since: r.now, slot: slot.Index}
 	r.actions = append(r.actions, Reserved{Order: order, Slot: slot.Index, Version: slot.Version})
 	return true
 }
