--- a/agent/server/group.go
+++ b/agent/server/group.go
@@ -46,7 +46,7 @@
 // groupEvent is an answer of a member, or its loss.
 type groupEvent struct {
 	agent    string
-	verb     reservation.Verb
+	verb     reservation.Operation
 	attempt  call.Attempt
 	ok       bool
 	upstream string
@@ -146,7 +146,7 @@
 	if e.upstream != "" {
 		g.upstreams[e.agent] = e.upstream
 	}
-	return group.Answered(e.verb, e.agent, e.ok)
+	return group.HandleAnswer(e.verb, e.agent, e.ok)
 }
 
 // members picks this agent and the first candidates of the offer. Each try starts one
@@ -187,9 +187,9 @@
 	attempt := g.attempt
 	now := time.Now()
 	answer := func(ok bool) {
-		g.post(groupEvent{agent: action.Agent, verb: action.Verb, attempt: attempt, ok: ok})
+		g.post(groupEvent{agent: action.Agent, verb: action.Operation, attempt: attempt, ok: ok})
 	}
-	switch action.Verb {
+	switch action.Operation {
 	case reservation.DoReserve:
 		s.mu.Lock()
 		s.enqueueHold(&hold{
@@ -222,7 +222,7 @@
 	if err == nil {
 		err = c.Send(g.message(action, attempt))
 	}
-	if err != nil && action.Verb != reservation.DoRelease {
+	if err != nil && action.Operation != reservation.DoRelease {
 		s.log.Info().Err(err).Stringer("request", l.offer.ID).Str("peer", action.Agent).Msg("a group member can not be reached")
 		g.post(groupEvent{agent: action.Agent, lost: true})
 	}
@@ -230,14 +230,14 @@
 
 func (g *groupCall) message(action reservation.Action, attempt call.Attempt) link.Message {
 	l := g.call
-	if action.Verb == reservation.DoRelease {
+	if action.Operation == reservation.DoRelease {
 		return &link.Release{ID: l.offer.ID, Attempt: attempt}
 	}
 	return &link.Hold{
 		ID:           l.offer.ID,
 		Attempt:      attempt,
 		Tokens:       action.Tokens,
-		Confirm:      action.Verb == reservation.DoConfirm,
+		Confirm:      action.Operation == reservation.DoConfirm,
 		Organisation: l.offer.Organisation,
 		PromptTokens: l.work.PromptTokens,
 		TimeLeftMs:   call.Remaining(l.deadline, time.Now()).Milliseconds(),
@@ -310,7 +310,7 @@
 			return
 		case <-ticker.C:
 			for _, agent := range members {
-				g.performThere(reservation.Action{Verb: reservation.DoConfirm, Agent: agent}, g.attempt)
+				g.performThere(reservation.Action{Operation: reservation.DoConfirm, Agent: agent}, g.attempt)
 			}
 		}
 	}
--- a/agent/server/hold.go
+++ b/agent/server/hold.go
@@ -32,7 +32,7 @@
 		_ = c.Send(&link.Held{ID: m.ID, Attempt: m.Attempt, Confirm: m.Confirm, OK: ok, Upstream: s.config.Upstream})
 	}
 	s.mu.Lock()
-	s.memory.Alive(owner, now)
+	s.memory.RefreshOwner(owner, now)
 	if m.Confirm {
 		err := s.memory.Confirm(m.ID, m.Attempt, owner, now)
 		s.mu.Unlock()
@@ -65,7 +65,7 @@
 		ID:           h.id,
 		Organisation: organisation,
 		Work:         call.Work{PromptTokens: promptTokens},
-		Need:         h.tokens,
+		MemoryTokens: h.tokens,
 		Enqueued:     now,
 		Deadline:     h.deadline,
 	})
--- a/agent/server/intake.go
+++ b/agent/server/intake.go
@@ -185,7 +185,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	if err.Better == "" {
-		err.Better = s.group.Better(now, &s.load.load, 0, betterMargin)
+		err.Better = s.group.LessLoadedPeer(now, &s.load.load, 0, betterMargin)
 	}
 	message := &link.Refused{
 		ID:           id,
--- a/agent/server/memory.go
+++ b/agent/server/memory.go
@@ -39,7 +39,7 @@
 
 func reservationOptions() reservation.Options {
 	options := reservation.DefaultOptions()
-	options.ConfirmWithin = holdFor
+	options.ConfirmTimeout = holdFor
 	return options
 }
 
@@ -262,7 +262,7 @@
 // reservations whose owner is silent.
 func (s *Server) expire(now time.Time) {
 	s.mu.Lock()
-	s.memory.Alive(s.config.Incarnation, now)
+	s.memory.RefreshOwner(s.config.Incarnation, now)
 	expired := s.memory.Expire(now)
 	s.expired += int64(len(expired))
 	if s.priority != nil {
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -99,7 +99,7 @@
 	ledger *idempotency.Ledger
 	queue  scheduling.Queue
 	live   map[call.ID]*liveCall
-	memory *reservation.Book
+	memory *reservation.Pool
 	// priority is the queue where it is not the baseline; it takes settings.
 	priority  *scheduling.Priority
 	objective string
@@ -148,7 +148,7 @@
 		model:  config.Model,
 	}
 	s.ledger.Stamp(time.Now())
-	s.memory = reservation.NewBook(s.initialCapacity(), reservationOptions())
+	s.memory = reservation.NewPool(s.initialCapacity(), reservationOptions())
 	s.priority, _ = config.Queue.(*scheduling.Priority)
 	node, err := link.Start(link.Config{
 		Listen: config.Listen,
--- a/agent/server/tell.go
+++ b/agent/server/tell.go
@@ -88,7 +88,7 @@
 	own := s.report()
 	digest := toDigest(&own, now)
 	s.group.SetModel(s.model)
-	to := s.group.Tell(now, &digest)
+	to := s.group.Recipients(now, &digest)
 	s.mu.Unlock()
 	for _, vm := range to {
 		go s.tell(ctx, vm, addresses[vm], &link.Loads{Reports: []link.LoadReport{own}})
@@ -110,14 +110,14 @@
 	defer s.mu.Unlock()
 	for i := range m.Reports {
 		s.revision = max(s.revision, m.Reports[i].Revision)
-		s.group.Hear(toDigest(&m.Reports[i], now))
+		s.group.Receive(toDigest(&m.Reports[i], now))
 	}
 }
 
 // peerLoads returns the digests of the least loaded peers for a reply. It is called with
 // mu held.
 func (s *Server) peerLoads(now time.Time) *link.Loads {
-	best := s.group.Best(now, bestPeers)
+	best := s.group.LeastLoaded(now, bestPeers)
 	if len(best) == 0 {
 		return nil
 	}
@@ -135,7 +135,7 @@
 		Model:       r.Model,
 		Leaving:     r.Leaving,
 		Load:        r.Load,
-		At:          now.Add(-time.Duration(r.AgeMs) * time.Millisecond),
+		TakenAt:     now.Add(-time.Duration(r.AgeMs) * time.Millisecond),
 	}
 }
 
@@ -145,7 +145,7 @@
 		Incarnation: d.Incarnation,
 		Model:       d.Model,
 		Leaving:     d.Leaving,
-		AgeMs:       now.Sub(d.At).Milliseconds(),
+		AgeMs:       now.Sub(d.TakenAt).Milliseconds(),
 		Load:        d.Load,
 	}
 }
--- a/core/limits/entry.go
+++ b/core/limits/entry.go
@@ -113,9 +113,9 @@
 
 // Decide decides on a request of the given tokens. It does not allocate, except at an
 // organisation's first request after it was idle.
-func (e *Entry) Decide(now time.Time, key Key, limits *document.Limits, tokens int) Verdict {
+func (e *Entry) Decide(now time.Time, key Key, limits *document.Limits, tokens int) Decision {
 	if isUnlimited(limits) {
-		return Verdict{Outcome: Admitted}
+		return Decision{Outcome: Admitted}
 	}
 	a := e.account(now, key)
 	n := float64(tokens)
@@ -123,16 +123,16 @@
 	case a.owner == e.self:
 		return e.decideAsOwner(now, key, a, limits, n)
 	case a.useGrant(now, limits, n):
-		return Verdict{Outcome: Admitted}
+		return Decision{Outcome: Admitted}
 	case now.Before(a.refusedUntil) && n >= a.refusedTokens:
-		return Verdict{Outcome: Refused, RetryAfter: a.refusedUntil.Sub(now)}
+		return Decision{Outcome: Refused, RetryAfter: a.refusedUntil.Sub(now)}
 	case now.Before(e.unreachableUntil[a.owner]):
 		return e.decideOnLocalShare(now, a, limits, n)
 	}
-	return Verdict{Outcome: AskOwner, Owner: a.owner}
+	return Decision{Outcome: AskOwner, Owner: a.owner}
 }
 
-func (e *Entry) decideAsOwner(now time.Time, key Key, a *account, limits *document.Limits, tokens float64) Verdict {
+func (e *Entry) decideAsOwner(now time.Time, key Key, a *account, limits *document.Limits, tokens float64) Decision {
 	owned := e.owned.account(now, key)
 	h := owned.holders[e.self]
 	if h == nil {
@@ -142,25 +142,25 @@
 	h.held = a.inUse
 	h.lastSeen = now
 	if wait := owned.admit(now, h, limits, tokens); wait > 0 {
-		return Verdict{Outcome: Refused, RetryAfter: wait}
+		return Decision{Outcome: Refused, RetryAfter: wait}
 	}
 	a.acquireSlot(limits)
-	return Verdict{Outcome: Admitted}
+	return Decision{Outcome: Admitted}
 }
 
 // decideOnLocalShare decides without the owner, which can't be reached. The entry uses an
 // equal share of the limits, as if no entry could reach the owner.
-func (e *Entry) decideOnLocalShare(now time.Time, a *account, limits *document.Limits, tokens float64) Verdict {
+func (e *Entry) decideOnLocalShare(now time.Time, a *account, limits *document.Limits, tokens float64) Decision {
 	slots := max(1, limits.Concurrency/len(e.entries))
 	if limits.Concurrency > 0 && a.inUse >= max(slots, a.slots) {
-		return Verdict{Outcome: Refused, RetryAfter: concurrencyRetryAfter}
+		return Decision{Outcome: Refused, RetryAfter: concurrencyRetryAfter}
 	}
 	share := 1 / float64(len(e.entries))
 	if wait := a.localShare.take(now, limits, share, tokens); wait > 0 {
-		return Verdict{Outcome: Refused, RetryAfter: wait}
+		return Decision{Outcome: Refused, RetryAfter: wait}
 	}
 	a.acquireSlot(limits)
-	return Verdict{Outcome: Admitted}
+	return Decision{Outcome: Admitted}
 }
 
 // useGrant takes a request from the grants and reports whether they sufficed.
@@ -189,23 +189,24 @@
 	}
 }
 
-// Want returns the message to the owner for a request for which Decide returned AskOwner.
-func (e *Entry) Want(now time.Time, key Key, tokens int) Want {
+// NewGrantRequest returns the message to the owner for a request for which Decide returned
+// AskOwner.
+func (e *Entry) NewGrantRequest(now time.Time, key Key, tokens int) GrantRequest {
 	a := e.account(now, key)
-	want := e.newRequest(key, a, max(a.slots, a.inUse))
-	want.Tokens = float64(tokens)
-	want.MoreRequests, want.MoreTokens = a.usedRequests, a.usedTokens
-	return want
+	request := e.newRequest(key, a, max(a.slots, a.inUse))
+	request.Tokens = float64(tokens)
+	request.MoreRequests, request.MoreTokens = a.usedRequests, a.usedTokens
+	return request
 }
 
-func (e *Entry) newRequest(key Key, a *account, held int) Want {
+func (e *Entry) newRequest(key Key, a *account, held int) GrantRequest {
 	e.sequence++
 	a.sequence = e.sequence
-	return Want{Key: key, Sequence: e.sequence, Held: held}
+	return GrantRequest{Key: key, Sequence: e.sequence, Held: held}
 }
 
-// Granted handles the owner's answer.
-func (e *Entry) Granted(now time.Time, grant *Grant) {
+// HandleGrant handles the owner's answer.
+func (e *Entry) HandleGrant(now time.Time, grant *Grant) {
 	a := e.account(now, grant.Key)
 	delete(e.unreachableUntil, a.owner)
 	// Held replaces the number of slots, so only the answer to the latest message counts.
@@ -225,16 +226,16 @@
 	a.grantExpires = now.Add(grantTTL)
 }
 
-// OwnerSilent records that an owner did not answer in time. The entry uses its local shares
+// OwnerTimedOut records that an owner did not answer in time. The entry uses its local shares
 // for all organisations of this owner until ownerRetryInterval has passed.
-func (e *Entry) OwnerSilent(now time.Time, owner string) {
+func (e *Entry) OwnerTimedOut(now time.Time, owner string) {
 	e.unreachableUntil[owner] = now.Add(ownerRetryInterval)
 }
 
-// Answer handles another entry's message as the owner. The limits are those of the owner's
-// documents.
-func (e *Entry) Answer(now time.Time, entry string, want *Want, limits *document.Limits) Grant {
-	return e.owned.answer(now, entry, want, limits)
+// HandleGrantRequest handles another entry's message as the owner. The limits are those of
+// the owner's documents.
+func (e *Entry) HandleGrantRequest(now time.Time, entry string, request *GrantRequest, limits *document.Limits) Grant {
+	return e.owned.answer(now, entry, request, limits)
 }
 
 // Release records the end of a request that was admitted under the given limits.
@@ -252,8 +253,8 @@
 
 // Renewal is a message to an owner that requires no answer.
 type Renewal struct {
-	Owner string
-	Want  Want
+	Owner   string
+	Request GrantRequest
 }
 
 // Tick returns the messages that release the concurrency of requests ended since the last
@@ -284,9 +285,9 @@
 	e.assignOwner(key, a)
 	a.slots = a.inUse
 	if a.owner != e.self {
-		want := e.newRequest(key, a, a.inUse)
-		want.Renewal = true
-		return append(renewals, Renewal{Owner: a.owner, Want: want})
+		request := e.newRequest(key, a, a.inUse)
+		request.Renewal = true
+		return append(renewals, Renewal{Owner: a.owner, Request: request})
 	}
 	if h := e.owned.account(now, key).holders[e.self]; h != nil {
 		h.held = a.inUse
--- a/core/limits/limits.go
+++ b/core/limits/limits.go
@@ -73,13 +73,13 @@
 	Admitted Outcome = iota
 	// Refused means that the organisation is over a limit.
 	Refused
-	// AskOwner means that the caller must send a Want to the owner and decide again after its
-	// Grant. If no Grant arrives in time, it calls OwnerSilent and decides again.
+	// AskOwner means that the caller must send a GrantRequest to the owner and decide again
+	// after its Grant. If no Grant arrives in time, it calls OwnerTimedOut and decides again.
 	AskOwner
 )
 
-// Verdict is a decision on a request.
-type Verdict struct {
+// Decision is a decision on a request.
+type Decision struct {
 	Outcome Outcome
 	// RetryAfter is set when the request is refused.
 	RetryAfter time.Duration
@@ -87,8 +87,8 @@
 	Owner string
 }
 
-// Want is the message with which an entry asks the owner for a grant.
-type Want struct {
+// GrantRequest is the message with which an entry asks the owner for a grant.
+type GrantRequest struct {
 	Key Key
 	// Sequence increases with each message of an entry; the owner ignores older ones.
 	Sequence uint64
--- a/core/limits/limits_test.go
+++ b/core/limits/limits_test.go
@@ -46,33 +46,33 @@
 func (c *cluster) owner() string { return c.entries[c.names[0]].Owner(key) }
 
 // request sends one request to an entry and returns the final decision.
-func (c *cluster) request(name string, tokens int) Verdict {
+func (c *cluster) request(name string, tokens int) Decision {
 	e := c.entries[name]
-	verdict := e.Decide(c.now, key, c.limits, tokens)
+	decision := e.Decide(c.now, key, c.limits, tokens)
 	for range 2 {
-		if verdict.Outcome != AskOwner {
+		if decision.Outcome != AskOwner {
 			break
 		}
-		want := e.Want(c.now, key, tokens)
-		lost := c.partitioned[name] != c.partitioned[verdict.Owner] || c.loseMessage()
+		request := e.NewGrantRequest(c.now, key, tokens)
+		lost := c.partitioned[name] != c.partitioned[decision.Owner] || c.loseMessage()
 		var grant Grant
 		if !lost {
-			grant = c.entries[verdict.Owner].Answer(c.now, name, &want, c.limits)
+			grant = c.entries[decision.Owner].HandleGrantRequest(c.now, name, &request, c.limits)
 			lost = c.loseMessage()
 		}
 		if lost {
-			e.OwnerSilent(c.now, verdict.Owner)
+			e.OwnerTimedOut(c.now, decision.Owner)
 		} else {
-			e.Granted(c.now, &grant)
+			e.HandleGrant(c.now, &grant)
 		}
-		verdict = e.Decide(c.now, key, c.limits, tokens)
+		decision = e.Decide(c.now, key, c.limits, tokens)
 	}
-	if verdict.Outcome == Admitted {
+	if decision.Outcome == Admitted {
 		c.admittedAt = append(c.admittedAt, c.now)
 		c.inFlight[name]++
 		c.tokens += float64(tokens)
 	}
-	return verdict
+	return decision
 }
 
 func (c *cluster) release(name string) {
@@ -87,7 +87,7 @@
 	for _, name := range c.names {
 		for _, renewal := range c.entries[name].Tick(c.now) {
 			if c.partitioned[name] == c.partitioned[renewal.Owner] {
-				c.entries[renewal.Owner].Answer(c.now, name, &renewal.Want, c.limits)
+				c.entries[renewal.Owner].HandleGrantRequest(c.now, name, &renewal.Request, c.limits)
 			}
 		}
 	}
@@ -201,12 +201,12 @@
 			entry = c.entries[c.names[1]]
 		}
 		entry.Decide(c.now, key, c.limits, 1)
-		want := entry.Want(c.now, key, 1)
-		late := owner.Answer(c.now, entry.self, &want, c.limits)
-		renewal := entry.Want(c.now, key, 0)
+		request := entry.NewGrantRequest(c.now, key, 1)
+		late := owner.HandleGrantRequest(c.now, entry.self, &request, c.limits)
+		renewal := entry.NewGrantRequest(c.now, key, 0)
 		renewal.Renewal = true
-		owner.Answer(c.now, entry.self, &renewal, c.limits)
-		entry.Granted(c.now, &late)
+		owner.HandleGrantRequest(c.now, entry.self, &renewal, c.limits)
+		entry.HandleGrant(c.now, &late)
 		require.Equal(t, AskOwner, entry.Decide(c.now, key, c.limits, 1).Outcome)
 	})
 	t.Run("a new owner learns what is held", func(t *testing.T) {
--- a/core/limits/owner.go
+++ b/core/limits/owner.go
@@ -36,37 +36,37 @@
 }
 
 // answer handles an entry's request for a grant.
-func (o *owner) answer(now time.Time, entry string, want *Want, limits *document.Limits) Grant {
-	a := o.account(now, want.Key)
-	grant := Grant{Key: want.Key, Sequence: want.Sequence}
+func (o *owner) answer(now time.Time, entry string, request *GrantRequest, limits *document.Limits) Grant {
+	a := o.account(now, request.Key)
+	grant := Grant{Key: request.Key, Sequence: request.Sequence}
 	h := a.holders[entry]
 	if h == nil {
 		h = &holder{}
 		a.holders[entry] = h
 	}
-	if want.Sequence <= h.sequence {
+	if request.Sequence <= h.sequence {
 		grant.Held = h.held
 		return grant
 	}
-	h.sequence = want.Sequence
-	h.held = want.Held
+	h.sequence = request.Sequence
+	h.held = request.Held
 	h.lastSeen = now
-	if want.Renewal {
-		grant.Held = want.Held
+	if request.Renewal {
+		grant.Held = request.Held
 		return grant
 	}
-	wait := a.admit(now, h, limits, want.Tokens)
+	wait := a.admit(now, h, limits, request.Tokens)
 	grant.Held = h.held
 	if wait > 0 {
 		grant.RetryAfter = wait
 		if full := a.meter.requests.level >= 1 && wait != concurrencyRetryAfter; full {
-			grant.Refused = want.Tokens
+			grant.Refused = request.Tokens
 		}
 		return grant
 	}
 	grant.OK = true
-	grant.Requests = 1 + takeBatch(&a.meter.requests, want.MoreRequests)
-	grant.Tokens = want.Tokens + takeBatch(&a.meter.tokens, want.MoreTokens)
+	grant.Requests = 1 + takeBatch(&a.meter.requests, request.MoreRequests)
+	grant.Tokens = request.Tokens + takeBatch(&a.meter.tokens, request.MoreTokens)
 	return grant
 }
 
--- a/core/load/load.go
+++ b/core/load/load.go
@@ -27,8 +27,8 @@
 	Model       string
 	Leaving     bool
 	Load        routing.Load
-	// At is when the digest was taken, by the clock of the process that keeps it.
-	At time.Time
+	// TakenAt is when the digest was taken, by the clock of the process that keeps it.
+	TakenAt time.Time
 }
 
 const (
@@ -128,8 +128,9 @@
 	return time.Duration(peers*digestBytes) * time.Second / time.Duration(budget)
 }
 
-// Tell returns the agents to which own must be sent now; most of the time there are none.
-func (g *Group) Tell(now time.Time, own *Report) []string {
+// Recipients returns the agents to which own must be sent now, and records it as sent. Most
+// of the time there are none.
+func (g *Group) Recipients(now time.Time, own *Report) []string {
 	var to []string
 	if g.groupSendDue(now, own) {
 		to = g.appendPeers(to, false)
@@ -185,9 +186,9 @@
 	return sum
 }
 
-// Hear stores a peer's digest. It drops a digest that is older than the stored one: links
+// Receive stores a peer's digest. It drops a digest that is older than the stored one: links
 // may deliver late, and an old digest would route requests to a replica that is full.
-func (g *Group) Hear(report Report) {
+func (g *Group) Receive(report Report) {
 	if !slices.Contains(g.peers, report.Agent) {
 		return
 	}
@@ -195,19 +196,19 @@
 	if known && old.Incarnation == report.Incarnation && report.Load.Sequence <= old.Load.Sequence {
 		return
 	}
-	if known && old.Incarnation != report.Incarnation && report.At.Before(old.At) {
+	if known && old.Incarnation != report.Incarnation && report.TakenAt.Before(old.TakenAt) {
 		return
 	}
 	g.peerModels[report.Agent] = report.Model
 	g.reports[report.Agent] = report
 }
 
-// Best returns up to n current digests of peers of the same model for a reply, least loaded
+// LeastLoaded returns up to n current digests of peers of the same model for a reply, least loaded
 // first.
-func (g *Group) Best(now time.Time, n int) []Report {
+func (g *Group) LeastLoaded(now time.Time, n int) []Report {
 	fresh := make([]Report, 0, len(g.reports))
 	for agent, report := range g.reports {
-		if now.Sub(report.At) > maxReportAge {
+		if now.Sub(report.TakenAt) > maxReportAge {
 			delete(g.reports, agent)
 			continue
 		}
@@ -237,10 +238,10 @@
 	return -1
 }
 
-// Better returns a peer that has fewer outstanding prompt tokens than own by more than
+// LessLoadedPeer returns a peer that has fewer outstanding prompt tokens than own by more than
 // margin and at least need free tokens, or "" if there is none.
-func (g *Group) Better(now time.Time, own *routing.Load, need int64, margin int64) string {
-	for _, report := range g.Best(now, len(g.reports)) {
+func (g *Group) LessLoadedPeer(now time.Time, own *routing.Load, need int64, margin int64) string {
+	for _, report := range g.LeastLoaded(now, len(g.reports)) {
 		if report.Leaving || report.Load.Down || report.Load.FreeTokens < need {
 			continue
 		}
--- a/core/load/load_test.go
+++ b/core/load/load_test.go
@@ -17,7 +17,7 @@
 var start = time.Unix(1_000_000, 0)
 
 func report(agent string, sequence uint64, queued int64) Report {
-	r := Report{Agent: agent, Incarnation: 1, At: start}
+	r := Report{Agent: agent, Incarnation: 1, TakenAt: start}
 	r.Load.Sequence = sequence
 	r.Load.QueuedPrompt[call.Short] = queued
 	r.Load.FreeTokens = 1000
@@ -28,14 +28,14 @@
 	g := NewGroup("a")
 	g.SetPeers([]string{"a", "b", "c"})
 	own := report("a", 1, 100)
-	require.Equal(t, []string{"b", "c"}, g.Tell(start, &own))
-	require.Empty(t, g.Tell(start.Add(time.Second), &own))
+	require.Equal(t, []string{"b", "c"}, g.Recipients(start, &own))
+	require.Empty(t, g.Recipients(start.Add(time.Second), &own))
 	own.Load.QueuedPrompt[call.Short] = 200
-	require.Empty(t, g.Tell(start.Add(minInterval/2), &own))
-	require.Len(t, g.Tell(start.Add(minInterval), &own), 2)
+	require.Empty(t, g.Recipients(start.Add(minInterval/2), &own))
+	require.Len(t, g.Recipients(start.Add(minInterval), &own), 2)
 	own.Leaving = true
-	require.Len(t, g.Tell(start.Add(minInterval), &own), 2, "leaving is sent at once")
-	require.Len(t, g.Tell(start.Add(minInterval+maxInterval), &own), 2)
+	require.Len(t, g.Recipients(start.Add(minInterval), &own), 2, "leaving is sent at once")
+	require.Len(t, g.Recipients(start.Add(minInterval+maxInterval), &own), 2)
 }
 
 // Digest 7 reports a full replica; digest 6, delayed on another link, reports an idle one.
@@ -43,9 +43,9 @@
 func TestLateDigestIsDropped(t *testing.T) {
 	g := NewGroup("a")
 	g.SetPeers([]string{"b"})
-	g.Hear(report("b", 7, 500))
-	g.Hear(report("b", 6, 0))
-	require.Equal(t, int64(500), g.Best(start, 1)[0].Load.QueuedPrompt[call.Short])
+	g.Receive(report("b", 7, 500))
+	g.Receive(report("b", 6, 0))
+	require.Equal(t, int64(500), g.LeastLoaded(start, 1)[0].Load.QueuedPrompt[call.Short])
 }
 
 func TestLessLoadedPeerHasRoom(t *testing.T) {
@@ -53,20 +53,20 @@
 	g.SetPeers([]string{"b", "c", "d", "e"})
 	full := report("b", 1, 0)
 	full.Load.FreeTokens = 10
-	g.Hear(full)
-	g.Hear(report("c", 1, 300))
+	g.Receive(full)
+	g.Receive(report("c", 1, 300))
 	down := report("e", 1, 0)
 	down.Load.Down = true
-	g.Hear(down)
+	g.Receive(down)
 	leaving := report("d", 1, 0)
 	leaving.Leaving = true
-	g.Hear(leaving)
+	g.Receive(leaving)
 	own := routing.Load{}
 	own.QueuedPrompt[call.Short] = 1000
-	require.Equal(t, "c", g.Better(start, &own, 100, 50))
-	require.Equal(t, "e", g.Best(start, 4)[3].Agent, "an engine that is down comes last")
-	require.Empty(t, g.Better(start, &own, 100, 800))
-	require.Empty(t, g.Better(start.Add(time.Minute), &own, 100, 50), "old digests are ignored")
+	require.Equal(t, "c", g.LessLoadedPeer(start, &own, 100, 50))
+	require.Equal(t, "e", g.LeastLoaded(start, 4)[3].Agent, "an engine that is down comes last")
+	require.Empty(t, g.LessLoadedPeer(start, &own, 100, 800))
+	require.Empty(t, g.LessLoadedPeer(start.Add(time.Minute), &own, 100, 50), "old digests are ignored")
 }
 
 // With random loads and group sizes, the digests sent stay within budgetBytes.
@@ -85,7 +85,7 @@
 		for tick := range seconds * 10 {
 			own.Load.Sequence++
 			own.Load.QueuedPrompt[call.Short] = int64(random.IntN(1e6))
-			recipients := g.Tell(start.Add(time.Duration(tick)*100*time.Millisecond), &own)
+			recipients := g.Recipients(start.Add(time.Duration(tick)*100*time.Millisecond), &own)
 			bytes += len(recipients) * digestBytes
 		}
 		// With fewer than 3 peers, minInterval alone bounds the traffic at 880 bytes per second.
@@ -111,16 +111,16 @@
 		if strings.HasPrefix(agent, "other") {
 			r.Model = "n"
 		}
-		g.Hear(r)
+		g.Receive(r)
 	}
 	require.LessOrEqual(t, g.Interval(), maxReportAge/2)
-	require.Len(t, g.Best(start, len(peers)), 3, "digests of other models are left out")
+	require.Len(t, g.LeastLoaded(start, len(peers)), 3, "digests of other models are left out")
 	own := report("self", 0, 0)
 	sent := make(map[string]int)
 	bytes := 0
 	for tick := range ticks {
 		own.Load.QueuedPrompt[call.Short] = int64(tick%2) * 1000
-		for _, agent := range g.Tell(start.Add(time.Duration(tick)*100*time.Millisecond), &own) {
+		for _, agent := range g.Recipients(start.Add(time.Duration(tick)*100*time.Millisecond), &own) {
 			sent[agent]++
 			bytes += digestBytes
 		}
@@ -137,15 +137,15 @@
 	g.SetPeers([]string{"a", "unknown"})
 	r := report("a", 1, 100)
 	r.Model = "n"
-	g.Hear(r)
+	g.Receive(r)
 	own := report("self", 1, 100)
-	require.Equal(t, []string{"unknown", "a"}, g.Tell(start, &own))
+	require.Equal(t, []string{"unknown", "a"}, g.Recipients(start, &own))
 	own.Load.QueuedPrompt[call.Short] = 5000
-	require.Equal(t, []string{"unknown"}, g.Tell(start.Add(time.Second), &own))
+	require.Equal(t, []string{"unknown"}, g.Recipients(start.Add(time.Second), &own))
 	r.Load.Sequence++
 	r.Model = "m"
-	g.Hear(r)
+	g.Receive(r)
 	own.Load.QueuedPrompt[call.Short] = 100
-	require.Equal(t, []string{"a", "unknown"}, g.Tell(start.Add(2*time.Second), &own))
-	require.Len(t, g.Best(start, 2), 1)
+	require.Equal(t, []string{"a", "unknown"}, g.Recipients(start.Add(2*time.Second), &own))
+	require.Len(t, g.LeastLoaded(start, 2), 1)
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -107,10 +107,10 @@
 	Reason  Reason `json:"reason"`
 }
 
-// Reserved is an order that fetches weights. The caller first writes the order into the
+// SlotOrder is an order that fetches weights. The caller first writes the order into the
 // slot's row, on condition that the row has the given version, and gives the order only
-// if the write succeeded. Otherwise it calls Placer.Dropped.
-type Reserved struct {
+// if the write succeeded. Otherwise it calls Placer.OrderDropped.
+type SlotOrder struct {
 	Order   Order
 	Slot    int
 	Version uint64
@@ -130,7 +130,7 @@
 }
 
 func (Order) action()        {}
-func (Reserved) action()     {}
+func (SlotOrder) action()    {}
 func (ReleaseSlot) action()  {}
 func (RejectCanary) action() {}
 
@@ -141,15 +141,15 @@
 	MaxOrdersPerRound, MaxPendingOrders int
 	// LoadingShare is the share of a model's replicas that may be loading at the same time.
 	LoadingShare float64
-	// DeadGrace is how long a replica may be dead before it is replaced.
-	DeadGrace time.Duration
-	// OrderLife is how long an order may take. The engine's agent drops it after that.
-	OrderLife time.Duration
+	// DeadGracePeriod is how long a replica may be dead before it is replaced.
+	DeadGracePeriod time.Duration
+	// OrderTimeout is how long an order may take. The engine's agent drops it after that.
+	OrderTimeout time.Duration
 	// SlotTimeout is how long a slot's row may stay unchanged before it counts as free. It
-	// is longer than OrderLife, so that the fetch of a dropped order has ended by then.
+	// is longer than OrderTimeout, so that the fetch of a dropped order has ended by then.
 	SlotTimeout time.Duration
-	// Rest is how long an engine gets no order after its last one has ended.
-	Rest time.Duration
+	// Cooldown is how long an engine gets no order after its last one has ended.
+	Cooldown time.Duration
 	// MinRequests is the number of requests that both versions need before a canary is
 	// compared with the stable version.
 	MinRequests int
@@ -158,14 +158,14 @@
 	ErrorMargin, FirstTokenFactor float64
 }
 
-// DefaultConfig returns settings for fleets of tens to thousands of engines. OrderLife,
-// SlotTimeout and Rest allow for minutes to load a model's weights, DeadGrace for seconds to
-// restart an agent. At 200 requests an error rate of 1 % has a standard error of 0.7 %, so
-// that it seldom exceeds a margin of 2 % by chance.
+// DefaultConfig returns settings for fleets of tens to thousands of engines. OrderTimeout,
+// SlotTimeout and Cooldown allow for minutes to load a model's weights, DeadGracePeriod for
+// seconds to restart an agent. At 200 requests an error rate of 1 % has a standard error of
+// 0.7 %, so that it seldom exceeds a margin of 2 % by chance.
 func DefaultConfig() Config {
 	return Config{
 		MaxOrdersPerRound: 2, MaxPendingOrders: 8, LoadingShare: 0.1,
-		DeadGrace: 30 * time.Second, OrderLife: 10 * time.Minute, SlotTimeout: 20 * time.Minute, Rest: time.Minute,
+		DeadGracePeriod: 30 * time.Second, OrderTimeout: 10 * time.Minute, SlotTimeout: 20 * time.Minute, Cooldown: time.Minute,
 		MinRequests: 200, ErrorMargin: 0.02, FirstTokenFactor: 1.5,
 	}
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -58,10 +58,10 @@
 	actions := p.Decide(f.now, &view)
 	for _, action := range actions {
 		switch a := action.(type) {
-		case Reserved:
+		case SlotOrder:
 			slot := &f.in.Slots[a.Slot]
 			if slot.Version != a.Version {
-				p.Dropped(a.Order.VM)
+				p.OrderDropped(a.Order.VM)
 				continue
 			}
 			slot.Version++
@@ -249,7 +249,7 @@
 func TestSlotOfAnotherOrderIsNotReleased(t *testing.T) {
 	f := newFleet(t, 3, 1, model("a", 3))
 	p := New(DefaultConfig())
-	order := f.runRound(p, f.view())[0].(Reserved).Order
+	order := f.runRound(p, f.view())[0].(SlotOrder).Order
 	other := order
 	other.VM = "vm-02"
 	for _, slot := range []Slot{{Version: 2, Service: "chat", Order: &other}, {Version: 2, Service: "search", Order: &order}} {
@@ -288,7 +288,7 @@
 func TestNextLeaseHolderReissuesTheOrder(t *testing.T) {
 	f := newFleet(t, 3, 1, model("a", 1))
 	view := f.view()
-	reserved := New(DefaultConfig()).Decide(f.now, &view)[0].(Reserved)
+	reserved := New(DefaultConfig()).Decide(f.now, &view)[0].(SlotOrder)
 	f.in.Slots[0] = Slot{Version: 1, Service: "chat", Order: &reserved.Order}
 	require.Equal(t, []Action{reserved.Order}, f.runRound(New(DefaultConfig()), f.view()))
 	f.runUntilIdle(New(DefaultConfig()))
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -61,9 +61,9 @@
 	return r.actions
 }
 
-// Dropped records that an order was not given, because its slot was taken or the lease had
+// OrderDropped records that an order was not given, because its slot was taken or the lease had
 // ended.
-func (p *Placer) Dropped(vm string) { delete(p.pending, vm) }
+func (p *Placer) OrderDropped(vm string) { delete(p.pending, vm) }
 
 // observeSlots records changes of the slots' rows and takes over unknown orders of this
 // service. These are given again unless they are done: an earlier lease holder, or this one
@@ -137,8 +137,8 @@
 	return r
 }
 
-// isPresent reports whether a replica counts. A dead replica counts for DeadGrace: its engine
-// may return with its weights before another engine could have loaded them.
+// isPresent reports whether a replica counts. A dead replica counts for DeadGracePeriod: its
+// engine may return with its weights before another engine could have loaded them.
 func (p *Placer) isPresent(now time.Time, replica *Replica) bool {
 	if replica.State != routing.Dead {
 		delete(p.deadSince, replica.VM)
@@ -147,7 +147,7 @@
 	if _, ok := p.deadSince[replica.VM]; !ok {
 		p.deadSince[replica.VM] = now
 	}
-	return now.Sub(p.deadSince[replica.VM]) < p.config.DeadGrace
+	return now.Sub(p.deadSince[replica.VM]) < p.config.DeadGracePeriod
 }
 
 // pruneVMs drops the state of VMs that no longer exist, except their orders, which time out.
@@ -177,7 +177,7 @@
 		case Done(&pending.order, e.Replica):
 			r.releaseSlot(&pending)
 			r.endOrder(e.VM)
-		case r.now.Sub(pending.since) >= p.config.OrderLife:
+		case r.now.Sub(pending.since) >= p.config.OrderTimeout:
 			// The slot stays taken until SlotTimeout: the engine may still be fetching.
 			r.endOrder(e.VM)
 		default:
@@ -186,7 +186,7 @@
 		}
 	}
 	for vm, pending := range p.pending {
-		if r.now.Sub(pending.since) >= p.config.OrderLife {
+		if r.now.Sub(pending.since) >= p.config.OrderTimeout {
 			r.endOrder(vm)
 		}
 	}
@@ -204,7 +204,7 @@
 
 func (r *round) endOrder(vm string) {
 	delete(r.placer.pending, vm)
-	r.placer.cooldownUntil[vm] = r.now.Add(r.placer.config.Rest)
+	r.placer.cooldownUntil[vm] = r.now.Add(r.placer.config.Cooldown)
 }
 
 // releaseSlot clears the slot of an order that is done, if the slot still holds that order.
@@ -257,6 +257,6 @@
 	slot := r.freeSlots[0]
 	r.freeSlots = r.freeSlots[1:]
 	r.placer.pending[e.VM] = pendingOrder{order: order, since: r.now, slot: slot.Index}
-	r.actions = append(r.actions, Reserved{Order: order, Slot: slot.Index, Version: slot.Version})
+	r.actions = append(r.actions, SlotOrder{Order: order, Slot: slot.Index, Version: slot.Version})
 	return true
 }
--- a/core/policytest/evaluator_test.go
+++ b/core/policytest/evaluator_test.go
@@ -108,7 +108,7 @@
 func (e *engine) load() routing.Load {
 	l := routing.Load{FreeTokens: e.free, CapacityTokens: capacity, PrefillRate: prefillRate}
 	if q, ok := e.queue.(*scheduling.Priority); ok {
-		l.QueuedPrompt = q.Queued()
+		l.QueuedPrompt = q.QueuedTokens()
 	} else {
 		for _, j := range e.jobs {
 			l.QueuedPrompt[call.ClassOf(j.prompt)] += int64(j.prompt)
@@ -219,7 +219,7 @@
 	cached := min(a.prompt, prefix.Boundary(e.cachedDepth(a.digests))/4)
 	var id call.ID
 	binary.BigEndian.PutUint64(id[:], uint64(n)+1)
-	j := &job{arrival: a, item: scheduling.Item{ID: id, Organisation: fmt.Sprint(a.organisation), Work: work, Cached: cached, Enqueued: epoch.Add(m.now), Deadline: deadline}}
+	j := &job{arrival: a, item: scheduling.Item{ID: id, Organisation: fmt.Sprint(a.organisation), Work: work, CachedTokens: cached, Enqueued: epoch.Add(m.now), Deadline: deadline}}
 	if e.queue.Push(j.item) {
 		e.jobs[id] = j
 		m.fill(e)
--- a/core/prefix/estimator.go
+++ b/core/prefix/estimator.go
@@ -143,8 +143,8 @@
 	return uint32(now.Sub(e.origin) / tickDuration)
 }
 
-// Learn records that a prompt with these digests was sent to h.
-func (e *Estimator) Learn(h Holder, digests []uint64, now time.Time) {
+// RecordPrompt records that a prompt with these digests was sent to h.
+func (e *Estimator) RecordPrompt(h Holder, digests []uint64, now time.Time) {
 	if h == 0 {
 		return
 	}
@@ -162,7 +162,7 @@
 	if predicted > 0 && actual == 0 {
 		e.Invalidate(h, now)
 	}
-	e.Learn(h, digests, now)
+	e.RecordPrompt(h, digests, now)
 }
 
 // ApplyEvent applies one cache event and reports whether events are missing before it.
@@ -188,7 +188,7 @@
 		e.removeHolder(h, event.Digest)
 		return gap
 	}
-	e.Learn(h, []uint64{event.Digest}, now)
+	e.RecordPrompt(h, []uint64{event.Digest}, now)
 	return gap
 }
 
--- a/core/prefix/prefix_test.go
+++ b/core/prefix/prefix_test.go
@@ -41,8 +41,8 @@
 	e := NewEstimator(64, time.Minute)
 	a, b := e.Register("a", 1, start), e.Register("b", 1, start)
 	later := start.Add(time.Second)
-	e.Learn(a, []uint64{10, 11, 12}, later)
-	e.Learn(b, []uint64{10, 11}, later)
+	e.RecordPrompt(a, []uint64{10, 11, 12}, later)
+	e.RecordPrompt(b, []uint64{10, 11}, later)
 	require.Equal(t, []Match{{a, 3}, {b, 2}}, e.Match([]uint64{10, 11, 12}, later, nil))
 
 	require.False(t, e.ApplyEvent(a, Event{Sequence: 7, Digest: 12, Evicted: true}, later))
@@ -51,7 +51,7 @@
 	require.True(t, e.ApplyEvent(a, Event{Sequence: 9, Digest: 99}, later))
 	require.Equal(t, []Match{{b, 2}}, e.Match([]uint64{10, 11, 12}, later, nil))
 
-	e.Learn(a, []uint64{10}, later.Add(time.Second))
+	e.RecordPrompt(a, []uint64{10}, later.Add(time.Second))
 	require.Len(t, e.Match([]uint64{10, 11}, later.Add(time.Second), nil), 2)
 	require.Empty(t, e.Match([]uint64{10, 11}, later.Add(2*time.Minute), nil), "aged out")
 }
@@ -61,13 +61,13 @@
 	a := e.Register("a", 1, start)
 	now := start.Add(time.Second)
 	for i := range uint64(10_000) {
-		e.Learn(a, []uint64{i + 1}, now)
+		e.RecordPrompt(a, []uint64{i + 1}, now)
 	}
 	require.Len(t, e.slots, 64)
 	require.NotEmpty(t, e.Match([]uint64{10_000}, now, nil))
 	require.Equal(t, a, e.Register("a", 2, now))
 	require.Empty(t, e.Match([]uint64{10_000}, now, nil))
-	e.Learn(a, []uint64{5}, now.Add(time.Second))
+	e.RecordPrompt(a, []uint64{5}, now.Add(time.Second))
 	e.Unregister("a")
 	b := e.Register("b", 1, now.Add(2*time.Second))
 	require.Equal(t, a, b, "the number is reused")
--- a/core/reservation/group.go
+++ b/core/reservation/group.go
@@ -24,12 +24,12 @@
 	Released
 )
 
-// Verb is the operation that an Action requests of a member's agent.
-type Verb uint8
+// Operation is the operation that an Action requests of a member's agent.
+type Operation uint8
 
-// The operations, each a call of Book.
+// The operations, each a call of Pool.
 const (
-	DoReserve Verb = iota
+	DoReserve Operation = iota
 	DoConfirm
 	DoRelease
 )
@@ -42,9 +42,9 @@
 
 // Action is a message that the caller sends to a member's agent.
 type Action struct {
-	Verb   Verb
-	Agent  string
-	Tokens int64
+	Operation Operation
+	Agent     string
+	Tokens    int64
 }
 
 // Group reserves memory at several engines, all or nothing, for a prompt larger than one
@@ -53,7 +53,7 @@
 // Two groups must not deadlock by each holding a part of the engines, and a leader that
 // crashes between two reservations must not leak the first. Members are therefore asked one
 // at a time in the order of their names, which is the same for all groups; a refusal fails
-// the whole group, so that no memory is held while waiting; and each Book expires what was
+// the whole group, so that no memory is held while waiting; and each Pool expires what was
 // not confirmed in time or whose owner is silent. Two groups on the same engines can't
 // both fail because of each other: the one that reserves the first common member is not
 // refused by the other members. A failed group is retried as a new Group with a higher
@@ -67,8 +67,8 @@
 }
 
 // NewGroup returns a group and its first actions. Members must have different agents.
-// deadline is the time by which all memory must be held; it should be less than the books'
-// ConfirmWithin away.
+// deadline is the time by which all memory must be held; it should be less than the pools'
+// ConfirmTimeout away.
 func NewGroup(members []Member, deadline time.Time) (*Group, []Action) {
 	g := &Group{
 		members:   slices.Clone(members),
@@ -86,21 +86,21 @@
 // Phase returns the group's phase.
 func (g *Group) Phase() Phase { return g.phase }
 
-func (g *Group) actionFor(verb Verb, i int) Action {
-	return Action{Verb: verb, Agent: g.members[i].Agent, Tokens: g.members[i].Tokens}
+func (g *Group) actionFor(operation Operation, i int) Action {
+	return Action{Operation: operation, Agent: g.members[i].Agent, Tokens: g.members[i].Tokens}
 }
 
-// Answered handles an agent's answer to DoReserve or DoConfirm; answers to DoRelease need
+// HandleAnswer handles an agent's answer to DoReserve or DoConfirm; answers to DoRelease need
 // not be passed in. Late or repeated answers and those of other agents have no effect.
-func (g *Group) Answered(verb Verb, agent string, ok bool) []Action {
+func (g *Group) HandleAnswer(operation Operation, agent string, ok bool) []Action {
 	i := g.index(agent)
 	if i < 0 {
 		return nil
 	}
 	switch {
-	case verb == DoReserve && g.phase == Reserving && i == g.nextMember:
+	case operation == DoReserve && g.phase == Reserving && i == g.nextMember:
 		return g.handleReserveAnswer(ok)
-	case verb == DoConfirm && g.phase == Confirming:
+	case operation == DoConfirm && g.phase == Confirming:
 		return g.handleConfirmAnswer(i, ok)
 	default:
 		return nil
@@ -141,10 +141,10 @@
 	return g.actionsForFirst(DoRelease, count)
 }
 
-func (g *Group) actionsForFirst(verb Verb, count int) []Action {
+func (g *Group) actionsForFirst(operation Operation, count int) []Action {
 	actions := make([]Action, 0, count)
 	for i := range count {
-		actions = append(actions, g.actionFor(verb, i))
+		actions = append(actions, g.actionFor(operation, i))
 	}
 	return actions
 }
--- a/core/reservation/group_test.go
+++ b/core/reservation/group_test.go
@@ -17,22 +17,22 @@
 type message struct {
 	group      int
 	answer     bool
-	verb       Verb
+	operation  Operation
 	agent      string
 	ok         bool
 	memberLost bool // tells the leader that the agent has crashed
 }
 
-// cluster is the state of two groups, the books of their engines and the messages in flight.
+// cluster is the state of two groups, the pools of their engines and the messages in flight.
 type cluster struct {
 	groups   [2]*Group
 	crashed  string // "0" or "1" for a leader, an agent's name, or "" if no process has crashed
 	timedOut [2]bool
-	pools    map[string]*Book
+	pools    map[string]*Pool
 	inFlight []message
 }
 
-// clone returns a copy that shares groups and books with c. They are copied before they
+// clone returns a copy that shares groups and pools with c. They are copied before they
 // change, by mutableGroup and mutablePool.
 func (c *cluster) clone() *cluster {
 	copied := *c
@@ -48,7 +48,7 @@
 	return &copied
 }
 
-func (c *cluster) mutablePool(name string) *Book {
+func (c *cluster) mutablePool(name string) *Pool {
 	copied := *c.pools[name]
 	copied.reservations = make(map[call.ID]*Reservation)
 	for id, r := range c.pools[name].reservations {
@@ -90,7 +90,7 @@
 	}
 	messages := make([]string, len(c.inFlight))
 	for i, m := range c.inFlight {
-		messages[i] = string([]byte{byte(m.group), bit(m.answer), byte(m.verb), bit(m.ok), bit(m.memberLost)}) + m.agent
+		messages[i] = string([]byte{byte(m.group), bit(m.answer), byte(m.operation), bit(m.ok), bit(m.memberLost)}) + m.agent
 	}
 	sort.Strings(messages)
 	return string(key) + strings.Join(messages, "")
@@ -102,7 +102,7 @@
 
 func (c *cluster) send(group int, actions []Action) {
 	for _, a := range actions {
-		c.inFlight = append(c.inFlight, message{group: group, verb: a.Verb, agent: a.Agent})
+		c.inFlight = append(c.inFlight, message{group: group, operation: a.Operation, agent: a.Agent})
 	}
 }
 
@@ -112,7 +112,7 @@
 	c.inFlight = slices.Delete(c.inFlight, i, i+1)
 	switch {
 	case m.answer:
-		c.send(m.group, c.mutableGroup(m.group).Answered(m.verb, m.agent, m.ok))
+		c.send(m.group, c.mutableGroup(m.group).HandleAnswer(m.operation, m.agent, m.ok))
 	case m.memberLost:
 		c.send(m.group, c.mutableGroup(m.group).MemberLost(m.agent))
 	default:
@@ -135,14 +135,14 @@
 		if m.memberLost {
 			return g.index(m.agent) < 0
 		}
-		return (m.verb == DoReserve) != (g.phase == Reserving)
+		return (m.operation == DoReserve) != (g.phase == Reserving)
 	})
 }
 
 func (c *cluster) handle(m message) {
 	b := c.mutablePool(m.agent)
 	owner := call.Incarnation(m.group + 1)
-	switch m.verb {
+	switch m.operation {
 	case DoReserve:
 		m.ok = b.Reserve(newReservation(m.group+1, owner, 100), start) == nil
 	case DoConfirm:
@@ -158,7 +158,7 @@
 func (c *cluster) crash(name string) {
 	c.crashed = name
 	if b := c.pools[name]; b != nil {
-		c.pools[name] = NewBook(b.capacity, b.options)
+		c.pools[name] = NewPool(b.capacity, b.options)
 		for n := range c.groups {
 			c.inFlight = append(c.inFlight, message{group: n, memberLost: true, agent: name})
 		}
@@ -172,7 +172,7 @@
 // reserve there.
 func (c *cluster) commutes(i int) bool {
 	m := c.inFlight[i]
-	if m.answer || m.memberLost || m.verb != DoRelease {
+	if m.answer || m.memberLost || m.operation != DoRelease {
 		return false
 	}
 	other := c.groups[1-m.group]
@@ -180,7 +180,7 @@
 		return false
 	}
 	for j, f := range c.inFlight {
-		if j != i && !f.answer && !f.memberLost && f.agent == m.agent && (f.group == m.group || f.verb == DoReserve) {
+		if j != i && !f.answer && !f.memberLost && f.agent == m.agent && (f.group == m.group || f.operation == DoReserve) {
 			return false
 		}
 	}
@@ -290,9 +290,9 @@
 func TestTwoGroupsNeitherDeadlockNorLeakMemory(t *testing.T) {
 	for _, sets := range [][2]string{{"abcd", "dcba"}, {"abc", "dcb"}, {"ab", "dc"}} {
 		t.Run(sets[0]+" "+sets[1], func(t *testing.T) {
-			c := &cluster{pools: make(map[string]*Book)}
+			c := &cluster{pools: make(map[string]*Pool)}
 			for _, name := range agents {
-				c.pools[name] = NewBook(100, DefaultOptions())
+				c.pools[name] = NewPool(100, DefaultOptions())
 			}
 			for n, set := range sets {
 				var members []Member
--- a/core/reservation/book.go
+++ b/core/reservation/pool.go
@@ -1,4 +1,4 @@
-// Package reservation tracks reservations of engine memory. A Book holds the reservations
+// Package reservation tracks reservations of engine memory. A Pool holds the reservations
 // at one agent's engine, and a Group reserves memory at several engines, all or nothing.
 // Both are state machines without I/O: events and the time are inputs, decisions are the
 // output. Neither is safe for concurrent use.
@@ -17,7 +17,7 @@
 
 // The states of a reservation.
 const (
-	// Reserved memory is kept for its owner until ConfirmWithin has passed.
+	// Reserved memory is kept for its owner until ConfirmTimeout has passed.
 	Reserved State = iota
 	// Confirmed memory is in use until it is released, its deadline passes or its owner is
 	// silent for too long.
@@ -41,8 +41,8 @@
 
 // Options bounds how long memory may be held without activity of its owner.
 type Options struct {
-	// ConfirmWithin is how long a reservation may stay unconfirmed.
-	ConfirmWithin time.Duration
+	// ConfirmTimeout is how long a reservation may stay unconfirmed.
+	ConfirmTimeout time.Duration
 	// OwnerTimeout is how long an owner may be silent before all its memory is released.
 	OwnerTimeout time.Duration
 	// ReportMargin is how much older an engine's report may be than its stated age.
@@ -52,9 +52,9 @@
 // DefaultOptions returns the usual bounds.
 func DefaultOptions() Options {
 	return Options{
-		ConfirmWithin: 5 * time.Second,  // reserving at a group of four one by one takes under 20 ms
-		OwnerTimeout:  10 * time.Second, // several missed heartbeats
-		ReportMargin:  2 * time.Second,  // reports lag about a second
+		ConfirmTimeout: 5 * time.Second,  // reserving at a group of four one by one takes under 20 ms
+		OwnerTimeout:   10 * time.Second, // several missed heartbeats
+		ReportMargin:   2 * time.Second,  // reports lag about a second
 	}
 }
 
@@ -62,8 +62,8 @@
 // and late requests.
 const maxTombstones = 65_536
 
-// Book holds the reservations of one engine's memory.
-type Book struct {
+// Pool holds the reservations of one engine's memory.
+type Pool struct {
 	options      Options
 	capacity     int64
 	reservations map[call.ID]*Reservation
@@ -85,9 +85,9 @@
 	reservations int
 }
 
-// NewBook returns an empty book for an engine with the given memory in tokens.
-func NewBook(capacity int64, options Options) *Book {
-	return &Book{
+// NewPool returns an empty pool for an engine with the given memory in tokens.
+func NewPool(capacity int64, options Options) *Pool {
+	return &Pool{
 		options:      options,
 		capacity:     capacity,
 		reservations: make(map[call.ID]*Reservation),
@@ -98,17 +98,17 @@
 
 // Free returns the memory in tokens that neither reservations nor orphans hold. It is never
 // negative.
-func (b *Book) Free() int64 { return max(0, b.capacity-b.used-b.orphanedTokens) }
+func (p *Pool) Free() int64 { return max(0, p.capacity-p.used-p.orphanedTokens) }
 
 // Used returns the memory in tokens that reservations hold.
-func (b *Book) Used() int64 { return b.used }
+func (p *Pool) Used() int64 { return p.used }
 
 // Len returns the number of reservations.
-func (b *Book) Len() int { return len(b.reservations) }
+func (p *Pool) Len() int { return len(p.reservations) }
 
 // Get returns the reservation of an ID.
-func (b *Book) Get(id call.ID) (Reservation, bool) {
-	r := b.reservations[id]
+func (p *Pool) Get(id call.ID) (Reservation, bool) {
+	r := p.reservations[id]
 	if r == nil {
 		return Reservation{}, false
 	}
@@ -122,38 +122,38 @@
 //
 // A delayed reserve message may arrive after the release of its own request and would then
 // hold memory for a request that has ended. The tombstone of the release rejects it.
-func (b *Book) Reserve(r Reservation, now time.Time) error {
-	if known := b.reservations[r.ID]; known != nil {
+func (p *Pool) Reserve(r Reservation, now time.Time) error {
+	if known := p.reservations[r.ID]; known != nil {
 		if known.Owner != r.Owner {
 			return result.New(result.WrongIncarnation, result.NotRun, "%s is held by another owner", r.ID)
 		}
 		if known.Attempt >= r.Attempt {
 			return nil
 		}
-		b.Release(r.ID, known.Attempt, now)
+		p.Release(r.ID, known.Attempt, now)
 	}
-	if released, known := b.tombstones[r.ID]; known && released.attempt >= r.Attempt {
+	if released, known := p.tombstones[r.ID]; known && released.attempt >= r.Attempt {
 		return result.New(result.Tombstoned, result.NotRun, "attempt %d of %s was released before", r.Attempt, r.ID)
 	}
 	if !now.Before(r.Deadline) {
 		return result.New(result.DeadlinePassed, result.NotRun, "%s", r.ID)
 	}
-	if r.Tokens > b.Free() {
-		return result.New(result.MemoryFull, result.NotRun, "%d tokens asked, %d free", r.Tokens, b.Free())
+	if r.Tokens > p.Free() {
+		return result.New(result.MemoryFull, result.NotRun, "%d tokens asked, %d free", r.Tokens, p.Free())
 	}
 	r.State = Reserved
 	r.Since = now
-	b.reservations[r.ID] = &r
-	b.used += r.Tokens
-	b.touchOwner(r.Owner, now).reservations++
+	p.reservations[r.ID] = &r
+	p.used += r.Tokens
+	p.touchOwner(r.Owner, now).reservations++
 	return nil
 }
 
-func (b *Book) touchOwner(incarnation call.Incarnation, now time.Time) *owner {
-	o := b.owners[incarnation]
+func (p *Pool) touchOwner(incarnation call.Incarnation, now time.Time) *owner {
+	o := p.owners[incarnation]
 	if o == nil {
 		o = &owner{}
-		b.owners[incarnation] = o
+		p.owners[incarnation] = o
 	}
 	o.lastSeen = now
 	return o
@@ -161,12 +161,12 @@
 
 // Confirm marks reserved memory as in use. The error is Tombstoned when the reservation has
 // expired or was never made; the owner must then abort the whole request.
-func (b *Book) Confirm(id call.ID, attempt call.Attempt, incarnation call.Incarnation, now time.Time) error {
-	r := b.reservations[id]
+func (p *Pool) Confirm(id call.ID, attempt call.Attempt, incarnation call.Incarnation, now time.Time) error {
+	r := p.reservations[id]
 	if r == nil || r.Owner != incarnation || r.Attempt != attempt {
 		return result.New(result.Tombstoned, result.NotRun, "%s holds no memory here", id)
 	}
-	b.touchOwner(incarnation, now)
+	p.touchOwner(incarnation, now)
 	if r.State == Reserved {
 		r.State = Confirmed
 		r.Since = now
@@ -176,50 +176,50 @@
 
 // Release frees the memory that an ID holds under this attempt or an earlier one, and
 // records a tombstone for these attempts. It returns false when the ID held no memory.
-func (b *Book) Release(id call.ID, attempt call.Attempt, now time.Time) bool {
-	b.addTombstone(id, attempt, now)
-	r := b.reservations[id]
+func (p *Pool) Release(id call.ID, attempt call.Attempt, now time.Time) bool {
+	p.addTombstone(id, attempt, now)
+	r := p.reservations[id]
 	if r == nil || r.Attempt > attempt {
 		return false
 	}
-	delete(b.reservations, id)
-	b.used -= r.Tokens
-	o := b.owners[r.Owner]
+	delete(p.reservations, id)
+	p.used -= r.Tokens
+	o := p.owners[r.Owner]
 	o.reservations--
 	if o.reservations == 0 {
-		delete(b.owners, r.Owner)
+		delete(p.owners, r.Owner)
 	}
 	return true
 }
 
-func (b *Book) addTombstone(id call.ID, attempt call.Attempt, now time.Time) {
-	if len(b.tombstones) >= maxTombstones {
-		b.pruneTombstones(now)
+func (p *Pool) addTombstone(id call.ID, attempt call.Attempt, now time.Time) {
+	if len(p.tombstones) >= maxTombstones {
+		p.pruneTombstones(now)
 	}
-	b.tombstones[id] = tombstone{releasedAt: now, attempt: max(attempt, b.tombstones[id].attempt)}
+	p.tombstones[id] = tombstone{releasedAt: now, attempt: max(attempt, p.tombstones[id].attempt)}
 }
 
 // pruneTombstones drops the tombstones for which no late report or request can arrive any
 // more. If too many remain, it drops all of them.
-func (b *Book) pruneTombstones(now time.Time) {
-	for id, released := range b.tombstones {
-		if now.Sub(released.releasedAt) > b.tombstoneTTL() {
-			delete(b.tombstones, id)
+func (p *Pool) pruneTombstones(now time.Time) {
+	for id, released := range p.tombstones {
+		if now.Sub(released.releasedAt) > p.tombstoneTTL() {
+			delete(p.tombstones, id)
 		}
 	}
-	if len(b.tombstones) >= maxTombstones {
-		clear(b.tombstones)
+	if len(p.tombstones) >= maxTombstones {
+		clear(p.tombstones)
 	}
 }
 
 // tombstoneTTL returns how long a tombstone is kept.
-func (b *Book) tombstoneTTL() time.Duration {
-	return 2 * (b.options.ConfirmWithin + b.options.OwnerTimeout + b.options.ReportMargin)
+func (p *Pool) tombstoneTTL() time.Duration {
+	return 2 * (p.options.ConfirmTimeout + p.options.OwnerTimeout + p.options.ReportMargin)
 }
 
-// Alive records activity of an owner, which is any frame on its link.
-func (b *Book) Alive(incarnation call.Incarnation, now time.Time) {
-	if o := b.owners[incarnation]; o != nil {
+// RefreshOwner records activity of an owner, which is any frame on its link.
+func (p *Pool) RefreshOwner(incarnation call.Incarnation, now time.Time) {
+	if o := p.owners[incarnation]; o != nil {
 		o.lastSeen = now
 	}
 }
@@ -231,27 +231,27 @@
 // When an entry crashes or its link fails, no release message arrives for its reservations,
 // and the engine would reject requests while it is idle. Every reservation therefore
 // expires unless its owner shows activity.
-func (b *Book) Expire(now time.Time) []Reservation {
+func (p *Pool) Expire(now time.Time) []Reservation {
 	var expired []Reservation
-	for _, r := range b.reservations {
-		if !now.Before(b.expiresAt(r)) {
+	for _, r := range p.reservations {
+		if !now.Before(p.expiresAt(r)) {
 			expired = append(expired, *r)
 		}
 	}
 	sort.Slice(expired, func(i, j int) bool { return lessID(expired[i].ID, expired[j].ID) })
 	for _, r := range expired {
-		b.Release(r.ID, r.Attempt, now)
+		p.Release(r.ID, r.Attempt, now)
 	}
-	b.pruneTombstones(now)
+	p.pruneTombstones(now)
 	return expired
 }
 
 // NextExpiry returns when the next reservation expires if nothing else happens. It returns
 // false when there is no reservation.
-func (b *Book) NextExpiry() (time.Time, bool) {
+func (p *Pool) NextExpiry() (time.Time, bool) {
 	var next time.Time
-	for _, r := range b.reservations {
-		if end := b.expiresAt(r); next.IsZero() || end.Before(next) {
+	for _, r := range p.reservations {
+		if end := p.expiresAt(r); next.IsZero() || end.Before(next) {
 			next = end
 		}
 	}
@@ -259,12 +259,12 @@
 }
 
 // expiresAt returns when a reservation expires without further activity of its owner.
-func (b *Book) expiresAt(r *Reservation) time.Time {
+func (p *Pool) expiresAt(r *Reservation) time.Time {
 	end := r.Deadline
-	if silent := b.owners[r.Owner].lastSeen.Add(b.options.OwnerTimeout); silent.Before(end) {
+	if silent := p.owners[r.Owner].lastSeen.Add(p.options.OwnerTimeout); silent.Before(end) {
 		end = silent
 	}
-	if unconfirmed := r.Since.Add(b.options.ConfirmWithin); r.State == Reserved && unconfirmed.Before(end) {
+	if unconfirmed := r.Since.Add(p.options.ConfirmTimeout); r.State == Reserved && unconfirmed.Before(end) {
 		end = unconfirmed
 	}
 	return end
--- a/core/reservation/book_test.go
+++ b/core/reservation/pool_test.go
@@ -28,72 +28,72 @@
 }
 
 func TestPoolRefusals(t *testing.T) {
-	b := NewBook(100, DefaultOptions())
-	require.NoError(t, b.Reserve(newReservation(1, 7, 60), start))
-	require.NoError(t, b.Reserve(newReservation(1, 7, 60), start), "repeated reservation")
-	requireCode(t, result.WrongIncarnation, b.Reserve(newReservation(1, 8, 60), start))
-	requireCode(t, result.MemoryFull, b.Reserve(newReservation(2, 7, 41), start))
-	requireCode(t, result.DeadlinePassed, b.Reserve(newReservation(3, 7, 1), start.Add(time.Hour)))
-	requireCode(t, result.Tombstoned, b.Confirm(id(1), 1, 8, start))
-	require.NoError(t, b.Confirm(id(1), 1, 7, start))
-	require.True(t, b.Release(id(1), 1, start))
-	require.False(t, b.Release(id(1), 1, start))
-	requireCode(t, result.Tombstoned, b.Reserve(newReservation(1, 7, 60), start))
+	p := NewPool(100, DefaultOptions())
+	require.NoError(t, p.Reserve(newReservation(1, 7, 60), start))
+	require.NoError(t, p.Reserve(newReservation(1, 7, 60), start), "repeated reservation")
+	requireCode(t, result.WrongIncarnation, p.Reserve(newReservation(1, 8, 60), start))
+	requireCode(t, result.MemoryFull, p.Reserve(newReservation(2, 7, 41), start))
+	requireCode(t, result.DeadlinePassed, p.Reserve(newReservation(3, 7, 1), start.Add(time.Hour)))
+	requireCode(t, result.Tombstoned, p.Confirm(id(1), 1, 8, start))
+	require.NoError(t, p.Confirm(id(1), 1, 7, start))
+	require.True(t, p.Release(id(1), 1, start))
+	require.False(t, p.Release(id(1), 1, start))
+	requireCode(t, result.Tombstoned, p.Reserve(newReservation(1, 7, 60), start))
 	again := newReservation(1, 7, 60)
 	again.Attempt = 2
-	require.NoError(t, b.Reserve(again, start))
-	require.False(t, b.Release(id(1), 1, start), "late release of the first attempt")
-	require.EqualValues(t, 40, b.Free())
+	require.NoError(t, p.Reserve(again, start))
+	require.False(t, p.Release(id(1), 1, start), "late release of the first attempt")
+	require.EqualValues(t, 40, p.Free())
 }
 
 // An entry reserves memory, crashes and sends no release. If only the owner could free the
 // memory, the engine would reject requests while it is idle.
 func TestReservationsOfSilentOwnersAndUnconfirmedOnesExpire(t *testing.T) {
-	b := NewBook(100, DefaultOptions())
+	p := NewPool(100, DefaultOptions())
 	for n, owner := range map[int]call.Incarnation{1: 7, 2: 7, 3: 8} {
-		require.NoError(t, b.Reserve(newReservation(n, owner, 10), start))
+		require.NoError(t, p.Reserve(newReservation(n, owner, 10), start))
 	}
-	require.NoError(t, b.Confirm(id(1), 1, 7, start))
-	require.NoError(t, b.Confirm(id(3), 1, 8, start))
-	next, ok := b.NextExpiry()
+	require.NoError(t, p.Confirm(id(1), 1, 7, start))
+	require.NoError(t, p.Confirm(id(3), 1, 8, start))
+	next, ok := p.NextExpiry()
 	require.True(t, ok)
-	require.Equal(t, start.Add(b.options.ConfirmWithin), next)
-	require.Len(t, b.Expire(next), 1, "reservation 2 was never confirmed")
-	b.Alive(8, start.Add(9*time.Second))
-	expired := b.Expire(start.Add(b.options.OwnerTimeout))
+	require.Equal(t, start.Add(p.options.ConfirmTimeout), next)
+	require.Len(t, p.Expire(next), 1, "reservation 2 was never confirmed")
+	p.RefreshOwner(8, start.Add(9*time.Second))
+	expired := p.Expire(start.Add(p.options.OwnerTimeout))
 	require.Len(t, expired, 1)
 	require.Equal(t, id(1), expired[0].ID)
-	b.Alive(8, start.Add(59*time.Second))
-	require.Len(t, b.Expire(start.Add(time.Minute)), 1, "it expires at its deadline although the owner is active")
-	require.EqualValues(t, 100, b.Free())
-	require.Empty(t, b.owners)
+	p.RefreshOwner(8, start.Add(59*time.Second))
+	require.Len(t, p.Expire(start.Add(time.Minute)), 1, "it expires at its deadline although the owner is active")
+	require.EqualValues(t, 100, p.Free())
+	require.Empty(t, p.owners)
 }
 
 // The answer to a cancellation is lost, or the agent restarts, and the engine keeps running
-// the request. Without reconciliation the book would show free memory that the engine does
+// the request. Without reconciliation the pool would show free memory that the engine does
 // not have.
 func TestReconcileFindsOrphansAndMissing(t *testing.T) {
-	b := NewBook(100, DefaultOptions())
+	p := NewPool(100, DefaultOptions())
 	for n := 1; n <= 3; n++ {
-		require.NoError(t, b.Reserve(newReservation(n, 7, 10), start))
-		require.NoError(t, b.Confirm(id(n), 1, 7, start))
+		require.NoError(t, p.Reserve(newReservation(n, 7, 10), start))
+		require.NoError(t, p.Confirm(id(n), 1, 7, start))
 	}
 	at := start.Add(5 * time.Second)
-	b.Release(id(3), 1, at)
+	p.Release(id(3), 1, at)
 	report := Report{TakenAt: at, Held: []Holding{{id(1), 10}, {id(3), 10}, {id(9), 30}}, ForeignTokens: 5}
-	require.Equal(t, Difference{Orphans: []call.ID{id(9)}, Missing: []call.ID{id(2)}}, b.Reconcile(report))
-	require.EqualValues(t, 100-20-30-5, b.Free(), "reservation 3 was released shortly before the report")
+	require.Equal(t, Difference{Orphans: []call.ID{id(9)}, Missing: []call.ID{id(2)}}, p.Reconcile(report))
+	require.EqualValues(t, 100-20-30-5, p.Free(), "reservation 3 was released shortly before the report")
 	report.TakenAt = at.Add(5 * time.Second)
-	require.Equal(t, []call.ID{id(3), id(9)}, b.Reconcile(report).Orphans)
-	b.Reconcile(Report{TakenAt: start, Held: nil})
-	require.EqualValues(t, 80, b.Free(), "the report no longer lists orphans")
-	require.Empty(t, b.Reconcile(Report{TakenAt: start}).Missing, "the report is older than the confirmation")
+	require.Equal(t, []call.ID{id(3), id(9)}, p.Reconcile(report).Orphans)
+	p.Reconcile(Report{TakenAt: start, Held: nil})
+	require.EqualValues(t, 80, p.Free(), "the report no longer lists orphans")
+	require.Empty(t, p.Reconcile(Report{TakenAt: start}).Missing, "the report is older than the confirmation")
 }
 
-// After any sequence of events, the book's sums agree with a map of the reservations.
+// After any sequence of events, the pool's sums agree with a map of the reservations.
 func TestPoolMatchesNaiveModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook(1000, DefaultOptions())
+		p := NewPool(1000, DefaultOptions())
 		model := make(map[call.ID]int64)
 		now := start
 		n := rapid.IntRange(0, 20)
@@ -101,21 +101,21 @@
 			"reserve": func(t *rapid.T) {
 				r := newReservation(n.Draw(t, "id"), call.Incarnation(rapid.IntRange(1, 3).Draw(t, "owner")), int64(rapid.IntRange(1, 400).Draw(t, "tokens")))
 				r.Deadline = now.Add(20 * time.Second)
-				if _, held := model[r.ID]; b.Reserve(r, now) == nil && !held {
+				if _, held := model[r.ID]; p.Reserve(r, now) == nil && !held {
 					model[r.ID] = r.Tokens
 				}
 			},
-			"confirm": func(t *rapid.T) { _ = b.Confirm(id(n.Draw(t, "id")), 1, 1, now) },
-			"alive":   func(t *rapid.T) { b.Alive(1, now) },
+			"confirm": func(t *rapid.T) { _ = p.Confirm(id(n.Draw(t, "id")), 1, 1, now) },
+			"alive":   func(t *rapid.T) { p.RefreshOwner(1, now) },
 			"release": func(t *rapid.T) {
 				released := id(n.Draw(t, "id"))
 				_, held := model[released]
-				require.Equal(t, held, b.Release(released, 1, now))
+				require.Equal(t, held, p.Release(released, 1, now))
 				delete(model, released)
 			},
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 8000).Draw(t, "ms")) * time.Millisecond)
-				for _, r := range b.Expire(now) {
+				for _, r := range p.Expire(now) {
 					require.Contains(t, model, r.ID)
 					delete(model, r.ID)
 				}
@@ -125,9 +125,9 @@
 				for _, tokens := range model {
 					sum += tokens
 				}
-				require.Equal(t, sum, b.Used())
+				require.Equal(t, sum, p.Used())
 				require.LessOrEqual(t, sum, int64(1000))
-				require.Equal(t, len(model), b.Len())
+				require.Equal(t, len(model), p.Len())
 			},
 		})
 	})
--- a/core/reservation/reconcile.go
+++ b/core/reservation/reconcile.go
@@ -23,39 +23,39 @@
 	Tokens int64
 }
 
-// Difference lists where the book and the engine's report disagree. Both lists are sorted.
+// Difference lists where the pool and the engine's report disagree. Both lists are sorted.
 type Difference struct {
 	// Orphans are held by the engine without a reservation. The caller cancels them.
 	Orphans []call.ID
-	// Missing are confirmed in the book but not held by the engine, since their streams have
+	// Missing are confirmed in the pool but not held by the engine, since their streams have
 	// ended or broken. The agent releases those without an open stream.
 	Missing []call.ID
 }
 
-// Reconcile compares the book with an engine's report. Orphans count as used memory
+// Reconcile compares the pool with an engine's report. Orphans count as used memory
 // until a later report no longer lists them.
 //
 // When an agent restarts or the answer to a cancellation is lost, the engine keeps memory
-// for a request that has no reservation; the book would then show free memory while the
-// engine rejects requests for lack of it. Reports lag, so changes made in the book within
+// for a request that has no reservation; the pool would then show free memory while the
+// engine rejects requests for lack of it. Reports lag, so changes made in the pool within
 // ReportMargin before the report, or after it, are left to the next one.
-func (b *Book) Reconcile(report Report) Difference {
+func (p *Pool) Reconcile(report Report) Difference {
 	var difference Difference
-	cutoff := report.TakenAt.Add(-b.options.ReportMargin)
+	cutoff := report.TakenAt.Add(-p.options.ReportMargin)
 	listed := make(map[call.ID]bool, len(report.Held))
-	b.orphanedTokens = report.ForeignTokens
+	p.orphanedTokens = report.ForeignTokens
 	for _, holding := range report.Held {
 		listed[holding.ID] = true
-		if b.reservations[holding.ID] != nil {
+		if p.reservations[holding.ID] != nil {
 			continue
 		}
-		if released, known := b.tombstones[holding.ID]; known && released.releasedAt.After(cutoff) {
+		if released, known := p.tombstones[holding.ID]; known && released.releasedAt.After(cutoff) {
 			continue // released shortly before the report was taken, or after
 		}
-		b.orphanedTokens += holding.Tokens
+		p.orphanedTokens += holding.Tokens
 		difference.Orphans = append(difference.Orphans, holding.ID)
 	}
-	for id, r := range b.reservations {
+	for id, r := range p.reservations {
 		if !listed[id] && r.State == Confirmed && r.Since.Before(cutoff) {
 			difference.Missing = append(difference.Missing, id)
 		}
--- a/core/routing/baselines.go
+++ b/core/routing/baselines.go
@@ -132,7 +132,7 @@
 	if best < 0 {
 		return Choice{Index: -1}
 	}
-	p.estimator.Learn(g.members[best].holder, request.Prefix, now)
+	p.estimator.RecordPrompt(g.members[best].holder, request.Prefix, now)
 	return Choice{Index: best}
 }
 
--- a/core/routing/combined.go
+++ b/core/routing/combined.go
@@ -59,7 +59,7 @@
 	c.addCached(g, request)
 	c.addHomes(g, request, key, now)
 	choice := c.best(g, request, replicas)
-	c.estimator.Learn(g.members[choice.Index].holder, request.Prefix, now)
+	c.estimator.RecordPrompt(g.members[choice.Index].holder, request.Prefix, now)
 	return choice
 }
 
--- a/core/scheduling/priority.go
+++ b/core/scheduling/priority.go
@@ -327,11 +327,11 @@
 // Len implements Queue.
 func (q *Priority) Len() int { return len(q.byID) }
 
-// Queued returns the number of queued uncached prompt tokens, by class, for the agent's load
-// digest. It leaves out the short items of a flooding organisation: requests of other
+// QueuedTokens returns the number of queued uncached prompt tokens, by class, for the agent's
+// load digest. It leaves out the short items of a flooding organisation: requests of other
 // organisations do not wait for these, but routing would balance load by them. Including
 // them raises the short p95 of the other organisations by a third during a flood.
-func (q *Priority) Queued() [call.NumClasses]int64 {
+func (q *Priority) QueuedTokens() [call.NumClasses]int64 {
 	queued := q.queued
 	if t := q.lanes[laneShort].tenants[q.dominance.dominant]; t != nil && q.isOrganisationFlooding(t.name) {
 		queued[call.Short] -= t.promptTokens
@@ -339,13 +339,13 @@
 	return queued
 }
 
-// Ahead returns the number of queued uncached prompt tokens that an item pushed now would
+// TokensAhead returns the number of queued uncached prompt tokens that an item pushed now would
 // wait for. The agent uses it for admission. For a flooding organisation the result includes
 // its own short items. It is an upper estimate, since fairness between organisations may let
 // the item start sooner.
-func (q *Priority) Ahead(item *Item) int64 {
+func (q *Priority) TokensAhead(item *Item) int64 {
 	class := call.ClassOf(item.Work.PromptTokens)
-	queued := q.Queued()
+	queued := q.QueuedTokens()
 	if class == call.Short && q.isOrganisationFlooding(item.Organisation) {
 		queued = q.queued
 	}
--- a/core/scheduling/priority_test.go
+++ b/core/scheduling/priority_test.go
@@ -104,7 +104,7 @@
 						queued[call.Short] -= uncachedTokens(&i)
 					}
 				}
-				require.Equal(t, queued, q.Queued())
+				require.Equal(t, queued, q.QueuedTokens())
 			},
 		})
 	})
@@ -235,10 +235,10 @@
 		free -= int64(i.Work.Tokens())
 	}
 	require.GreaterOrEqual(t, free, int64(othersMemoryShare*capacity))
-	require.Zero(t, q.Queued()[call.Short], "others don't wait for the flood")
+	require.Zero(t, q.QueuedTokens()[call.Short], "others don't wait for the flood")
 	flood, modest := testItem(1000, "flood", 4000, now), testItem(1001, "modest", 4000, now)
-	require.Positive(t, q.Ahead(&flood))
-	require.Zero(t, q.Ahead(&modest))
+	require.Positive(t, q.TokensAhead(&flood))
+	require.Zero(t, q.TokensAhead(&modest))
 	require.Equal(t, PriorityFlood, q.EnginePriority(&flood, now))
 	push("modest", 4000)
 	i, ok := q.Pop(now, free)
--- a/core/scheduling/scheduling.go
+++ b/core/scheduling/scheduling.go
@@ -14,13 +14,13 @@
 	ID           call.ID
 	Organisation string
 	Work         call.Work
-	// Cached is the estimated number of prompt tokens in the engine's prefix cache.
-	Cached int
-	// Need is the memory that the item occupies at this engine, in tokens; 0 means all of
+	// CachedTokens is the estimated number of prompt tokens in the engine's prefix cache.
+	CachedTokens int
+	// MemoryTokens is the memory that the item occupies at this engine, in tokens; 0 means all of
 	// Work.Tokens. It is smaller for a request that a group of engines shares.
-	Need     int64
-	Enqueued time.Time
-	Deadline time.Time
+	MemoryTokens int64
+	Enqueued     time.Time
+	Deadline     time.Time
 }
 
 // Queue orders the requests that wait at one agent. It is not safe for concurrent use.
@@ -66,8 +66,8 @@
 
 // memory returns the memory that the item occupies at this engine, in tokens.
 func (i *Item) memory() int64 {
-	if i.Need > 0 {
-		return i.Need
+	if i.MemoryTokens > 0 {
+		return i.MemoryTokens
 	}
 	return int64(i.Work.Tokens())
 }
--- a/core/scheduling/settings.go
+++ b/core/scheduling/settings.go
@@ -104,5 +104,5 @@
 }
 
 func uncachedTokens(item *Item) int64 {
-	return int64(max(0, item.Work.PromptTokens-item.Cached))
+	return int64(max(0, item.Work.PromptTokens-item.CachedTokens))
 }
--- a/entry/capacity/agent_test.go
+++ b/entry/capacity/agent_test.go
@@ -281,8 +281,8 @@
 	for range seconds * int(time.Second/tick) {
 		now = now.Add(tick)
 		report.Load.QueuedPrompt[call.Short] = random.Int64N(1_000_000)
-		own := load.Report{Agent: agentName, Load: report.Load, At: now}
-		sent += len(group.Tell(now, &own))
+		own := load.Report{Agent: agentName, Load: report.Load, TakenAt: now}
+		sent += len(group.Recipients(now, &own))
 	}
 	frame := frameBytes(b, &link.Loads{Reports: []link.LoadReport{report}})
 	return float64(sent) / seconds, float64(sent*frame) / seconds
--- a/entry/capacity/limits_test.go
+++ b/entry/capacity/limits_test.go
@@ -86,9 +86,9 @@
 		q.asks++
 		q.bytes += sizes.ask
 		q.asked[q.places[verdict.Owner]]++
-		want := entry.Want(q.now, key, tokens)
-		grant := q.entries[q.places[verdict.Owner]].Answer(q.now, name(at), &want, &q.bounds)
-		entry.Granted(q.now, &grant)
+		want := entry.NewGrantRequest(q.now, key, tokens)
+		grant := q.entries[q.places[verdict.Owner]].HandleGrantRequest(q.now, name(at), &want, &q.bounds)
+		entry.HandleGrant(q.now, &grant)
 		verdict = entry.Decide(q.now, key, &q.bounds, tokens)
 	}
 	if verdict.Outcome != limits.Admitted {
@@ -118,7 +118,7 @@
 				q.bytes += sizes.renewHead
 			}
 			q.bytes += sizes.renewHold
-			q.entries[q.places[renewal.Owner]].Answer(q.now, name(i), &renewal.Want, &q.bounds)
+			q.entries[q.places[renewal.Owner]].HandleGrantRequest(q.now, name(i), &renewal.Request, &q.bounds)
 		}
 	}
 }
--- a/entry/dev/placement_test.go
+++ b/entry/dev/placement_test.go
@@ -21,8 +21,8 @@
 	c.Engine.ModelBytes = 1
 	c.Placement = placement.DefaultSettings()
 	c.Placement.Every = 20 * time.Millisecond
-	c.Placement.Decisions.DeadGrace = 0
-	c.Placement.Decisions.Rest = 0
+	c.Placement.Decisions.DeadGracePeriod = 0
+	c.Placement.Decisions.Cooldown = 0
 	c.Placement.Decisions.MinRequests = 10
 }
 
--- a/entry/placement/placement_test.go
+++ b/entry/placement/placement_test.go
@@ -168,7 +168,7 @@
 func (w *world) holder(l *term) *placer {
 	settings := DefaultSettings()
 	settings.FetchRate = 100
-	settings.Decisions.Rest = 0
+	settings.Decisions.Cooldown = 0
 	settings.Decisions.MinRequests = 20
 	settings.Decisions.LoadingShare = 1
 	config := &Config{Table: w.platform.Table, Weights: w.platform.Weights, Settings: settings, Log: zerolog.Nop()}
--- a/entry/placement/placer.go
+++ b/entry/placement/placer.go
@@ -116,7 +116,7 @@
 
 func (p *placer) carryOut(ctx context.Context, action placement.Action) {
 	switch a := action.(type) {
-	case placement.Reserved:
+	case placement.SlotOrder:
 		p.reserve(ctx, a)
 	case placement.Order:
 		p.give(ctx, given{order: a})
@@ -128,15 +128,15 @@
 }
 
 // reserve takes a slot of the weight store's rate and then gives the order.
-func (p *placer) reserve(ctx context.Context, a placement.Reserved) {
+func (p *placer) reserve(ctx context.Context, a placement.SlotOrder) {
 	if !p.holds() {
-		p.machine.Dropped(a.Order.VM)
+		p.machine.OrderDropped(a.Order.VM)
 		return
 	}
 	version, err := p.rows.setSlot(ctx, a.Slot, a.Version, &a.Order, p.fence)
 	if err != nil {
 		// Where the write took effect all the same, the next round finds the order in it.
-		p.machine.Dropped(a.Order.VM)
+		p.machine.OrderDropped(a.Order.VM)
 		p.note(a.Order, "no slot of the weight store: "+err.Error())
 		return
 	}
@@ -150,7 +150,7 @@
 // does no harm, for it names the state wanted, and its slot is left to its end of life.
 func (p *placer) give(ctx context.Context, g given) {
 	if !p.holds() {
-		p.machine.Dropped(g.order.VM)
+		p.machine.OrderDropped(g.order.VM)
 		return
 	}
 	limited, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -165,7 +165,7 @@
 		p.note(g.order, "given")
 	case g.slot != nil:
 		p.note(g.order, "refused: "+answer.Detail)
-		p.machine.Dropped(g.order.VM)
+		p.machine.OrderDropped(g.order.VM)
 		p.free(ctx, g.slot.Index, g.slot.Version)
 	default:
 		p.note(g.order, "refused: "+answer.Detail)
@@ -203,7 +203,7 @@
 		Role:    order.Role,
 		Fence:   p.fence,
 		StartMs: orderStart.Milliseconds(),
-		LifeMs:  p.settings.Decisions.OrderLife.Milliseconds(),
+		LifeMs:  p.settings.Decisions.OrderTimeout.Milliseconds(),
 	}
 }
 
--- a/entry/quota/ask.go
+++ b/entry/quota/ask.go
@@ -12,17 +12,17 @@
 // question is one that an owner has not answered yet. Its fields but done belong to the
 // shard's lock until done is closed.
 type question struct {
-	want   limits.Want
+	want   limits.GrantRequest
 	owner  string
 	bounds *document.Limits
 	// verdict is on the request that asked. It is made under the lock that takes the
 	// grant: another request would otherwise use up what was granted for this one.
-	verdict limits.Verdict
+	verdict limits.Decision
 	done    chan struct{}
 }
 
 // askUntilDecided asks the owner for a request and waits.
-func (e *Enforcer) askUntilDecided(s *shard, key limits.Key, bounds *document.Limits, tokens int) limits.Verdict {
+func (e *Enforcer) askUntilDecided(s *shard, key limits.Key, bounds *document.Limits, tokens int) limits.Decision {
 	line := time.NewTimer(lineTimeout)
 	defer line.Stop()
 	for {
@@ -39,14 +39,14 @@
 		select {
 		case <-q.done:
 		case <-line.C:
-			return limits.Verdict{Outcome: limits.Refused, RetryAfter: lineRetry}
+			return limits.Decision{Outcome: limits.Refused, RetryAfter: lineRetry}
 		}
 	}
 }
 
 // decideOrAsk decides again, or returns the organisation's open question; mine tells that
 // it was opened for this request.
-func (s *shard) decideOrAsk(key limits.Key, bounds *document.Limits, tokens int) (verdict limits.Verdict, q *question, mine bool) {
+func (s *shard) decideOrAsk(key limits.Key, bounds *document.Limits, tokens int) (verdict limits.Decision, q *question, mine bool) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,7 @@
 		return verdict, q, false
 	}
 	q = &question{
-		want:   s.entry.Want(now, key, tokens),
+		want:   s.entry.NewGrantRequest(now, key, tokens),
 		owner:  verdict.Owner,
 		bounds: bounds,
 		done:   make(chan struct{}),
@@ -130,7 +130,7 @@
 func (s *shard) ownerSilent(now time.Time, owner string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entry.OwnerSilent(now, owner)
+	s.entry.OwnerTimedOut(now, owner)
 }
 
 // open is called with mu held.
@@ -167,12 +167,12 @@
 	_ = c.Send(grantMessage(&grant))
 }
 
-func (e *Enforcer) answer(from string, want *limits.Want) limits.Grant {
+func (e *Enforcer) answer(from string, want *limits.GrantRequest) limits.Grant {
 	bounds := e.config.Limits(want.Key)
 	s := e.shard(want.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.entry.Answer(time.Now(), from, want, bounds)
+	return s.entry.HandleGrantRequest(time.Now(), from, want, bounds)
 }
 
 func (e *Enforcer) onGrant(m *link.LimitGrant) {
@@ -182,7 +182,7 @@
 	s := e.shard(grant.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entry.Granted(now, &grant)
+	s.entry.HandleGrant(now, &grant)
 	if q := s.questions[grant.Key]; q != nil && q.want.Sequence == grant.Sequence {
 		s.settle(now, q)
 	}
@@ -191,7 +191,7 @@
 func (e *Enforcer) onRenew(from string, m *link.LimitRenew) {
 	for i := range m.Holds {
 		h := &m.Holds[i]
-		e.answer(from, &limits.Want{
+		e.answer(from, &limits.GrantRequest{
 			Key:      limits.Key{Service: h.Service, Organisation: h.Organisation},
 			Sequence: h.Sequence,
 			Held:     h.Held,
--- a/entry/quota/messages.go
+++ b/entry/quota/messages.go
@@ -7,7 +7,7 @@
 	"acaciacleat.example/peers/link"
 )
 
-func askMessage(want *limits.Want) *link.LimitAsk {
+func askMessage(want *limits.GrantRequest) *link.LimitAsk {
 	return &link.LimitAsk{
 		Service:      want.Key.Service,
 		Organisation: want.Key.Organisation,
@@ -19,8 +19,8 @@
 	}
 }
 
-func wantOf(m *link.LimitAsk) limits.Want {
-	return limits.Want{
+func wantOf(m *link.LimitAsk) limits.GrantRequest {
+	return limits.GrantRequest{
 		Key:          limits.Key{Service: m.Service, Organisation: m.Organisation},
 		Sequence:     m.Sequence,
 		Tokens:       m.Tokens,
@@ -58,7 +58,7 @@
 	}
 }
 
-func hold(want *limits.Want) link.LimitHold {
+func hold(want *limits.GrantRequest) link.LimitHold {
 	return link.LimitHold{
 		Service:      want.Key.Service,
 		Organisation: want.Key.Organisation,
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -215,7 +215,7 @@
 		renewals := s.entry.Tick(now)
 		s.mu.Unlock()
 		for _, renewal := range renewals {
-			holds[renewal.Owner] = append(holds[renewal.Owner], hold(&renewal.Want))
+			holds[renewal.Owner] = append(holds[renewal.Owner], hold(&renewal.Request))
 		}
 	}
 	for owner, list := range holds {
