--- a/core/reservation/capacity.go
+++ b/core/reservation/capacity.go
@@ -1,8 +1,8 @@
 package reservation
 
-// SetCapacity changes the engine's memory in tokens, as its report tells it. What is
-// held stays held, also where it is more than the new capacity.
-func (b *Book) SetCapacity(tokens int64) { b.capacity = tokens }
+// SetCapacity sets the engine's memory in tokens, as given in its report. Existing
+// reservations stay, even if they exceed the new capacity.
+func (p *Pool) SetCapacity(tokens int64) { p.capacity = tokens }
 
-// Capacity is the engine's memory in tokens.
-func (b *Book) Capacity() int64 { return b.capacity }
+// Capacity returns the engine's memory in tokens.
+func (p *Pool) Capacity() int64 { return p.capacity }
