--- a/core/tokens/tokens.go
+++ b/core/tokens/tokens.go
@@ -1,27 +1,28 @@
-// Package tokens estimates how many tokens a prompt has from its length in bytes, so
-// that no tokenizer is needed on a request's path. Engines' usage counts correct it.
+// Package tokens estimates the number of tokens of a prompt from its length in bytes, so that
+// requests need no tokenizer. Usage counts from engines correct the estimate.
 package tokens
 
 import "math"
 
 const (
-	// defaultRatio is tokens per byte before any count is known: about 4 bytes of
-	// English or Portuguese text a token in the usual vocabularies.
+	// defaultRatio is tokens per byte before any count is known: common vocabularies have about
+	// 4 bytes of English or Portuguese text per token.
 	defaultRatio = 0.25
-	// weight is that of one new count: about the last 20 requests decide.
-	weight = 0.05
-	// minRatio and maxRatio bound what a single odd count can do: tokens are between
-	// 1 and 16 bytes long in practice.
+	// sampleWeight is the weight of a new count in the moving averages, which follow about the
+	// last 20 requests.
+	sampleWeight = 0.05
+	// minRatio and maxRatio bound the effect of a single odd count: tokens are between 1 and 16
+	// bytes long in practice.
 	minRatio = 1.0 / 16
 	maxRatio = 1.0
-	// maxModels bounds the memory should model names ever come from callers.
+	// maxModels bounds the memory if callers can choose model names.
 	maxModels = 1024
-	// safety covers relative errors twice the running mean.
-	safety = 2
-	// leastMargin is the least share that Upper adds. The ratio follows the common short
-	// prompts, whose JSON weighs more: with no margin a long one was estimated 1 % low and
-	// engines refused its group's shares.
-	leastMargin = 0.02
+	// errorMultiplier makes Upper cover relative errors of twice the running mean.
+	errorMultiplier = 2
+	// minMargin is the least relative margin that Upper adds. The ratio follows the common
+	// short prompts, which have a larger share of JSON. Without a margin, a long prompt was
+	// estimated 1 % too low, and engines refused the parts of its set.
+	minMargin = 0.02
 )
 
 type ratio struct {
@@ -29,12 +30,12 @@
 	relativeError float64
 }
 
-// Estimator turns bytes into tokens for each model. It is not safe for concurrent use.
+// Estimator estimates token counts for each model. It is not safe for concurrent use.
 type Estimator struct {
 	models map[string]ratio
 }
 
-// New returns an Estimator that knows no counts yet.
+// New returns an Estimator without any counts.
 func New() *Estimator { return &Estimator{models: make(map[string]ratio)} }
 
 func (e *Estimator) ratio(model string) ratio {
@@ -44,7 +45,7 @@
 	return ratio{tokensPerByte: defaultRatio}
 }
 
-// Tokens estimates the tokens of a prompt of the given bytes, at least 1.
+// Tokens estimates the number of tokens of a prompt with the given bytes, at least 1.
 func (e *Estimator) Tokens(model string, bytes int) int {
 	return max(1, int(math.Ceil(float64(bytes)*e.ratio(model).tokensPerByte)))
 }
@@ -52,11 +53,11 @@
 // Upper estimates a number of tokens that is seldom exceeded, for memory reservations.
 func (e *Estimator) Upper(model string, bytes int) int {
 	r := e.ratio(model)
-	margin := max(leastMargin, safety*r.relativeError)
+	margin := max(minMargin, errorMultiplier*r.relativeError)
 	return max(1, int(math.Ceil(float64(bytes)*r.tokensPerByte*(1+margin))))
 }
 
-// Observe corrects the model's ratio by an engine's count for a prompt of the given bytes.
+// Observe corrects the model's ratio by an engine's count for a prompt with the given bytes.
 func (e *Estimator) Observe(model string, bytes, promptTokens int) {
 	if bytes <= 0 || promptTokens <= 0 {
 		return
@@ -69,9 +70,9 @@
 		r = ratio{tokensPerByte: defaultRatio}
 	}
 	observed := min(max(float64(promptTokens)/float64(bytes), minRatio), maxRatio)
-	miss := math.Abs(r.tokensPerByte-observed) / observed
-	r.relativeError += weight * (miss - r.relativeError)
-	r.tokensPerByte += weight * (observed - r.tokensPerByte)
+	relativeError := math.Abs(r.tokensPerByte-observed) / observed
+	r.relativeError += sampleWeight * (relativeError - r.relativeError)
+	r.tokensPerByte += sampleWeight * (observed - r.tokensPerByte)
 	e.models[model] = r
 }
 
