--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous chooses nodes for a key by rendezvous hashing: every process that
-// sees the same nodes chooses the same ones, and a node that comes or goes moves only
-// the keys that it wins or had.
+// Package rendezvous chooses nodes for a key by rendezvous hashing. Every process that sees the
+// same nodes makes the same choice, and adding or removing a node moves only the keys that it
+// gains or loses.
 package rendezvous
 
 import (
@@ -13,8 +13,8 @@
 // Hash returns the hash of a key or a node's name.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Score returns the weight of a node for a key, from their hashes; the highest wins. It
-// is the finalizer of splitmix64 over both, so that one bit of either changes every bit.
+// Score returns the weight of a node for a key, from their hashes; the highest wins. It applies
+// the finalizer of splitmix64 to both, so that one bit of either changes every bit.
 func Score(key, node uint64) uint64 {
 	x := key ^ (node * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
