--- a/core/seeded/seeded.go
+++ b/core/seeded/seeded.go
@@ -1,7 +1,7 @@
-// Package seeded gives property tests a fixed seed. Test files import it for its effect.
+// Package seeded gives property tests a fixed seed. Test files import it for its side effect.
 //
-// Without it each run draws other cases, so that the same commit may pass one run and
-// fail the next. To search for new cases, run a test with -rapid.seed=0.
+// With a random seed each run would draw other cases, and the same commit could pass one run
+// and fail the next. To search for new cases, run a test with -rapid.seed=0.
 package seeded
 
 import (
@@ -11,7 +11,7 @@
 	_ "pgregory.net/rapid"
 )
 
-// seed is arbitrary; it is written down so that every run draws the same cases.
+// seed is an arbitrary fixed value, so that every run draws the same cases.
 const seed = "20261202"
 
 func init() {
