--- a/core/enginemodel/spec_test.go
+++ b/core/enginemodel/spec_test.go
@@ -12,8 +12,9 @@
 	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, ReadRate: 154_000, PerPair: 0.162, Chunk: 2048,
 }
 
-// The times that the published figures give by hand, with a step for each chunk.
-func TestReadFollowsThePublishedFigures(t *testing.T) {
+// The expected times are calculated by hand from the published figures, with a step for each
+// chunk.
+func TestPrefillTimeFollowsPublishedFigures(t *testing.T) {
 	cases := []struct {
 		tokens int
 		want   time.Duration
@@ -27,10 +28,10 @@
 	for _, c := range cases {
 		require.InDelta(t, c.want.Seconds(), spec.Read(c.tokens).Seconds(), 0.005, "%d tokens", c.tokens)
 	}
-	require.Zero(t, (&Spec{}).Read(5_000), "figures that are not known predict nothing")
+	require.Zero(t, (&Spec{}).Read(5_000), "unknown figures predict no time")
 }
 
-func TestPauseAndWrite(t *testing.T) {
+func TestPassAndDecodeTimes(t *testing.T) {
 	require.InDelta(t, 0.0445, spec.Pause(0, 0).Seconds(), 0.0001)
 	require.InDelta(t, 0.0578, spec.Pause(1, 182_000).Seconds(), 0.0005)
 	require.Equal(t, 38*spec.Pause(3, 15_000), spec.Write(38*34, 3, 15_000))
