--- a/core/evidence/book.go
+++ b/core/evidence/book.go
@@ -7,22 +7,22 @@
 	"acaciacleat.example/core/decay"
 )
 
-// Dropped says why reports of other entries were not taken up.
+// Dropped says why a report of another entry was dropped.
 type Dropped uint8
 
 // The reasons.
 const (
-	// Malformed reports have an unknown kind, or come from the future or from long ago.
+	// Malformed reports have an unknown kind, or an age that is negative or too high.
 	Malformed Dropped = iota
-	// Excess reports come beyond the number that one message may have.
+	// Excess reports exceed the number that one message may have.
 	Excess
 	// Unknown reports name an incarnation that isn't known here.
 	Unknown
-	// Overruled reports are older than an answer that this entry has had.
+	// Overruled reports are older than an answer that this entry has received.
 	Overruled
-	// Distrusted reports come from an entry that accuses too many, or wrongly.
+	// Distrusted reports come from an entry that accuses too many upstreams, or wrongly.
 	Distrusted
-	reasons
+	reasonCount
 )
 
 // String returns the reason's name for logs and metrics.
@@ -32,7 +32,7 @@
 
 // Reasons returns all reasons.
 func Reasons() []Dropped {
-	all := make([]Dropped, reasons)
+	all := make([]Dropped, reasonCount)
 	for i := range all {
 		all[i] = Dropped(i)
 	}
@@ -42,105 +42,105 @@
 const (
 	// MostReports bounds the reports in one message.
 	MostReports = 64
-	// oldest bounds the age of a report that is taken up: an incarnation that was silent long
-	// ago may answer by now.
-	oldest = 5 * time.Second
-	// reportsPerSecond bounds what one entry tells.
+	// maxReportAge bounds the age of a report that is applied: an incarnation that did not
+	// answer long ago may answer by now.
+	maxReportAge = 5 * time.Second
+	// reportsPerSecond bounds the reports that one entry sends.
 	reportsPerSecond = 100
-	// mostVerdicts bounds the verdicts that wait for the log.
-	mostVerdicts = 256
+	// maxVerdicts bounds the verdicts waiting to be logged.
+	maxVerdicts = 256
 )
 
-// Book takes evidence on incarnations, this entry's and others', and keeps what is to be told. It
-// is used by one goroutine at a time.
+// Book records evidence on incarnations from this entry and others, and queues the reports to
+// send. It is not safe for concurrent use.
 type Book struct {
-	random    *rand.Rand
-	witnesses map[uint64]*witness
-	reports   []report
-	spent     decay.Sum
-	losses    decay.Sum
-	verdicts  []Verdict
-	dropped   [reasons]uint64
+	random     *rand.Rand
+	reporters  map[uint64]*reporter
+	reports    []pendingReport
+	reportRate decay.Sum
+	losses     decay.Sum
+	verdicts   []Verdict
+	dropped    [reasonCount]uint64
 }
 
-// report is a Report whose age is not known yet.
-type report struct {
+// pendingReport is a Report that was not sent yet, with a time instead of an age.
+type pendingReport struct {
 	tag  uint32
 	kind Kind
 	at   time.Time
 }
 
-// NewBook returns an empty Book. The random source spreads the times at which entries try again
-// what they have left out.
+// NewBook returns an empty Book. The random source spreads the times at which entries retry
+// excluded incarnations.
 func NewBook(random *rand.Rand) *Book {
-	return &Book{random: random, witnesses: make(map[uint64]*witness)}
+	return &Book{random: random, reporters: make(map[uint64]*reporter)}
 }
 
-// Seen takes what this entry has seen of an incarnation by a request that was sent at asked.
-func (b *Book) Seen(now time.Time, subject Subject, r *Record, kind Kind, asked time.Time) {
+// Seen records this entry's own evidence on an incarnation, from a request sent at asked.
+func (b *Book) Seen(now time.Time, subject Subject, r *Record, kind Kind, sentAt time.Time) {
 	if kind == Answered {
-		r.answered = later(r.answered, asked)
-		if r.spoiled() && r.outlives(asked) {
-			b.back(now, now, subject, r, 0)
+		r.answeredSentAt = latest(r.answeredSentAt, sentAt)
+		if r.hasEvidence() && r.outweighs(sentAt) {
+			b.readmit(now, now, subject, r, 0)
 		}
 		return
 	}
-	if kind.proof() && r.kind.proof() && r.Out(now) && r.prover == 0 {
-		return // What is under way there fails too, and says nothing new.
+	if kind.proof() && r.kind.proof() && r.Out(now) && r.accuser == 0 {
+		return // Other requests in flight there fail too; this is nothing new.
 	}
-	length := r.length(kind)
-	b.strike(now, now, subject, r, kind, 0, length)
-	r.prover = 0
+	length := r.exclusionTime(kind)
+	b.exclude(now, now, subject, r, kind, 0, length)
+	r.accuser = 0
 	if kind != Erred {
-		b.tell(now, subject, r, kind)
+		b.queueReport(now, subject, r, kind)
 	}
 }
 
-// strike leaves an incarnation out.
-func (b *Book) strike(now, at time.Time, subject Subject, r *Record, kind Kind, by uint64, length time.Duration) {
+// exclude excludes an incarnation for a time.
+func (b *Book) exclude(now, at time.Time, subject Subject, r *Record, kind Kind, origin uint64, duration time.Duration) {
 	if kind != Erred && !r.Out(now) {
-		b.losses.Add(now, 1, lossesOver)
+		b.losses.Add(now, 1, lossWindow)
 	}
-	r.strikes++
-	r.until = later(r.until, now.Add(length))
+	r.failures++
+	r.excludedUntil = latest(r.excludedUntil, now.Add(duration))
 	if kind.proof() || !r.kind.proof() {
-		r.kind, r.since = kind, later(r.since, at) // What is proved isn't the less so for a failure after it.
+		r.kind, r.evidenceAt = kind, latest(r.evidenceAt, at) // A later failure does not weaken proof.
 	}
-	b.decide(Verdict{Name: subject.Name, Kind: kind, By: by, Age: now.Sub(at), At: now, For: length})
+	b.recordVerdict(Verdict{Name: subject.Name, Kind: kind, By: origin, Age: now.Sub(at), At: now, For: duration})
 }
 
-// lossesOver is the time over which it counts how many incarnations were found not to answer:
-// what goes together is found within seconds.
-const lossesOver = 3 * time.Second
+// lossWindow is the averaging time of Losses: failures with a common cause are found within
+// seconds.
+const lossWindow = 3 * time.Second
 
-// Losses returns how many incarnations were found not to answer of late.
-func (b *Book) Losses(now time.Time) float64 { return b.losses.Value(now, lossesOver) }
+// Losses returns the number of incarnations that were recently found not to answer.
+func (b *Book) Losses(now time.Time) float64 { return b.losses.Value(now, lossWindow) }
 
-// back takes an incarnation back, which has answered at the given time.
-func (b *Book) back(now, at time.Time, subject Subject, r *Record, by uint64) {
-	if r.prover != 0 && now.Sub(r.claimed) < wronglyFor {
-		b.witness(now, r.prover).contradict(now)
+// readmit ends the exclusion of an incarnation that answered at the given time.
+func (b *Book) readmit(now, at time.Time, subject Subject, r *Record, origin uint64) {
+	if r.accuser != 0 && now.Sub(r.lastProofAt) < contradictionWindow {
+		b.reporter(now, r.accuser).contradict(now)
 	}
-	told := r.told
+	shared := r.shared
 	r.clear()
-	b.decide(Verdict{Name: subject.Name, Kind: Answered, By: by, Age: now.Sub(at), At: now})
-	if told && by == 0 {
-		b.tell(now, subject, r, Answered)
-		r.told = false
+	b.recordVerdict(Verdict{Name: subject.Name, Kind: Answered, By: origin, Age: now.Sub(at), At: now})
+	if shared && origin == 0 {
+		b.queueReport(now, subject, r, Answered)
+		r.shared = false
 	}
 }
 
-// tell notes evidence for the other entries.
-func (b *Book) tell(now time.Time, subject Subject, r *Record, kind Kind) {
-	if len(b.reports) >= MostReports || b.spent.Value(now, time.Second) >= reportsPerSecond {
+// queueReport queues evidence for the other entries, within the rate limit.
+func (b *Book) queueReport(now time.Time, subject Subject, r *Record, kind Kind) {
+	if len(b.reports) >= MostReports || b.reportRate.Value(now, time.Second) >= reportsPerSecond {
 		return
 	}
-	b.spent.Add(now, 1, time.Second)
-	b.reports = append(b.reports, report{tag: subject.Tag, kind: kind, at: now})
-	r.told = true
+	b.reportRate.Add(now, 1, time.Second)
+	b.reports = append(b.reports, pendingReport{tag: subject.Tag, kind: kind, at: now})
+	r.shared = true
 }
 
-// Reports returns what is to be told since the last call.
+// Reports returns the reports to send since the last call.
 func (b *Book) Reports(now time.Time) []Report {
 	if len(b.reports) == 0 {
 		return nil
@@ -153,10 +153,10 @@
 	return reports
 }
 
-// Pending reports whether there is something to tell.
+// Pending reports whether there are reports to send.
 func (b *Book) Pending() bool { return len(b.reports) > 0 }
 
-// Verdicts returns what was decided since the last call, for the log. Beyond a bound, the first
+// Verdicts returns the decisions since the last call, for the log. Beyond a bound, the first
 // ones are kept.
 func (b *Book) Verdicts() []Verdict {
 	verdicts := b.verdicts
@@ -164,14 +164,14 @@
 	return verdicts
 }
 
-func (b *Book) decide(v Verdict) {
-	if len(b.verdicts) < mostVerdicts {
+func (b *Book) recordVerdict(v Verdict) {
+	if len(b.verdicts) < maxVerdicts {
 		b.verdicts = append(b.verdicts, v)
 	}
 }
 
-// Drop counts reports that were not taken up.
-func (b *Book) Drop(why Dropped, n int) { b.dropped[why] += uint64(n) }
+// Drop counts dropped reports.
+func (b *Book) Drop(reason Dropped, n int) { b.dropped[reason] += uint64(n) }
 
-// Dropped returns how many reports were not taken up for a reason.
-func (b *Book) Dropped(why Dropped) uint64 { return b.dropped[why] }
+// Dropped returns the number of reports dropped for a reason.
+func (b *Book) Dropped(reason Dropped) uint64 { return b.dropped[reason] }
--- a/core/evidence/evidence.go
+++ b/core/evidence/evidence.go
@@ -1,16 +1,15 @@
-// Package evidence keeps what entries have seen of upstreams that don't answer, tells it from one
-// entry to the others, and decides which upstreams to leave out, and for how long. It does no
-// I/O.
+// Package evidence records which upstreams fail to answer, exchanges this between entries, and
+// decides which upstreams to exclude, and for how long. It does no I/O.
 //
-// What goes wrong without it: each entry learns by a request of its own that an upstream has
-// gone. With twenty entries, twenty requests fail where one would have told all, and each
-// prompt that many engines read meets one of those that are gone.
+// Sharing evidence saves requests: without it, each of twenty entries loses a request to find
+// the same upstream gone, and each prompt that many engines prefill meets one of those that are
+// gone.
 //
-// Evidence comes in two strengths. A suspicion (Silent) may be the fault of the way between: an
-// entry that is cut off sees all upstreams behind the cut go silent, but no cut makes an
+// Evidence has two strengths. A suspicion (Silent) may be caused by the network: a partitioned
+// entry sees all upstreams behind the partition go silent. Proof can't: no partition makes an
 // upstream's host refuse a connection or another incarnation answer in its place. So proof
-// counts from one entry alone, a suspicion from two, and what an entry says is believed up to a
-// share of the upstreams only.
+// counts from a single entry and a suspicion from two, and the accusations of one entry count
+// for a limited share of the upstreams only.
 package evidence
 
 import (
@@ -18,27 +17,27 @@
 	"time"
 )
 
-// Kind says what an entry has seen of an incarnation, the strongest last.
+// Kind says what an entry has observed of an incarnation, the strongest last.
 type Kind uint8
 
 // The kinds of evidence.
 const (
-	// Answered: it answered a request.
+	// Answered means that it answered a request.
 	Answered Kind = iota + 1
-	// Erred: it answered wrongly or with a failure of its own. Others aren't told: a request
-	// may be at fault.
+	// Erred means that it answered wrongly or with an internal error. Other entries aren't
+	// told, because the request may be at fault.
 	Erred
-	// Silent: it did not answer, or broke an answer off.
+	// Silent means that it did not answer, or broke off an answer.
 	Silent
-	// Absent: nobody listens at its address.
+	// Absent means that nothing listens at its address.
 	Absent
-	// Leaving: it refuses what it has room for.
+	// Leaving means that it refuses requests for which it has capacity, because it drains.
 	Leaving
-	// Replaced: its address belongs to another incarnation.
+	// Replaced means that its address belongs to another incarnation.
 	Replaced
 )
 
-// proof reports whether evidence proves that the incarnation serves no more.
+// proof reports whether the evidence proves that the incarnation takes no more requests.
 func (k Kind) proof() bool { return k >= Absent && k <= Replaced }
 
 // String returns the kind's name for logs.
@@ -50,56 +49,57 @@
 	return names[k]
 }
 
-// Subject is the incarnation that evidence is about. What was seen of an earlier life under the
-// same id says nothing of the next: it has another tag.
+// Subject is the incarnation that evidence is about. Evidence on an earlier incarnation under
+// the same ID does not count for the next, which has another tag.
 type Subject struct {
-	// Tag stands for the incarnation in reports, and Name in logs.
+	// Tag identifies the incarnation in reports, and Name in logs.
 	Tag  uint32
 	Name string
 }
 
-// Report is what an entry tells the others of an incarnation.
+// Report is evidence on an incarnation, as sent to other entries.
 type Report struct {
 	Tag  uint32
 	Kind Kind
-	// AgeMs is how long ago it was seen, in milliseconds. Clocks of entries differ, so that no
-	// time is told.
+	// AgeMs is the age of the observation in milliseconds. It replaces a time because the
+	// clocks of entries differ.
 	AgeMs int64
 }
 
-// Verdict is a decision to leave an incarnation out, or to take it back.
+// Verdict is a decision to exclude an incarnation, or to readmit it.
 type Verdict struct {
 	Name string
-	// Kind is the evidence that decided, By the entry that saw it, zero for this one, and Age
-	// how old it was.
+	// Kind is the deciding evidence, By the origin of the entry that observed it, zero for this
+	// one, and Age its age.
 	Kind Kind
 	By   uint64
 	Age  time.Duration
-	// At is when it was decided, and For how long the incarnation is left out; zero where it is
-	// taken back.
+	// At is the time of the decision, and For how long the incarnation is excluded; zero if it
+	// is readmitted.
 	At  time.Time
 	For time.Duration
 }
 
-// Record is the evidence on one incarnation. The zero value has nothing against it.
+// Record is the evidence on one incarnation. The zero value holds none.
 type Record struct {
-	strikes int
-	// until is when it is no longer left out; kind and since are those of the last evidence
-	// against it.
-	until time.Time
-	kind  Kind
-	since time.Time
-	// told says that other entries have heard or said something against it.
-	told bool
-	// answered is when the latest request was sent that it has answered.
-	answered time.Time
-	// suspects are the last entries that suspect it.
-	suspects [witnessesNeeded]suspicion
-	// prover is the one other entry that says it has proof that it is gone, first at proved
-	// and last at claimed; zero for none, or where it was confirmed.
-	prover  uint64
-	proved  time.Time
-	claimed time.Time
+	failures int
+	// excludedUntil is the end of the exclusion; kind and evidenceAt are the kind and time of
+	// the latest evidence against the incarnation.
+	excludedUntil time.Time
+	kind          Kind
+	evidenceAt    time.Time
+	// shared is set if evidence against it was sent to or received from other entries.
+	shared bool
+	// answeredSentAt is when the latest answered request was sent.
+	answeredSentAt time.Time
+	// suspects are the latest suspicions of other entries.
+	suspects [suspicionQuorum]suspicion
+	// accuser is the only other entry that has sent proof against it, zero for none or if the
+	// proof was confirmed. firstProofAt and lastProofAt are the times of the first and the last
+	// proof.
+	accuser      uint64
+	firstProofAt time.Time
+	lastProofAt  time.Time
 }
 
 type suspicion struct {
@@ -107,99 +107,103 @@
 	at     time.Time
 }
 
-// Out reports whether the incarnation is left out.
-func (r *Record) Out(now time.Time) bool { return now.Before(r.until) }
+// Out reports whether the incarnation is excluded.
+func (r *Record) Out(now time.Time) bool { return now.Before(r.excludedUntil) }
 
-// strikeDoubt is added to the load of an upstream for each failure in a row, and for each
+// penaltyPerFailure is added to the load of an upstream for each consecutive failure and each
 // entry that suspects it, as a share of the slots.
-const strikeDoubt = 0.3
+const penaltyPerFailure = 0.3
 
-// mostStrikes bounds the failures in a row that count.
-const mostStrikes = 5
+// maxFailures bounds the consecutive failures that count.
+const maxFailures = 5
 
-// Doubt returns what evidence adds to the load, as a share of the slots.
+// Doubt returns the penalty to add to the load, as a share of the slots.
 func (r *Record) Doubt(now time.Time) float64 {
-	n := min(r.strikes, mostStrikes)
+	n := min(r.failures, maxFailures)
 	for _, s := range r.suspects {
-		if s.origin != 0 && now.Sub(s.at) < suspectFor {
+		if s.origin != 0 && now.Sub(s.at) < suspicionTTL {
 			n++
 		}
 	}
-	return strikeDoubt * float64(n)
+	return penaltyPerFailure * float64(n)
 }
 
-// Proved reports whether it was proved that nobody serves there, and nothing has answered since.
+// Proved reports whether the incarnation was proved to be down and nothing has answered since.
 func (r *Record) Proved() bool { return r.kind.proof() }
 
-// knownAfter is how long after another entry's proof a request may still be on its way that was
+// propagationDelay is how long after another entry's proof requests may still arrive that were
 // sent without knowing of it.
-const knownAfter = 100 * time.Millisecond
+const propagationDelay = 100 * time.Millisecond
 
-// AgainstProof reports whether a request that goes there now goes where another entry has
-// proved that nobody serves.
+// AgainstProof reports whether a request sent now goes to an incarnation that another entry has
+// proved to be down.
 func (r *Record) AgainstProof(now time.Time) bool {
-	return !r.proved.IsZero() && now.Sub(r.proved) > knownAfter
+	return !r.firstProofAt.IsZero() && now.Sub(r.firstProofAt) > propagationDelay
 }
 
-// Pause keeps requests off for a while without anything being held against the incarnation: it
-// has no room.
-func (r *Record) Pause(now time.Time, length time.Duration) {
-	r.until = later(r.until, now.Add(length))
+// Pause keeps requests off an incarnation without capacity, without counting it as a failure.
+func (r *Record) Pause(now time.Time, duration time.Duration) {
+	r.excludedUntil = latest(r.excludedUntil, now.Add(duration))
 }
 
-// Registered takes news that the incarnation has written its entry anew: it lives. They may have
-// been under way while it went.
+// Registered clears the evidence after the incarnation has renewed its registration, which
+// shows that it is alive. A renewal may have been under way when the incarnation went down, so
+// recent evidence stays.
 func (r *Record) Registered(now time.Time) {
-	if now.Sub(r.since) > newsUnderWay {
+	if now.Sub(r.evidenceAt) > registryDelay {
 		r.clear()
 	}
 }
 
-// newsUnderWay is how old news of the registry may usually be: an entry that follows it asks
-// again at least so often.
-const newsUnderWay = time.Second
+// registryDelay is the usual delay until a change of the registry is known here: an entry polls
+// the registry at least this often.
+const registryDelay = time.Second
 
 func (r *Record) clear() {
-	*r = Record{answered: r.answered}
+	*r = Record{answeredSentAt: r.answeredSentAt}
 }
 
-// spoiled reports whether anything counts against the incarnation.
-func (r *Record) spoiled() bool { return r.strikes > 0 || r.told }
+// hasEvidence reports whether there is any evidence against the incarnation.
+func (r *Record) hasEvidence() bool { return r.failures > 0 || r.shared }
 
-// outlives reports whether an answer to a request that was sent at asked outweighs what was
-// seen: what leaves may go on with what it has, but takes nothing new.
-func (r *Record) outlives(asked time.Time) bool { return !r.kind.proof() || asked.After(r.since) }
+// outweighs reports whether an answer to a request sent at asked outweighs the evidence. A
+// draining upstream still answers requests that it accepted before, but takes no new ones.
+func (r *Record) outweighs(sentAt time.Time) bool {
+	return !r.kind.proof() || sentAt.After(r.evidenceAt)
+}
 
-// The lengths for which an incarnation is left out: the first time, and at the most after doubling
-// with each further failure in a row.
+// The exclusion times by kind: the initial one, which doubles with each consecutive failure,
+// and the maximum.
 const (
-	// silentFirst is short: what is silent to one request may answer the next.
-	silentFirst = 400 * time.Millisecond
-	silentMost  = 6 * time.Second
-	// absentFirst is about what a process needs to start again.
-	absentFirst = time.Second
-	absentMost  = 6 * time.Second
-	// goneFirst is for what doesn't come back: until the registry has told of it.
-	goneFirst = 5 * time.Second
-	goneMost  = 20 * time.Second
-	// unconfirmed is the length for proof from one other entry alone: then it is tried here,
-	// so that no single entry takes an upstream away from all.
-	unconfirmed = time.Second
+	// silentInitial is short: the next request may well be answered.
+	silentInitial = 400 * time.Millisecond
+	silentMax     = 6 * time.Second
+	// absentInitial is about the time that a process needs to restart.
+	absentInitial = time.Second
+	absentMax     = 6 * time.Second
+	// goneInitial is for an incarnation that won't return; it covers the time until the
+	// registry removes it.
+	goneInitial = 5 * time.Second
+	goneMax     = 20 * time.Second
+	// unconfirmedTime is the exclusion time for proof from a single other entry. After it this
+	// entry tries the upstream itself, so that no single entry can take an upstream away from
+	// all.
+	unconfirmedTime = time.Second
 )
 
-// length returns for how long evidence leaves the incarnation out.
-func (r *Record) length(kind Kind) time.Duration {
-	first, most := silentFirst, silentMost
+// exclusionTime returns how long evidence of the given kind excludes the incarnation.
+func (r *Record) exclusionTime(kind Kind) time.Duration {
+	initial, maximum := silentInitial, silentMax
 	switch kind {
 	case Absent:
-		first, most = absentFirst, absentMost
+		initial, maximum = absentInitial, absentMax
 	case Leaving, Replaced:
-		first, most = goneFirst, goneMost
+		initial, maximum = goneInitial, goneMax
 	}
-	return min(first<<min(r.strikes, 8), most)
+	return min(initial<<min(r.failures, 8), maximum)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/core/evidence/witness.go
+++ b/core/evidence/witness.go
@@ -7,85 +7,88 @@
 )
 
 const (
-	// witnessesNeeded is the number of other entries whose suspicion leaves an incarnation out:
-	// one alone may be cut off from it.
-	witnessesNeeded = 2
-	// suspectFor is how long a suspicion counts: some requests of a busy upstream.
-	suspectFor = time.Second
-	// suspectShare and proofShare bound the part of a service's upstreams that one entry's
-	// suspicions and proofs take away. Who suspects more is most likely cut off itself.
-	suspectShare = 0.25
-	proofShare   = 0.5
-	// accusedFor is how long an accusation counts towards those shares.
-	accusedFor = 2 * time.Second
-	// wronglyFor is the time within which an answer contradicts a proof: what starts again
-	// under its id takes longer.
-	wronglyFor = 1500 * time.Millisecond
-	// contradictionsOver and contradictionsMost bound the proofs that may be contradicted
-	// before an entry isn't believed: a process may have started again in the meantime.
-	contradictionsOver = 30 * time.Second
-	contradictionsMost = 2.5
-	// mostWitnesses bounds the entries that are kept count of: some times the size designed for.
-	mostWitnesses = 2000
+	// suspicionQuorum is the number of other entries that must suspect an incarnation to
+	// exclude it. A single one may be partitioned from it.
+	suspicionQuorum = 2
+	// suspicionTTL is how long a suspicion counts: the time of several requests to a busy
+	// upstream.
+	suspicionTTL = time.Second
+	// maxSuspectShare and maxProofShare bound the share of a service's upstreams that one entry
+	// can exclude by suspicions and by proof. An entry that accuses more is most likely
+	// partitioned itself.
+	maxSuspectShare = 0.25
+	maxProofShare   = 0.5
+	// accusationTTL is how long an accusation counts towards these shares.
+	accusationTTL = 2 * time.Second
+	// contradictionWindow is the time within which an answer contradicts a proof. A restart
+	// under the same ID takes longer.
+	contradictionWindow = 1500 * time.Millisecond
+	// contradictionDecay and maxContradictions bound the contradicted proofs before an entry is
+	// distrusted. A few are tolerated, because a process may have restarted in the meantime.
+	contradictionDecay = 30 * time.Second
+	maxContradictions  = 2.5
+	// maxReporters bounds the entries that are tracked: several times the intended deployment
+	// size.
+	maxReporters = 2000
 )
 
-// witness is another entry and what it has accused of late.
-type witness struct {
+// reporter is another entry with its recent accusations.
+type reporter struct {
 	accused      map[uint32]time.Time
 	contradicted decay.Sum
-	last         time.Time
+	lastReport   time.Time
 }
 
-func (b *Book) witness(now time.Time, origin uint64) *witness {
-	w := b.witnesses[origin]
-	if w == nil {
-		b.forget(now)
-		w = &witness{accused: make(map[uint32]time.Time)}
-		b.witnesses[origin] = w
-	}
-	w.last = now
-	return w
+func (b *Book) reporter(now time.Time, origin uint64) *reporter {
+	rep := b.reporters[origin]
+	if rep == nil {
+		b.evictReporters(now)
+		rep = &reporter{accused: make(map[uint32]time.Time)}
+		b.reporters[origin] = rep
+	}
+	rep.lastReport = now
+	return rep
 }
 
-// forget makes room where there are too many witnesses.
-func (b *Book) forget(now time.Time) {
-	if len(b.witnesses) < mostWitnesses {
+// evictReporters makes room if too many reporters are tracked.
+func (b *Book) evictReporters(now time.Time) {
+	if len(b.reporters) < maxReporters {
 		return
 	}
-	for origin, w := range b.witnesses {
-		if now.Sub(w.last) > contradictionsOver {
-			delete(b.witnesses, origin)
+	for origin, rep := range b.reporters {
+		if now.Sub(rep.lastReport) > contradictionDecay {
+			delete(b.reporters, origin)
 		}
 	}
-	if len(b.witnesses) >= mostWitnesses {
-		clear(b.witnesses)
+	if len(b.reporters) >= maxReporters {
+		clear(b.reporters)
 	}
 }
 
-func (w *witness) contradict(now time.Time) { w.contradicted.Add(now, 1, contradictionsOver) }
+func (rep *reporter) contradict(now time.Time) { rep.contradicted.Add(now, 1, contradictionDecay) }
 
-// believed reports whether the entry may accuse one more of so many upstreams.
-func (w *witness) believed(now time.Time, tag uint32, kind Kind, known int) bool {
-	if w.contradicted.Value(now, contradictionsOver) > contradictionsMost {
+// mayAccuse reports whether the entry may accuse one more of the known upstreams.
+func (rep *reporter) mayAccuse(now time.Time, tag uint32, kind Kind, known int) bool {
+	if rep.contradicted.Value(now, contradictionDecay) > maxContradictions {
 		return false
 	}
-	for other, at := range w.accused {
-		if now.Sub(at) > accusedFor {
-			delete(w.accused, other)
+	for other, at := range rep.accused {
+		if now.Sub(at) > accusationTTL {
+			delete(rep.accused, other)
 		}
 	}
-	share := suspectShare
+	share := maxSuspectShare
 	if kind.proof() {
-		share = proofShare
+		share = maxProofShare
 	}
-	if _, again := w.accused[tag]; !again && len(w.accused) >= max(int(share*float64(known)), 1) {
+	if _, repeated := rep.accused[tag]; !repeated && len(rep.accused) >= max(int(share*float64(known)), 1) {
 		return false
 	}
-	w.accused[tag] = now
+	rep.accused[tag] = now
 	return true
 }
 
-// Check counts and leaves out what no entry should have sent.
+// Check counts and drops the reports that no correct entry would send.
 func (b *Book) Check(reports []Report) []Report {
 	if len(reports) > MostReports {
 		b.Drop(Excess, len(reports)-MostReports)
@@ -93,8 +96,8 @@
 	}
 	kept := make([]Report, 0, len(reports))
 	for _, r := range reports {
-		told := r.Kind == Answered || r.Kind >= Silent && r.Kind <= Replaced
-		if !told || r.AgeMs < 0 || r.AgeMs > oldest.Milliseconds() {
+		valid := r.Kind == Answered || r.Kind >= Silent && r.Kind <= Replaced
+		if !valid || r.AgeMs < 0 || r.AgeMs > maxReportAge.Milliseconds() {
 			b.Drop(Malformed, 1)
 			continue
 		}
@@ -103,85 +106,87 @@
 	return kept
 }
 
-// Heard takes a checked report of the entry origin on one of so many upstreams of a service.
-func (b *Book) Heard(now time.Time, origin uint64, subject Subject, r *Record, told Report, known int) {
-	at := now.Add(-time.Duration(told.AgeMs) * time.Millisecond)
-	if told.Kind == Answered {
-		if r.spoiled() && at.After(r.since) {
-			b.back(now, at, subject, r, origin)
+// Heard applies a checked report from the entry origin on one of a service's known upstreams.
+func (b *Book) Heard(now time.Time, origin uint64, subject Subject, r *Record, report Report, known int) {
+	at := now.Add(-time.Duration(report.AgeMs) * time.Millisecond)
+	if report.Kind == Answered {
+		if r.hasEvidence() && at.After(r.evidenceAt) {
+			b.readmit(now, at, subject, r, origin)
 		}
 		return
 	}
-	if r.answered.After(at) {
+	if r.answeredSentAt.After(at) {
 		b.Drop(Overruled, 1)
 		return
 	}
-	if !b.witness(now, origin).believed(now, told.Tag, told.Kind, known) {
+	if !b.reporter(now, origin).mayAccuse(now, report.Tag, report.Kind, known) {
 		b.Drop(Distrusted, 1)
 		return
 	}
-	r.told = true
-	if told.Kind.proof() {
-		b.heardProof(now, at, origin, subject, r, told.Kind)
+	r.shared = true
+	if report.Kind.proof() {
+		b.applyProof(now, at, origin, subject, r, report.Kind)
 		return
 	}
-	if r.suspected(origin, at) && !r.Out(now) {
-		b.strike(now, at, subject, r, Silent, origin, r.length(Silent))
+	if r.addSuspicion(origin, at) && !r.Out(now) {
+		b.exclude(now, at, subject, r, Silent, origin, r.exclusionTime(Silent))
 	}
 }
 
-// heardProof leaves an incarnation out for as long as the first entry's word holds alone, and
-// for as long as proof of one's own once a second one says the same.
-func (b *Book) heardProof(now, at time.Time, origin uint64, subject Subject, r *Record, kind Kind) {
-	if r.proved.IsZero() {
-		r.proved = now
+// applyProof excludes an incarnation for unconfirmedTime on the first entry's proof, and for as
+// long as this entry's own proof would once a second entry confirms it.
+func (b *Book) applyProof(now, at time.Time, origin uint64, subject Subject, r *Record, kind Kind) {
+	if r.firstProofAt.IsZero() {
+		r.firstProofAt = now
 	}
-	standing := r.Out(now) && r.kind.proof()
+	excluded := r.Out(now) && r.kind.proof()
 	switch {
-	case r.prover == origin:
-		r.claimed = now // It counts once; then the incarnation is tried here.
-	case standing && r.prover == 0:
+	case r.accuser == origin:
+		r.lastProofAt = now // Repeated proof counts once; then this entry tries the incarnation itself.
+	case excluded && r.accuser == 0:
 		return
-	case r.prover != 0:
-		// Confirmed. Each entry tries again at a time of its own, and tells the others.
-		length := r.length(kind)
-		r.prover = 0
-		b.strike(now, at, subject, r, kind, origin, length+b.spread(length))
+	case r.accuser != 0:
+		// Confirmed. The jitter makes entries retry at different times; the first one reports
+		// its result to the others.
+		duration := r.exclusionTime(kind)
+		r.accuser = 0
+		b.exclude(now, at, subject, r, kind, origin, duration+b.jitter(duration))
 	default:
-		r.prover, r.claimed = origin, now
-		b.strike(now, at, subject, r, kind, origin, unconfirmed+b.spread(unconfirmed))
+		r.accuser, r.lastProofAt = origin, now
+		b.exclude(now, at, subject, r, kind, origin, unconfirmedTime+b.jitter(unconfirmedTime))
 	}
 }
 
-// spread draws how much later than others this entry tries again: the first to do so tells the
-// rest.
-func (b *Book) spread(length time.Duration) time.Duration {
-	return time.Duration(b.random.Int64N(int64(length)))
+// jitter returns a random extra delay before this entry retries, so that one entry retries
+// first and tells the others.
+func (b *Book) jitter(duration time.Duration) time.Duration {
+	return time.Duration(b.random.Int64N(int64(duration)))
 }
 
-// suspected notes the suspicion of an entry; it returns whether enough of them suspect.
-func (r *Record) suspected(origin uint64, at time.Time) bool {
+// addSuspicion records the suspicion of an entry; it reports whether enough entries suspect the
+// incarnation.
+func (r *Record) addSuspicion(origin uint64, at time.Time) bool {
 	oldest := 0
 	for i, s := range r.suspects {
 		if s.origin == origin {
-			r.suspects[i].at = later(s.at, at)
-			return r.enough(at)
+			r.suspects[i].at = latest(s.at, at)
+			return r.suspectedByQuorum(at)
 		}
 		if s.at.Before(r.suspects[oldest].at) {
 			oldest = i
 		}
 	}
 	r.suspects[oldest] = suspicion{origin: origin, at: at}
-	return r.enough(at)
+	return r.suspectedByQuorum(at)
 }
 
-// enough reports whether as many entries suspect at a time as it takes.
-func (r *Record) enough(at time.Time) bool {
+// suspectedByQuorum reports whether enough entries suspect the incarnation at the given time.
+func (r *Record) suspectedByQuorum(at time.Time) bool {
 	n := 0
 	for _, s := range r.suspects {
-		if s.origin != 0 && at.Sub(s.at) < suspectFor {
+		if s.origin != 0 && at.Sub(s.at) < suspicionTTL {
 			n++
 		}
 	}
-	return n >= witnessesNeeded
+	return n >= suspicionQuorum
 }
