--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// BenchmarkPlan is the decision alone, without booking it. Before the choices kept their
-// slices and sums, a long prompt took 38 us and 55 allocations at 18 upstreams, and 5.2 ms
-// and 70 allocations at 1,200, booking included.
+// BenchmarkPlan measures the decision alone, without recording the placement. Without reusing
+// slices and keeping sums, a decision and its recording took 38 us and 55 allocations for a
+// long prompt at 18 upstreams, and 5.2 ms and 70 allocations at 1,200.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{18, 112, 1200} {
 		for name, request := range map[string]*Request{"short": short(), "heavy": heavy(180_000)} {
--- a/core/dispatch/book.go
+++ b/core/dispatch/book.go
@@ -6,306 +6,311 @@
 	"time"
 )
 
-// WorkID names a placed request among all entries.
+// WorkID identifies a placed or waiting request among all entries.
 type WorkID struct {
 	Origin uint64
 	Number uint64
 }
 
-// work is a placed request.
-type work struct {
-	id     WorkID
-	prompt int
-	output int
-	aim    time.Time
-	gapAim time.Duration
-	// placed is when it was placed here; zero for other entries' works.
-	placed time.Time
-	begun  bool
-	// begunAt is when its first event came; set where begun.
-	begunAt time.Time
-	// over is when the work counts as ended though nobody has said so.
-	over  time.Time
-	loads []*load
-	// done is when its prompt will be read, as foreseen at the choice in hand, and trial
-	// when with the set that is weighed.
-	done  time.Duration
-	trial time.Duration
+// placement is a placed request.
+type placement struct {
+	id           WorkID
+	promptTokens int
+	outputTokens int
+	target       time.Time
+	gapTarget    time.Duration
+	// placedAt is when it was placed here; zero for requests of other entries.
+	placedAt  time.Time
+	streaming bool
+	// firstEventAt is when its first event arrived; set if streaming.
+	firstEventAt time.Time
+	// expiresAt is when the placement is removed even if no end was reported.
+	expiresAt time.Time
+	loads     []*load
+	// prefillDone is the predicted end of its prefill, computed for the current choice, and
+	// trialPrefillDone is the same with the set under evaluation.
+	prefillDone      time.Duration
+	trialPrefillDone time.Duration
 }
 
-// load is what a work puts on one unit.
+// load is the load of a placement on one upstream.
 type load struct {
-	work *work
-	unit *unit
-	// helper says that the unit only reads a part of the prompt.
+	placement *placement
+	upstream  *upstreamState
+	// helper is set if the upstream only prefills a part of the prompt.
 	helper bool
-	// left is the reading time still to be worked off.
-	left time.Duration
-	// memory is the number of tokens that it takes up.
-	memory int
-	// done is when it will be read, and end when its stream will end, zero where that isn't
-	// known, as foreseen at the choice in hand; timeLeft is that to its deadline then.
-	done     time.Duration
-	end      time.Duration
-	timeLeft time.Duration
+	// remaining is the prefill time left.
+	remaining time.Duration
+	// memoryTokens is the number of tokens that it occupies.
+	memoryTokens int
+	// prefillDone and streamEnd are the predicted ends of its prefill and stream, streamEnd
+	// being zero if unknown; toDeadline is the time left to the deadline. They are computed for
+	// the current choice.
+	prefillDone time.Duration
+	streamEnd   time.Duration
+	toDeadline  time.Duration
 }
 
-// plan is where a request is placed.
+// plan is a decision on where to place a request, or not to.
 type plan struct {
-	first *unit
-	// helpers read parts of the prompt for first; tickets are the tokens of it that each
-	// holds, in the same order, zero for none.
-	helpers []*unit
-	tickets []int
-	// left is the reading time of each part.
-	left    time.Duration
-	urgency int
-	why     Why
-	// refused says that the request is not worth the time that it takes from others.
+	primary *upstreamState
+	// helpers prefill parts of the prompt for primary; reservations are the tokens of it that
+	// each helper holds, in the same order, zero for none.
+	helpers      []*upstreamState
+	reservations []int
+	// partTime is the prefill time of each part.
+	partTime  time.Duration
+	urgency   int
+	rationale Why
+	// refused is set if the request is not worth the time that it takes from others.
 	refused bool
-	// hold is how long the request should wait for its turn, zero to place it now; next says
-	// that it goes first of those that wait.
-	hold time.Duration
-	next bool
+	// retryAfter is how long the request should wait in the queue; zero to place it now.
+	// headOfQueue is set if no waiting request goes before it.
+	retryAfter  time.Duration
+	headOfQueue bool
 }
 
-// ticket returns the tokens that helper i holds.
-func (p *plan) ticket(i int) int {
-	if i < len(p.tickets) {
-		return p.tickets[i]
+// reservedBy returns the tokens that helper i holds.
+func (p *plan) reservedBy(i int) int {
+	if i < len(p.reservations) {
+		return p.reservations[i]
 	}
 	return 0
 }
 
-// held returns the tokens that all helpers hold.
-func (p *plan) held() int {
+// reservedTokens returns the tokens that all helpers hold.
+func (p *plan) reservedTokens() int {
 	sum := 0
-	for _, tokens := range p.tickets {
+	for _, tokens := range p.reservations {
 		sum += tokens
 	}
 	return sum
 }
 
 func (p *plan) choice(id WorkID) Choice {
-	choice := Choice{Upstream: p.first.Upstream, Urgency: p.urgency, Why: p.why}
+	choice := Choice{Upstream: p.primary.Upstream, Urgency: p.urgency, Why: p.rationale}
 	for i, u := range p.helpers {
-		helper := Helper{Upstream: u.Upstream, Tokens: p.ticket(i)}
+		helper := Helper{Upstream: u.Upstream, Tokens: p.reservedBy(i)}
 		if helper.Tokens > 0 {
-			helper.Ticket = id.ticket()
+			helper.Ticket = id.reservationName()
 		}
 		choice.Helpers = append(choice.Helpers, helper)
 	}
 	return choice
 }
 
-// ticket names the memory that is reserved for a work; it is never used twice.
-func (id WorkID) ticket() string {
+// reservationName names the memory reserved for a placement; it is never reused.
+func (id WorkID) reservationName() string {
 	return strconv.FormatUint(id.Origin, 36) + "-" + strconv.FormatUint(id.Number, 36)
 }
 
-// forgetSlack is added to a work's deadline before it is forgotten without a word.
-const forgetSlack = time.Second
+// expiryMargin is added to the deadline of a request before its placement expires without a
+// reported end.
+const expiryMargin = time.Second
 
-func (f *Fleet) book(now time.Time, request *Request, p plan) *work {
-	w := &work{
-		id:     f.idOf(request),
-		placed: now,
-		prompt: request.PromptTokens,
-		output: request.OutputTokens,
-		aim:    now.Add(request.Aim),
-		gapAim: request.GapAim,
-		over:   now.Add(request.Left + forgetSlack),
+func (f *Fleet) commit(now time.Time, request *Request, p plan) *placement {
+	pl := &placement{
+		id:           f.placementID(request),
+		placedAt:     now,
+		promptTokens: request.PromptTokens,
+		outputTokens: request.OutputTokens,
+		target:       now.Add(request.Aim),
+		gapTarget:    request.GapAim,
+		expiresAt:    now.Add(request.Left + expiryMargin),
 	}
-	delete(f.waiters, w.id)
-	f.place(now, w, p)
-	f.tell(w.placedAt(now))
+	delete(f.waiters, pl.id)
+	f.place(now, pl, p)
+	f.publish(pl.placedEvent(now))
 	f.wakeWaiters()
-	return w
+	return pl
 }
 
-// idOf returns the id of a request's work: a new one where it has not waited for its turn.
-func (f *Fleet) idOf(request *Request) WorkID {
+// placementID returns the ID for the placement of a request: the ID under which it has waited,
+// or a new one.
+func (f *Fleet) placementID(request *Request) WorkID {
 	if request.Turn != (WorkID{}) {
 		return request.Turn
 	}
-	f.next++
-	return WorkID{Origin: f.settings.Origin, Number: f.next}
+	f.lastNumber++
+	return WorkID{Origin: f.settings.Origin, Number: f.lastNumber}
 }
 
-// place puts a work's loads on its units.
-func (f *Fleet) place(now time.Time, w *work, p plan) {
-	f.works[w.id] = w
-	if whole := p.left * time.Duration(1+len(p.helpers)); whole >= heldFrom {
-		f.longReading.Add(now, whole.Seconds(), demandOver)
+// place adds the loads of a placement to its upstreams.
+func (f *Fleet) place(now time.Time, pl *placement, p plan) {
+	f.placements[pl.id] = pl
+	if total := p.partTime * time.Duration(1+len(p.helpers)); total >= queueThreshold {
+		f.prefillDemand.Add(now, total.Seconds(), demandWindow)
 	}
-	w.loads = make([]*load, 0, 1+len(p.helpers))
-	w.add(now, load{unit: p.first, left: p.left, memory: max(w.prompt+w.output-p.held(), 0)})
+	pl.loads = make([]*load, 0, 1+len(p.helpers))
+	pl.addLoad(now, load{upstream: p.primary, remaining: p.partTime, memoryTokens: max(pl.promptTokens+pl.outputTokens-p.reservedTokens(), 0)})
 	for i, u := range p.helpers {
-		w.add(now, load{unit: u, helper: true, left: p.left, memory: p.ticket(i)})
+		pl.addLoad(now, load{upstream: u, helper: true, remaining: p.partTime, memoryTokens: p.reservedBy(i)})
 	}
 }
 
-func (w *work) add(now time.Time, l load) {
-	u := l.unit
-	u.drain(now)
-	l.work = w
-	w.loads = append(w.loads, &l)
+func (pl *placement) addLoad(now time.Time, l load) {
+	u := l.upstream
+	u.advance(now)
+	l.placement = pl
+	pl.loads = append(pl.loads, &l)
 	u.loads = append(u.loads, &l)
-	u.backlog += l.left
-	u.memory += l.memory
+	u.backlog += l.remaining
+	u.memoryTokens += l.memoryTokens
 	if !l.helper {
 		u.streams++
-		u.context += w.prompt
+		u.contextTokens += pl.promptTokens
 	}
 }
 
-// Begun reports the first event of a placed request: its prompt was read.
+// Begun records the first event of a placed request: its prefill is complete.
 func (f *Fleet) Begun(now time.Time, id WorkID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.begin(now, id) {
-		f.tell(Event{Kind: Begun, Number: id.Number})
+	if f.markStreaming(now, id) {
+		f.publish(Event{Kind: Begun, Number: id.Number})
 	}
 }
 
-func (f *Fleet) begin(now time.Time, id WorkID) bool {
-	w := f.works[id]
-	if w == nil || w.begun {
+func (f *Fleet) markStreaming(now time.Time, id WorkID) bool {
+	pl := f.placements[id]
+	if pl == nil || pl.streaming {
 		return false
 	}
-	w.begun = true
-	w.begunAt = now
-	for _, l := range w.loads {
-		l.unit.drain(now)
-		l.unit.backlog -= l.left
-		l.left = 0
+	pl.streaming = true
+	pl.firstEventAt = now
+	for _, l := range pl.loads {
+		l.upstream.advance(now)
+		l.upstream.backlog -= l.remaining
+		l.remaining = 0
 	}
 	f.wakeWaiters()
 	return true
 }
 
-// Ended reports the end of a placed request at its upstream.
+// Ended records the end of a placed request at its upstream.
 func (f *Fleet) Ended(now time.Time, id WorkID, outcome Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.works[id]
-	if w == nil {
+	pl := f.placements[id]
+	if pl == nil {
 		return
 	}
-	f.record(now, w.loads[0].unit, outcome, w.placed)
-	f.end(now, w)
-	f.tell(Event{Kind: Ended, Number: id.Number})
+	f.recordOutcome(now, pl.loads[0].upstream, outcome, pl.placedAt)
+	f.removePlacement(now, pl)
+	f.publish(Event{Kind: Ended, Number: id.Number})
 }
 
-func (f *Fleet) end(now time.Time, w *work) {
-	delete(f.works, w.id)
-	for _, l := range w.loads {
-		l.unit.drain(now)
-		l.unit.drop(l)
+func (f *Fleet) removePlacement(now time.Time, pl *placement) {
+	delete(f.placements, pl.id)
+	for _, l := range pl.loads {
+		l.upstream.advance(now)
+		l.upstream.removeLoad(l)
 	}
 	f.wakeWaiters()
 }
 
-func (u *unit) drop(l *load) {
+func (u *upstreamState) removeLoad(l *load) {
 	i := slices.Index(u.loads, l)
 	if i < 0 {
 		return
 	}
 	u.loads = slices.Delete(u.loads, i, i+1)
-	u.backlog -= l.left
-	u.memory -= l.memory
+	u.backlog -= l.remaining
+	u.memoryTokens -= l.memoryTokens
 	if !l.helper {
 		u.streams--
-		u.context -= l.work.prompt
+		u.contextTokens -= l.placement.promptTokens
 	}
 }
 
-// busyOver is the time over which it counts how much of its time an engine reads: some passes,
-// so that one long part alone says little.
-const busyOver = time.Second
+// utilisationWindow is the averaging time of prefillUtilisation: several passes, so that one
+// long part has little weight.
+const utilisationWindow = time.Second
 
-// drain works off the reading on a unit up to now.
-func (u *unit) drain(now time.Time) {
-	spent := now.Sub(u.drained)
-	u.drained = now
+// advance advances the modelled prefill work on an upstream to now.
+func (u *upstreamState) advance(now time.Time) {
+	spent := now.Sub(u.modelledUntil)
+	u.modelledUntil = now
 	if spent <= 0 {
 		return
 	}
 	before := u.backlog
-	u.workOff(spent)
-	weight := spent.Seconds() / (spent + busyOver).Seconds()
-	u.busy += weight * ((before-u.backlog).Seconds()/spent.Seconds() - u.busy)
+	u.advancePrefill(spent)
+	weight := spent.Seconds() / (spent + utilisationWindow).Seconds()
+	u.prefillUtilisation += weight * ((before-u.backlog).Seconds()/spent.Seconds() - u.prefillUtilisation)
 }
 
-// workOff reads for a time, in the order in which engines read: parts of long prompts first,
-// the newest of them in front, then the others as they came.
-func (u *unit) workOff(spent time.Duration) {
+// advancePrefill advances the loads in the order in which engines prefill: parts of long
+// prompts first, newest first, then the other prompts in order of arrival.
+func (u *upstreamState) advancePrefill(spent time.Duration) {
 	if u.backlog == 0 {
 		return
 	}
 	for i := len(u.loads) - 1; i >= 0 && spent > 0; i-- {
-		if l := u.loads[i]; l.ahead() {
-			spent = u.read(l, spent)
+		if l := u.loads[i]; l.isPart() {
+			spent = u.advanceLoad(l, spent)
 		}
 	}
 	for _, l := range u.loads {
-		if spent > 0 && !l.ahead() {
-			spent = u.read(l, spent)
+		if spent > 0 && !l.isPart() {
+			spent = u.advanceLoad(l, spent)
 		}
 	}
 }
 
-// read works off one load and returns the time that is left.
-func (u *unit) read(l *load, spent time.Duration) time.Duration {
-	step := min(l.left, spent)
-	l.left -= step
+// advanceLoad advances one load and returns the time that is left.
+func (u *upstreamState) advanceLoad(l *load, spent time.Duration) time.Duration {
+	step := min(l.remaining, spent)
+	l.remaining -= step
 	u.backlog -= step
 	return spent - step
 }
 
-// foresee predicts when each load on a unit will be read, from now on.
-func (u *unit) foresee() {
+// predictPrefill predicts when the prefill of each load on an upstream is complete, counted
+// from now.
+func (u *upstreamState) predictPrefill() {
 	var sum time.Duration
 	for i := len(u.loads) - 1; i >= 0; i-- {
-		if l := u.loads[i]; l.ahead() {
-			sum += l.left
-			l.done = sum
+		if l := u.loads[i]; l.isPart() {
+			sum += l.remaining
+			l.prefillDone = sum
 		}
 	}
-	u.ahead = sum
-	u.gap = 0
+	u.partBacklog = sum
+	u.minGapTarget = 0
 	for _, l := range u.loads {
-		if !l.ahead() {
-			sum += l.left
-			l.done = sum
+		if !l.isPart() {
+			sum += l.remaining
+			l.prefillDone = sum
 		}
 	}
 	for _, l := range u.loads {
-		l.work.done = max(l.work.done, l.done)
-		if !l.helper && (u.gap == 0 || l.work.gapAim < u.gap) {
-			u.gap = l.work.gapAim
+		l.placement.prefillDone = max(l.placement.prefillDone, l.prefillDone)
+		if !l.helper && (u.minGapTarget == 0 || l.placement.gapTarget < u.minGapTarget) {
+			u.minGapTarget = l.placement.gapTarget
 		}
 	}
 }
 
-// ahead reports whether the load is read before others: a part of a prompt that several
-// engines read.
-func (l *load) ahead() bool { return len(l.work.loads) > 1 }
+// isPart reports whether the load is a part of a prompt that several engines prefill. Parts go
+// before other loads.
+func (l *load) isPart() bool { return len(l.placement.loads) > 1 }
 
-// Forget ends the works that were over without a word, of entries that are gone.
+// Forget removes expired placements and waiters, whose entries have gone without reporting an
+// end.
 func (f *Fleet) Forget(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, w := range f.works {
-		if now.After(w.over) {
-			f.end(now, w)
+	for _, pl := range f.placements {
+		if now.After(pl.expiresAt) {
+			f.removePlacement(now, pl)
 		}
 	}
 	for id, w := range f.waiters {
-		if now.After(w.over) {
+		if now.After(w.expiresAt) {
 			delete(f.waiters, id)
 		}
 	}
-	f.expire(now)
-	f.index()
+	f.expireLapsed(now)
+	f.rebuildIndex()
 }
--- a/core/dispatch/event.go
+++ b/core/dispatch/event.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// EventKind says what happened to a placed request.
+// EventKind says what happened to a request.
 type EventKind uint8
 
 // The kinds of event.
@@ -13,14 +13,14 @@
 	Placed EventKind = iota + 1
 	Begun
 	Ended
-	// Waiting says that a request waits at its entry for engines' time: PartMs is the reading
-	// time of its whole prompt. It ends with Placed or Ended.
+	// Waiting means that a request waits in the queue at its entry; PartMs is the prefill time
+	// of its whole prompt. The wait ends with Placed or Ended.
 	Waiting
 )
 
-// Tag stands for an upstream's incarnation in events, to keep them small: what was placed on
-// an earlier life is none of the next one's work. Two incarnations with one tag would only
-// count work at the wrong upstream.
+// Tag is a short hash that stands for an upstream's incarnation in events. Load placed on an
+// earlier incarnation has another tag and does not count for the next one. A collision of two
+// tags would only count load at the wrong upstream.
 type Tag uint32
 
 // TagOf returns the tag of an incarnation.
@@ -30,12 +30,12 @@
 	return Tag(h.Sum32())
 }
 
-// Event is what entries tell each other of the work that they have placed. Times are in
+// Event tells other entries of a change to this entry's placements or queue. Times are in
 // milliseconds.
 type Event struct {
 	Kind   EventKind
 	Number uint64
-	// The rest is set for Placed. Tickets are the tokens that each helper holds.
+	// The other fields are set for Placed. Tickets are the tokens that each helper holds.
 	First   Tag
 	Helpers []Tag
 	Tickets []int
@@ -49,157 +49,157 @@
 	Rank int
 }
 
-// placedAt returns the event that tells of a work as it stands.
-func (w *work) placedAt(now time.Time) Event {
-	first := w.loads[0]
+// placedEvent returns the event for the present state of a placement.
+func (pl *placement) placedEvent(now time.Time) Event {
+	primary := pl.loads[0]
 	e := Event{
 		Kind:   Placed,
-		Number: w.id.Number,
-		First:  first.unit.tag,
-		Prompt: w.prompt,
-		Output: w.output,
-		PartMs: first.left.Milliseconds(),
-		AimMs:  w.aim.Sub(now).Milliseconds(),
-		GapMs:  w.gapAim.Milliseconds(),
-		LeftMs: (w.over.Sub(now) - forgetSlack).Milliseconds(),
+		Number: pl.id.Number,
+		First:  primary.upstream.tag,
+		Prompt: pl.promptTokens,
+		Output: pl.outputTokens,
+		PartMs: primary.remaining.Milliseconds(),
+		AimMs:  pl.target.Sub(now).Milliseconds(),
+		GapMs:  pl.gapTarget.Milliseconds(),
+		LeftMs: (pl.expiresAt.Sub(now) - expiryMargin).Milliseconds(),
 	}
-	for _, l := range w.loads[1:] {
-		e.Helpers = append(e.Helpers, l.unit.tag)
-		e.Tickets = append(e.Tickets, l.memory)
+	for _, l := range pl.loads[1:] {
+		e.Helpers = append(e.Helpers, l.upstream.tag)
+		e.Tickets = append(e.Tickets, l.memoryTokens)
 	}
 	return e
 }
 
-// maxNews bounds the events that wait to be told. While nobody takes them, the oldest
-// are dropped: others forget a work by its deadline.
-const maxNews = 512
+// maxPendingEvents bounds the events waiting to be sent. While nobody takes them, the oldest
+// are dropped; other entries drop a placement by its deadline.
+const maxPendingEvents = 512
 
-func (f *Fleet) tell(e Event) {
+func (f *Fleet) publish(e Event) {
 	if f.settings.Rule == LeastOutstanding {
 		return
 	}
-	if len(f.news) >= maxNews {
-		f.news = f.news[1:]
+	if len(f.pending) >= maxPendingEvents {
+		f.pending = f.pending[1:]
 	}
-	f.news = append(f.news, e)
-	f.wakeTeller()
+	f.pending = append(f.pending, e)
+	f.signalPending()
 }
 
-// wakeTeller tells that there may be something to tell the other entries.
-func (f *Fleet) wakeTeller() {
+// signalPending signals that there may be events or reports to send.
+func (f *Fleet) signalPending() {
 	select {
-	case f.told <- struct{}{}:
-	default: // Whoever takes the news has been told already.
+	case f.pendingSignal <- struct{}{}:
+	default: // A signal is pending already.
 	}
 }
 
-// Told has a value when there may be news or reports.
-func (f *Fleet) Told() <-chan struct{} { return f.told }
+// Told receives a value when there may be events or reports to send.
+func (f *Fleet) Told() <-chan struct{} { return f.pendingSignal }
 
 // News returns the events since the last call.
 func (f *Fleet) News() []Event {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	news := f.news
-	f.news = nil
-	return news
+	events := f.pending
+	f.pending = nil
+	return events
 }
 
-// Heard takes the events of the entry with the given origin.
+// Heard applies the events of the entry with the given origin.
 func (f *Fleet) Heard(now time.Time, origin uint64, events []Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range events {
-		f.heard(now, origin, &events[i])
+		f.applyEvent(now, origin, &events[i])
 	}
 }
 
-func (f *Fleet) heard(now time.Time, origin uint64, e *Event) {
+func (f *Fleet) applyEvent(now time.Time, origin uint64, e *Event) {
 	id := WorkID{Origin: origin, Number: e.Number}
 	switch e.Kind {
 	case Placed:
-		f.hearPlaced(now, id, e)
+		f.applyPlaced(now, id, e)
 	case Begun:
-		f.begin(now, id)
+		f.markStreaming(now, id)
 	case Ended:
-		if w := f.works[id]; w != nil {
-			f.end(now, w)
+		if pl := f.placements[id]; pl != nil {
+			f.removePlacement(now, pl)
 		}
-		f.drop(id)
+		f.removeWaiter(id)
 	case Waiting:
 		f.waiters[id] = &waiter{
-			id:   id,
-			rank: e.Rank,
-			read: milliseconds(e.PartMs),
-			aim:  now.Add(milliseconds(e.AimMs)),
-			over: now.Add(milliseconds(e.LeftMs) + forgetSlack),
+			id:          id,
+			priority:    e.Rank,
+			prefillTime: milliseconds(e.PartMs),
+			target:      now.Add(milliseconds(e.AimMs)),
+			expiresAt:   now.Add(milliseconds(e.LeftMs) + expiryMargin),
 		}
 	}
 }
 
-func (f *Fleet) hearPlaced(now time.Time, id WorkID, e *Event) {
-	f.drop(id)
-	first := f.tags[e.First]
-	if first == nil || f.works[id] != nil {
+func (f *Fleet) applyPlaced(now time.Time, id WorkID, e *Event) {
+	f.removeWaiter(id)
+	primary := f.tags[e.First]
+	if primary == nil || f.placements[id] != nil {
 		return
 	}
 	if len(e.Helpers) == 0 {
-		f.placements.Add(now, 1, placementsOver)
+		f.remoteSingles.Add(now, 1, placementWindow)
 	}
-	p := plan{first: first, left: milliseconds(e.PartMs)}
+	p := plan{primary: primary, partTime: milliseconds(e.PartMs)}
 	for i, tag := range e.Helpers {
 		if u := f.tags[tag]; u != nil && i < len(e.Tickets) {
 			p.helpers = append(p.helpers, u)
-			p.tickets = append(p.tickets, e.Tickets[i])
+			p.reservations = append(p.reservations, e.Tickets[i])
 		}
 	}
-	f.place(now, &work{
-		id:     id,
-		prompt: e.Prompt,
-		output: e.Output,
-		aim:    now.Add(milliseconds(e.AimMs)),
-		gapAim: milliseconds(e.GapMs),
-		over:   now.Add(milliseconds(e.LeftMs) + forgetSlack),
+	f.place(now, &placement{
+		id:           id,
+		promptTokens: e.Prompt,
+		outputTokens: e.Output,
+		target:       now.Add(milliseconds(e.AimMs)),
+		gapTarget:    milliseconds(e.GapMs),
+		expiresAt:    now.Add(milliseconds(e.LeftMs) + expiryMargin),
 	}, p)
 }
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Current returns Placed and Begun events of this entry's work in hand, for an entry that
-// has just come into touch.
+// Current returns the events that bring a newly connected entry up to date with this entry's
+// placements and queue.
 func (f *Fleet) Current(now time.Time) []Event {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var events []Event
-	for _, w := range f.works {
-		if w.id.Origin != f.settings.Origin {
+	for _, pl := range f.placements {
+		if pl.id.Origin != f.settings.Origin {
 			continue
 		}
-		events = append(events, w.placedAt(now))
-		if w.begun {
-			events = append(events, Event{Kind: Begun, Number: w.id.Number})
+		events = append(events, pl.placedEvent(now))
+		if pl.streaming {
+			events = append(events, Event{Kind: Begun, Number: pl.id.Number})
 		}
 	}
 	for _, w := range f.waiters {
 		if w.id.Origin == f.settings.Origin {
-			events = append(events, w.waiting(now))
+			events = append(events, w.waitingEvent(now))
 		}
 	}
 	return events
 }
 
-// ForgetOrigin ends the works of an entry that is gone, as far as it is known.
+// ForgetOrigin removes the placements and waiters of an entry that is gone.
 func (f *Fleet) ForgetOrigin(now time.Time, origin uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, w := range f.works {
+	for id, pl := range f.placements {
 		if id.Origin == origin {
-			f.end(now, w)
+			f.removePlacement(now, pl)
 		}
 	}
 	for id := range f.waiters {
 		if id.Origin == origin {
-			f.drop(id)
+			f.removeWaiter(id)
 		}
 	}
 }
--- a/core/dispatch/evidence_test.go
+++ b/core/dispatch/evidence_test.go
@@ -8,57 +8,57 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newsTakes is how long what one entry tells is on its way to the others.
-const newsTakes = 7 * time.Millisecond
+// eventDelay is the time that events and reports take to the other entries.
+const eventDelay = 7 * time.Millisecond
 
-// entries are a deployment's entries that tell each other of their work and of upstreams.
-type entries struct {
-	fleets []*Fleet
-	shares bool
+// cluster is a deployment of entries that exchange events and reports.
+type cluster struct {
+	fleets       []*Fleet
+	shareReports bool
 }
 
-func newEntries(n, engines int) *entries {
-	e := &entries{shares: true}
+func newCluster(n, engines int) *cluster {
+	c := &cluster{shareReports: true}
 	for origin := range n {
 		f := NewFleet(Settings{Rule: Predicted, Origin: uint64(origin + 1)})
 		f.Apply(start, upstreams(engines), true)
-		e.fleets = append(e.fleets, f)
+		c.fleets = append(c.fleets, f)
 	}
-	return e
+	return c
 }
 
-// exchange lets all hear what each has to tell.
-func (e *entries) exchange(now time.Time) {
-	for i, from := range e.fleets {
-		news, reports := from.News(), from.Reports(now)
-		if !e.shares {
+// exchange delivers the pending events and reports of each entry to all others.
+func (c *cluster) exchange(now time.Time) {
+	for i, from := range c.fleets {
+		events, reports := from.News(), from.Reports(now)
+		if !c.shareReports {
 			reports = nil
 		}
-		for j, to := range e.fleets {
+		for j, to := range c.fleets {
 			if i != j {
-				to.Heard(now, from.settings.Origin, news)
+				to.Heard(now, from.settings.Origin, events)
 				to.HeardReports(now, from.settings.Origin, reports)
 			}
 		}
 	}
 }
 
-// refused plays one prompt at one entry that tries again as often as it may, and returns how
-// often it was refused for an engine that leaves, and whether it was read in the end.
-func (e *entries) refused(now time.Time, entry int, request *Request, leaves func(string) bool, tries int) (refusals int, read bool) {
-	f := e.fleets[entry]
+// sendWithRetries sends one prompt through an entry with a limited number of tries. It returns
+// how often a draining engine refused it, and whether it was prefilled in the end.
+func (c *cluster) sendWithRetries(now time.Time, entry int, request *Request, draining func(string) bool, tries int) (refusals int, read bool) {
+	f := c.fleets[entry]
 	for range tries {
 		choice, id, verdict := f.Choose(now, request, spec)
 		if verdict != Place {
 			return refusals, false
 		}
-		at := slices.IndexFunc(choice.Helpers, func(h Helper) bool { return leaves(h.Upstream.ID) })
+		failed := slices.IndexFunc(choice.Helpers, func(h Helper) bool { return draining(h.Upstream.ID) })
 		switch {
-		case leaves(choice.Upstream.ID):
+		case draining(choice.Upstream.ID):
 			f.Ended(now.Add(2*time.Millisecond), id, Misdirected)
-		case at >= 0:
+		case failed >= 0:
 			f.Ended(now.Add(2*time.Millisecond), id, Abandoned)
-			f.AtFault(now.Add(2*time.Millisecond), choice.Helpers[at].Upstream, now)
+			f.AtFault(now.Add(2*time.Millisecond), choice.Helpers[failed].Upstream, now)
 		default:
 			f.Begun(now.Add(20*time.Millisecond), id)
 			f.Ended(now.Add(20*time.Millisecond), id, Served)
@@ -69,40 +69,41 @@
 	return refusals, false
 }
 
-// A quarter of the engines leaves while the registry is away, and long prompts come to all entries.
-func (e *entries) play() (refusals, read int) {
-	leaves := func(id string) bool { return id[len(id)-1]%4 == 0 }
+// run simulates long prompts at all entries while a quarter of the engines drains and the
+// registry is unavailable.
+func (c *cluster) run() (refusals, read int) {
+	draining := func(id string) bool { return id[len(id)-1]%4 == 0 }
 	now := start.Add(time.Second)
 	for n := range 60 {
 		request := heavy(260_000)
-		refused, ok := e.refused(now, n%len(e.fleets), request, leaves, 2)
+		refused, ok := c.sendWithRetries(now, n%len(c.fleets), request, draining, 2)
 		refusals += refused
 		if ok {
 			read++
 		}
-		now = now.Add(newsTakes)
-		e.exchange(now)
+		now = now.Add(eventDelay)
+		c.exchange(now)
 		now = now.Add(60 * time.Millisecond)
 	}
 	return refusals, read
 }
 
-// Symptom: a third of the long prompts is refused for several seconds. Sequence: the registry is
-// away and a quarter of the engines leaves; each entry's sets hold one of them. Cause: what one
-// entry had learned by a refusal, the others learned again by their own.
-func TestEnginesThatLeaveAreLearnedOnce(t *testing.T) {
-	alone := newEntries(20, 60)
-	alone.shares = false
-	refusedAlone, readAlone := alone.play()
-	refusals, read := newEntries(20, 60).play()
-	t.Logf("refusals %d and read %d of 60, each entry alone %d and %d", refusals, read, refusedAlone, readAlone)
-	require.LessOrEqual(t, refusals, 2*15, "each engine that leaves is met once, and once more to confirm it")
+// Guards against every entry discovering draining engines by refusals of its own. The registry
+// is unavailable and a quarter of the engines drains; without shared evidence, a third of the
+// long prompts is refused for several seconds.
+func TestDrainingEnginesAreDiscoveredOnce(t *testing.T) {
+	unshared := newCluster(20, 60)
+	unshared.shareReports = false
+	refusedUnshared, readUnshared := unshared.run()
+	refusals, read := newCluster(20, 60).run()
+	t.Logf("refused %d and prefilled %d of 60, without shared reports %d and %d", refusals, read, refusedUnshared, readUnshared)
+	require.LessOrEqual(t, refusals, 2*15, "each draining engine refuses one prompt, and another one to confirm it")
 	require.GreaterOrEqual(t, read, 48)
-	require.Less(t, refusals*2, refusedAlone)
+	require.Less(t, refusals*2, refusedUnshared)
 }
 
-// A prompt that may go to no further upstream is read by others beside the one that it went to.
-func TestKeptEngineIsTheFirstOfTheSet(t *testing.T) {
+// A request pinned to one upstream is served by it, with others only as helpers.
+func TestPinnedEngineIsPrimaryOfTheSet(t *testing.T) {
 	f := newFleet(8, Predicted)
 	request := heavy(260_000)
 	request.Keep = "u-0003"
@@ -121,8 +122,8 @@
 	require.Equal(t, NoUpstream, verdict)
 }
 
-// A set is asked about only while engines go: a calm day has no more round trips than before.
-func TestSetsAreAskedOnlyWhileEnginesGo(t *testing.T) {
+// Sets are probed only after losses of engines: without losses, no round trips are added.
+func TestSetsAreProbedOnlyAfterLosses(t *testing.T) {
 	f := newFleet(60, Predicted)
 	choice, id := choose(t, f, start, heavy(260_000))
 	require.False(t, choice.Ask)
@@ -132,7 +133,7 @@
 	require.True(t, choice.Ask)
 	f.Ended(start.Add(time.Second), id, Served)
 	choice, _ = choose(t, f, start.Add(time.Second), short())
-	require.False(t, choice.Ask, "one engine tells at once")
+	require.False(t, choice.Ask, "a single engine refuses at once")
 	choice, _ = choose(t, f, start.Add(20*time.Second), heavy(260_000))
 	require.False(t, choice.Ask)
 }
--- a/core/dispatch/fleet.go
+++ b/core/dispatch/fleet.go
@@ -12,15 +12,15 @@
 	"acaciacleat.example/core/evidence"
 )
 
-// Change is news of one upstream.
+// Change is a change of one registration.
 type Change struct {
 	Upstream
-	// Revision rises with each change of the entry; zero where it is not known.
+	// Revision rises with each change of the registration; zero if unknown.
 	Revision uint64
-	// Removed says that the registry no longer lists it.
+	// Removed is set if the registry no longer lists the upstream.
 	Removed bool
-	// Unreadable says that it is listed and the entry could not be decoded: whoever wrote it,
-	// it names no upstream to use.
+	// Unreadable is set if the registration exists but can't be decoded. Whoever wrote it, it
+	// names no usable upstream.
 	Unreadable bool
 }
 
@@ -31,7 +31,7 @@
 const (
 	// LeastOutstanding takes the upstream with the fewest requests; it is the baseline.
 	LeastOutstanding Rule = "least-outstanding"
-	// Predicted weighs what a choice costs in late requests, by the engine model.
+	// Predicted minimises the expected loss from late requests, predicted by the engine model.
 	Predicted Rule = "predicted"
 )
 
@@ -40,90 +40,92 @@
 	Rule Rule
 	// Zone is the entry's availability zone.
 	Zone string
-	// Origin names this entry among those that tell each other of their work.
+	// Origin identifies this entry to the entries with which it exchanges events.
 	Origin uint64
 }
 
-// Fleet knows the upstreams and the work on them. It is safe for concurrent use.
+// Fleet tracks the upstreams and the requests placed on them. It is safe for concurrent use.
 type Fleet struct {
 	settings Settings
 
-	mu       sync.Mutex
-	units    map[string]*unit
-	tags     map[Tag]*unit
-	services map[string][]*unit
-	works    map[WorkID]*work
-	waiters  map[WorkID]*waiter
-	order    []*waiter
-	inTime   []*waiter
-	changed  chan struct{}
-	next     uint64
-	registry registry
-	news     []Event
-	told     chan struct{}
-	search   search
-	evidence *evidence.Book
-	// placements are those of single engines by other entries, and longReading the reading
-	// time in seconds of prompts that take turns, of all entries.
-	placements  decay.Sum
-	longReading decay.Sum
+	mu            sync.Mutex
+	upstreams     map[string]*upstreamState
+	tags          map[Tag]*upstreamState
+	services      map[string][]*upstreamState
+	placements    map[WorkID]*placement
+	waiters       map[WorkID]*waiter
+	byTarget      []*waiter
+	onTime        []*waiter
+	queueChanged  chan struct{}
+	lastNumber    uint64
+	registry      registry
+	pending       []Event
+	pendingSignal chan struct{}
+	search        search
+	evidence      *evidence.Book
+	// remoteSingles counts the requests that other entries placed on a single engine.
+	// prefillDemand sums the prefill time, in seconds, of queueable prompts of all entries.
+	remoteSingles decay.Sum
+	prefillDemand decay.Sum
 }
 
-// unit is an upstream with what is known of it.
-type unit struct {
+// upstreamState is an upstream with its tracked state.
+type upstreamState struct {
 	Upstream
-	// name is that of the incarnation, and revision that of the entry that told of it.
+	// name is the incarnation, and revision is that of its latest registration.
 	name     string
 	revision uint64
 	tag      Tag
-	// order is the unit's place among those of its service by ID: the same at all entries.
-	order int
-	loads []*load
-	// backlog is the reading time ahead of a new request; streams the number of streams
-	// that the unit writes or will write, context the tokens of their prompts, and memory
-	// the tokens that its requests will fill at the most. They are sums over loads.
+	// position is the index among the upstreams of the service, sorted by ID. It is the same at
+	// all entries.
+	position int
+	loads    []*load
+	// backlog is the prefill time ahead of a new request, streams the number of streams that
+	// the upstream decodes or will decode, contextTokens the tokens of their prompts, and
+	// memoryTokens the most tokens that its requests can occupy. They are sums over loads.
 	backlog time.Duration
-	// ahead is the part of backlog that parts of long prompts make up, as of the choice in
-	// hand: a new part is read before it.
-	ahead time.Duration
-	// gap is the least longest good pause of its streams, as of the choice in hand.
-	gap     time.Duration
-	streams int
-	context int
-	memory  int
-	// drained is the time up to which the reading on it was worked off in the model, and busy
-	// the share of the time before that in which it read.
-	drained time.Time
-	busy    float64
-	// health is the evidence against it, of this entry and of others.
+	// partBacklog is the share of backlog from parts of long prompts, computed for the current
+	// choice. A new part is prefilled before it.
+	partBacklog time.Duration
+	// minGapTarget is the least gap target of its streams, computed for the current choice.
+	minGapTarget  time.Duration
+	streams       int
+	contextTokens int
+	memoryTokens  int
+	// modelledUntil is the time up to which the model has advanced the prefill work, and
+	// prefillUtilisation is the share of the time before it that was spent on prefill.
+	modelledUntil      time.Time
+	prefillUtilisation float64
+	// health is the evidence against the upstream from this and other entries.
 	health evidence.Record
-	// full is until when the unit's memory counts as taken.
-	full time.Time
-	// newer is the upstream to which the registry has given its address since; nil for none.
-	newer *unit
-	// lapsing is when the unit is taken out unless the registry lists it again.
-	lapsing time.Time
+	// fullUntil is the time until which its memory counts as full.
+	fullUntil time.Time
+	// supersededBy is the upstream that has registered the same address since; nil for none.
+	supersededBy *upstreamState
+	// lapsesAt is when the upstream is removed unless it is registered again; zero if it isn't
+	// lapsing.
+	lapsesAt time.Time
 }
 
 // NewFleet returns an empty Fleet.
 func NewFleet(settings Settings) *Fleet {
 	f := &Fleet{
-		settings: settings,
-		units:    make(map[string]*unit),
-		services: make(map[string][]*unit),
-		works:    make(map[WorkID]*work),
-		waiters:  make(map[WorkID]*waiter),
-		changed:  make(chan struct{}),
-		told:     make(chan struct{}, 1),
+		settings:      settings,
+		upstreams:     make(map[string]*upstreamState),
+		services:      make(map[string][]*upstreamState),
+		placements:    make(map[WorkID]*placement),
+		waiters:       make(map[WorkID]*waiter),
+		queueChanged:  make(chan struct{}),
+		pendingSignal: make(chan struct{}, 1),
 	}
 	f.search.fleet = f
 	f.search.random = rand.New(rand.NewPCG(settings.Origin, 0))
 	f.evidence = evidence.NewBook(f.search.random)
-	f.search.freed = make([]time.Duration, 0, partCounts[len(partCounts)-1])
+	f.search.freeTimes = make([]time.Duration, 0, partCounts[len(partCounts)-1])
 	return f
 }
 
-// Upstreams returns how many upstreams a service has that take work.
+// Upstreams returns the number of upstreams of a service that take requests.
 func (f *Fleet) Upstreams(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,12 +138,11 @@
 	return n
 }
 
-// Born returns the start of an upstream's life as the registry tells it, in Unix
-// milliseconds; zero where it isn't told.
+// Born returns the registered start time of an upstream in Unix milliseconds; zero if unknown.
 func (f *Fleet) Born(id string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if u := f.units[id]; u != nil {
+	if u := f.upstreams[id]; u != nil {
 		return u.Born
 	}
 	return 0
@@ -151,32 +152,32 @@
 func (f *Fleet) Outstanding() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.works)
+	return len(f.placements)
 }
 
-// Waiting returns the number of requests, of all entries, that wait for their turn.
+// Waiting returns the number of requests of all entries that wait in the queue.
 func (f *Fleet) Waiting() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.waiters)
 }
 
-// fullFor is how long an engine that refused to reserve memory counts as full: about the
-// time in which one of its requests ends.
+// fullFor is how long an engine that refused to reserve memory counts as full: about the time
+// until one of its requests ends.
 const fullFor = time.Second
 
-// Full reports that an engine refused to reserve memory: it holds more than is known here.
+// Full records that an engine refused to reserve memory: it holds more than is tracked here.
 func (f *Fleet) Full(now time.Time, upstream Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if u := f.living(upstream); u != nil {
-		u.full = now.Add(fullFor)
+	if u := f.findIncarnation(upstream); u != nil {
+		u.fullUntil = now.Add(fullFor)
 	}
 }
 
-// living returns the unit of an incarnation, or nil if it has ended.
-func (f *Fleet) living(upstream Upstream) *unit {
-	if u := f.units[upstream.ID]; u != nil && u.name == upstream.Incarnation() {
+// findIncarnation returns the state of an incarnation, or nil if it has ended.
+func (f *Fleet) findIncarnation(upstream Upstream) *upstreamState {
+	if u := f.upstreams[upstream.ID]; u != nil && u.name == upstream.Incarnation() {
 		return u
 	}
 	return nil
@@ -186,27 +187,28 @@
 func (f *Fleet) Lists(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.units[id] != nil
+	return f.upstreams[id] != nil
 }
 
-// Leaves reports whether the registry says that an incarnation takes no more work, or no longer
-// lists it. One that a later life has followed did not leave.
+// Leaves reports whether an incarnation is registered as draining or no longer registered. An
+// incarnation replaced by a later one under the same ID is not draining.
 func (f *Fleet) Leaves(upstream Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u := f.units[upstream.ID]
+	u := f.upstreams[upstream.ID]
 	return u == nil || u.name == upstream.Incarnation() && u.Leaving
 }
 
-// Replaced reports whether the registry has given an incarnation's address to another one since.
+// Replaced reports whether another incarnation has registered the address of the given one
+// since.
 func (f *Fleet) Replaced(upstream Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var revision uint64
-	if u := f.living(upstream); u != nil {
+	if u := f.findIncarnation(upstream); u != nil {
 		revision = u.revision
 	}
-	for _, u := range f.units {
+	for _, u := range f.upstreams {
 		if u.Address == upstream.Address && u.name != upstream.Incarnation() && u.revision > revision && !u.Leaving {
 			return true
 		}
@@ -214,171 +216,173 @@
 	return false
 }
 
-// Apply takes news of upstreams. whole says that they list every upstream there is. It
-// returns the incarnations that have ended because their upstream started again.
-func (f *Fleet) Apply(now time.Time, changes []Change, whole bool) (ended []Upstream) {
+// Apply applies changes of registrations. If whole is set, the changes list every upstream
+// there is. It returns the incarnations that ended because their upstream restarted.
+func (f *Fleet) Apply(now time.Time, changes []Change, complete bool) (ended []Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.registry.answered(now)
+	f.registry.markAvailable(now)
 	listed := make(map[string]bool, len(changes))
 	for _, change := range changes {
 		listed[change.ID] = true
 		switch {
 		case change.Unreadable:
-			// The registry says so itself: there is nothing to doubt.
-			delete(f.units, change.ID)
+			// An unreadable registration is in the registry, so no outage explains it.
+			delete(f.upstreams, change.ID)
 		case change.Removed:
 			f.remove(now, change.ID)
 		default:
-			if last, restarted := f.put(now, change); restarted {
-				ended = append(ended, last)
+			if previous, restarted := f.put(now, change); restarted {
+				ended = append(ended, previous)
 			}
 		}
 	}
-	if whole {
-		for id := range f.units {
+	if complete {
+		for id := range f.upstreams {
 			if !listed[id] {
 				f.remove(now, id)
 			}
 		}
 	}
-	f.expire(now)
-	f.index()
+	f.expireLapsed(now)
+	f.rebuildIndex()
 	return ended
 }
 
-// SourceLost tells that the registry did not answer.
+// SourceLost records that the registry did not answer.
 func (f *Fleet) SourceLost(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.registry.lost(now)
+	f.registry.markUnavailable(now)
 }
 
-// put takes up an entry of the registry. It returns the incarnation that has ended where the
-// upstream has started again under its id.
+// put applies a registration. If the upstream has restarted under its ID, it returns the
+// incarnation that ended.
 //
-// What goes wrong without it: the new life, which holds and knows nothing, counts as loaded
-// with what the earlier one had to read and to write, as full, or as ill; and requests that
-// died with the earlier one wait for their answers.
-func (f *Fleet) put(now time.Time, change Change) (last Upstream, restarted bool) {
+// The new incarnation starts with fresh state. It would otherwise inherit the load, the full
+// memory and the failures of the previous one, and the requests that died with the previous one
+// would wait for their answers.
+func (f *Fleet) put(now time.Time, change Change) (previous Upstream, restarted bool) {
 	upstream := change.Upstream
-	u := f.units[upstream.ID]
+	u := f.upstreams[upstream.ID]
 	switch {
 	case u == nil:
-		u = &unit{}
+		u = &upstreamState{}
 	case change.Revision < u.revision:
-		return last, false // An answer that was under way for long: newer news are in force.
+		return previous, false // A delayed answer; a newer registration is known.
 	case upstream.Born == 0:
-		upstream.Born = u.Born // It doesn't tell; nothing says that it has started again.
+		upstream.Born = u.Born // Without a start time, no restart is assumed.
 	case u.Born != 0 && u.Born != upstream.Born:
-		last, restarted = u.Upstream, true
-		u = &unit{}
+		previous, restarted = u.Upstream, true
+		u = &upstreamState{}
 	}
 	if change.Revision > u.revision && !upstream.Leaving {
 		u.health.Registered(now)
 	}
-	f.units[upstream.ID] = u
+	f.upstreams[upstream.ID] = u
 	u.Upstream, u.revision = upstream, change.Revision
 	u.name = upstream.Incarnation()
 	u.tag = TagOf(u.name)
-	u.lapsing = time.Time{}
-	return last, restarted
+	u.lapsesAt = time.Time{}
+	return previous, restarted
 }
 
-// remove takes a unit out, or lets it lapse where the registry has just been away.
+// remove removes an upstream, or schedules its removal if the registry has just had an outage.
 func (f *Fleet) remove(now time.Time, id string) {
-	u := f.units[id]
+	u := f.upstreams[id]
 	if u == nil {
 		return
 	}
-	if grace := f.registry.grace(now); grace > 0 && !u.Leaving {
-		if u.lapsing.IsZero() {
-			u.lapsing = now.Add(grace)
+	if grace := f.registry.removalGrace(now); grace > 0 && !u.Leaving {
+		if u.lapsesAt.IsZero() {
+			u.lapsesAt = now.Add(grace)
 		}
 		return
 	}
-	delete(f.units, id)
+	delete(f.upstreams, id)
 }
 
-// expire takes out the units whose lapse was not mended.
-func (f *Fleet) expire(now time.Time) {
-	for id, u := range f.units {
-		if !u.lapsing.IsZero() && !now.Before(u.lapsing) {
-			delete(f.units, id)
+// expireLapsed removes the upstreams that were not registered again in time.
+func (f *Fleet) expireLapsed(now time.Time) {
+	for id, u := range f.upstreams {
+		if !u.lapsesAt.IsZero() && !now.Before(u.lapsesAt) {
+			delete(f.upstreams, id)
 		}
 	}
 }
 
-// index rebuilds the lists by service. Lists are replaced, never changed in place.
-func (f *Fleet) index() {
-	f.services = make(map[string][]*unit)
-	f.tags = make(map[Tag]*unit, len(f.units))
-	for _, u := range f.units {
+// rebuildIndex rebuilds the lists by service. Lists are replaced, never changed in place.
+func (f *Fleet) rebuildIndex() {
+	f.services = make(map[string][]*upstreamState)
+	f.tags = make(map[Tag]*upstreamState, len(f.upstreams))
+	for _, u := range f.upstreams {
 		f.tags[u.tag] = u
 		f.services[u.Service] = append(f.services[u.Service], u)
 	}
-	f.findNewer()
+	f.findSuperseded()
 	for _, all := range f.services {
-		slices.SortFunc(all, func(a, b *unit) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(all, func(a, b *upstreamState) int { return cmp.Compare(a.ID, b.ID) })
 		for i, u := range all {
-			u.order = i
+			u.position = i
 		}
 	}
 }
 
-// findNewer finds the upstreams whose address the registry has given to another one since.
-func (f *Fleet) findNewer() {
-	newest := make(map[string]*unit, len(f.units))
-	for _, u := range f.units {
+// findSuperseded finds the upstreams whose address was registered by another one since.
+func (f *Fleet) findSuperseded() {
+	newest := make(map[string]*upstreamState, len(f.upstreams))
+	for _, u := range f.upstreams {
 		if other := newest[u.Address]; other == nil || u.revision > other.revision {
 			newest[u.Address] = u
 		}
 	}
-	for _, u := range f.units {
-		u.newer = nil
+	for _, u := range f.upstreams {
+		u.supersededBy = nil
 		if other := newest[u.Address]; other.revision > u.revision {
-			u.newer = other
+			u.supersededBy = other
 		}
 	}
 }
 
-// superseded tells whether another upstream has the unit's address by now, as far as nobody has
-// found that it hasn't: the entry may be another writer's.
+// superseded reports whether another upstream has registered the same address since. It ignores
+// a newer registration that was proved wrong, which may come from a faulty writer.
 //
-// What goes wrong without it: an upstream starts again under another id, and its earlier entry
-// stays until it lapses. A prompt that both are to read is refused as malformed, since it names one
-// address twice.
-func (u *unit) superseded() bool { return u.newer != nil && !u.newer.health.Proved() }
-
-// candidates returns the units that may take a request: neither leaving nor left by it
-// nor ejected nor superseded. Where none is left, those serve: a doubt must not empty a service.
-func (f *Fleet) candidates(now time.Time, request *Request, into []*unit) []*unit {
+// When an upstream restarts under another ID, its old registration remains until it lapses. A
+// set with both would name one address twice, and engines refuse such a prompt as malformed.
+func (u *upstreamState) superseded() bool {
+	return u.supersededBy != nil && !u.supersededBy.health.Proved()
+}
+
+// candidates returns the upstreams that may take a request: not draining, not excluded by the
+// request or by evidence, and not superseded. If none is left, evidence and superseding are
+// ignored, so that they never leave a service without upstreams.
+func (f *Fleet) candidates(now time.Time, request *Request, result []*upstreamState) []*upstreamState {
 	all := f.services[request.Service]
 	for _, u := range all {
-		if u.open(now, request) && !u.health.Out(now) && !u.superseded() {
-			into = append(into, u)
+		if u.accepts(now, request) && !u.health.Out(now) && !u.superseded() {
+			result = append(result, u)
 		}
 	}
-	if len(into) > 0 {
-		return into
+	if len(result) > 0 {
+		return result
 	}
 	for _, u := range all {
-		if u.open(now, request) {
-			into = append(into, u)
+		if u.accepts(now, request) {
+			result = append(result, u)
 		}
 	}
-	return into
+	return result
 }
 
-// Elsewhere tells whether there is an upstream for a request that leaves those it excludes.
+// Elsewhere reports whether a request has an upstream besides those that it excludes.
 func (f *Fleet) Elsewhere(now time.Time, request *Request) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.ContainsFunc(f.services[request.Service], func(u *unit) bool { return u.open(now, request) })
+	return slices.ContainsFunc(f.services[request.Service], func(u *upstreamState) bool { return u.accepts(now, request) })
 }
 
-func (u *unit) open(now time.Time, request *Request) bool {
-	if u.Leaving || !u.lapsing.IsZero() && !now.Before(u.lapsing) {
+func (u *upstreamState) accepts(now time.Time, request *Request) bool {
+	if u.Leaving || !u.lapsesAt.IsZero() && !now.Before(u.lapsesAt) {
 		return false
 	}
 	return !slices.Contains(request.Exclude, u.name)
@@ -389,19 +393,19 @@
 
 // The verdicts.
 const (
-	// Place requests were placed.
+	// Place means that the request was placed.
 	Place Verdict = iota
 	// NoUpstream means that no upstream takes requests.
 	NoUpstream
-	// TooBusy means that the request would take more from others than it is worth: refuse
-	// it at once and let it come back.
+	// TooBusy means that the request would cost others more than it is worth. The caller should
+	// retry later.
 	TooBusy
-	// Hold means that the engines are better used by what is placed already: ask again at
-	// the request's turn, under the id that was returned.
+	// Hold means that the request waits in the queue: call Choose again, under the returned ID,
+	// when the Turn says so.
 	Hold
 )
 
-// Choose decides where a request goes and books it there.
+// Choose decides where a request goes and records the placement.
 func (f *Fleet) Choose(now time.Time, request *Request, spec *enginemodel.Spec) (choice Choice, id WorkID, verdict Verdict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -412,63 +416,63 @@
 		return Choice{}, WorkID{}, NoUpstream
 	case p.refused:
 		f.withdraw(request.Turn)
-		return Choice{Why: p.why}, WorkID{}, TooBusy
-	case p.hold > 0:
-		id := f.hold(now, request)
-		return Choice{Turn: f.turn(p), Why: p.why}, id, Hold
+		return Choice{Why: p.rationale}, WorkID{}, TooBusy
+	case p.retryAfter > 0:
+		id := f.enqueue(now, request)
+		return Choice{Turn: f.retryFor(p), Why: p.rationale}, id, Hold
 	}
-	p.why.Candidates = len(f.search.units)
-	p.why.Backlog = p.first.backlog
-	p.why.Streams = p.first.streams
-	p.why.Memory = p.first.memory
-	p.why.AgainstProof = p.first.health.AgainstProof(now) || slices.ContainsFunc(p.helpers, func(u *unit) bool {
+	p.rationale.Candidates = len(f.search.candidates)
+	p.rationale.Backlog = p.primary.backlog
+	p.rationale.Streams = p.primary.streams
+	p.rationale.Memory = p.primary.memoryTokens
+	p.rationale.AgainstProof = p.primary.health.AgainstProof(now) || slices.ContainsFunc(p.helpers, func(u *upstreamState) bool {
 		return u.health.AgainstProof(now)
 	})
-	w := f.book(now, request, p)
-	choice = p.choice(w.id)
-	choice.Ask = f.chanceGone(now, &p) > askFrom
-	return choice, w.id, Place
+	pl := f.commit(now, request, p)
+	choice = p.choice(pl.id)
+	choice.Ask = f.lossProbability(now, &p) > probeThreshold
+	return choice, pl.id, Place
 }
 
-// plan decides without booking. Its slices are valid until the next call.
+// plan decides without recording the placement. Its slices are valid until the next call.
 func (f *Fleet) plan(now time.Time, request *Request, spec *enginemodel.Spec) (plan, bool) {
-	f.search.units = f.candidates(now, request, f.search.units[:0])
-	units := f.search.units
-	f.search.keep = nil
+	f.search.candidates = f.candidates(now, request, f.search.candidates[:0])
+	candidates := f.search.candidates
+	f.search.pinned = nil
 	if request.Keep != "" {
-		i := slices.IndexFunc(units, func(u *unit) bool { return u.name == request.Keep })
+		i := slices.IndexFunc(candidates, func(u *upstreamState) bool { return u.name == request.Keep })
 		if i < 0 {
 			return plan{}, false
 		}
-		f.search.keep = units[i]
+		f.search.pinned = candidates[i]
 	}
 	switch {
-	case len(units) == 0:
+	case len(candidates) == 0:
 		return plan{}, false
-	case f.search.keep != nil && spec == nil:
-		return plan{first: f.search.keep}, true
+	case f.search.pinned != nil && spec == nil:
+		return plan{primary: f.search.pinned}, true
 	case spec == nil || f.settings.Rule == LeastOutstanding:
-		return plan{first: f.leastOutstanding(now, units)}, true
+		return plan{primary: f.leastOutstanding(now, candidates)}, true
 	default:
 		return f.search.predicted(now, request, spec), true
 	}
 }
 
-// leastOutstanding returns the unit with the least requests for its slots, in the entry's
-// own zone where several are alike.
+// leastOutstanding returns the upstream with the fewest requests per slot. Upstreams in the
+// entry's own zone are preferred among equals.
 //
-// Each entry looks at the units from another one on. What goes wrong where all begin with
-// the same: of units that are alike all entries take the first, before they can hear of each
-// other, and it refuses for lack of slots while the others are idle.
-func (f *Fleet) leastOutstanding(now time.Time, units []*unit) *unit {
-	var best *unit
+// Each entry starts its search at a different upstream. If all started at the same one, they
+// would all choose it among equal upstreams before they hear of each other, and it would refuse
+// for lack of slots while others are idle.
+func (f *Fleet) leastOutstanding(now time.Time, candidates []*upstreamState) *upstreamState {
+	var best *upstreamState
 	var least float64
-	from := int(f.settings.Origin % uint64(len(units)))
-	for i := range units {
-		u := units[(from+i)%len(units)]
+	start := int(f.settings.Origin % uint64(len(candidates)))
+	for i := range candidates {
+		u := candidates[(start+i)%len(candidates)]
 		value := float64(len(u.loads)+1) / float64(max(u.Slots, 1))
 		if u.Zone != f.settings.Zone {
-			value += sameLoad
+			value += zonePenalty
 		}
 		value += u.health.Doubt(now)
 		if best == nil || value < least {
@@ -478,5 +482,5 @@
 	return best
 }
 
-// sameLoad is the difference of load, as a share of slots, that the own zone is worth.
-const sameLoad = 0.05
+// zonePenalty is added to the load of upstreams in other zones, as a share of slots.
+const zonePenalty = 0.05
--- a/core/dispatch/fleet_test.go
+++ b/core/dispatch/fleet_test.go
@@ -12,7 +12,7 @@
 // start is the time at which tests begin.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// spec has the published figures of a usual engine.
+// spec has the published figures of a typical engine.
 var spec = &enginemodel.Spec{
 	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond,
 	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, ReadRate: 154_000,
@@ -50,10 +50,9 @@
 	return choice, id
 }
 
-// Symptom: a plain upstream refuses for lack of slots while the others are idle. Sequence:
-// many entries get a request each in the same moment. Cause: all of them took the first of
-// several that were alike.
-func TestEntriesSpreadOverUpstreamsThatAreAlike(t *testing.T) {
+// Guards against a plain upstream refusing for lack of slots while others are idle. Many
+// entries choose at the same time; they must not all take the first of several equal upstreams.
+func TestEntriesSpreadOverEqualUpstreams(t *testing.T) {
 	seen := map[string]int{}
 	for origin := range uint64(60) {
 		f := NewFleet(Settings{Rule: Predicted, Origin: origin + 1})
@@ -65,7 +64,7 @@
 	require.Equal(t, map[string]int{"u-0000": 20, "u-0001": 20, "u-0002": 20}, seen)
 }
 
-func TestElsewhereIsWhoIsNeitherLeftNorLeaving(t *testing.T) {
+func TestAlternativeIsNeitherExcludedNorDraining(t *testing.T) {
 	f := newFleet(2, Predicted)
 	request := short()
 	request.Exclude = []string{"u-0000"}
@@ -86,7 +85,7 @@
 	require.Equal(t, map[string]int{"u-0000": 2, "u-0001": 2, "u-0002": 2}, seen)
 }
 
-func TestLeavingAndExcludedGetNothing(t *testing.T) {
+func TestDrainingAndExcludedUpstreamsGetNoRequests(t *testing.T) {
 	f := newFleet(3, Predicted)
 	gone := upstreams(3)[:1]
 	gone[0].Leaving = true
@@ -103,28 +102,27 @@
 	require.Equal(t, NoUpstream, verdict)
 }
 
-// Symptom: short streams pause for half a second. Sequence: a stream is written; a long
-// prompt arrives. Cause: the prompt was read by the engine that writes the stream while
-// others were idle.
-func TestLongPromptsKeepOffShortStreams(t *testing.T) {
+// Guards against pauses of half a second in short streams: a long prompt must not be prefilled
+// on an engine that decodes a short stream while others are idle.
+func TestLongPromptsAvoidEnginesWithShortStreams(t *testing.T) {
 	f := newFleet(8, Predicted)
-	writing, id := choose(t, f, start, short())
+	decoding, id := choose(t, f, start, short())
 	f.Begun(start.Add(50*time.Millisecond), id)
 	now := start.Add(60 * time.Millisecond)
 	choice, _ := choose(t, f, now, heavy(180_000))
-	require.NotEmpty(t, choice.Helpers, "one engine alone would miss the aim")
-	require.NotEqual(t, writing.Upstream.ID, choice.Upstream.ID)
+	require.NotEmpty(t, choice.Helpers, "a single engine would miss the target")
+	require.NotEqual(t, decoding.Upstream.ID, choice.Upstream.ID)
 	for _, helper := range choice.Helpers {
-		require.NotEqual(t, writing.Upstream.ID, helper.Upstream.ID)
+		require.NotEqual(t, decoding.Upstream.ID, helper.Upstream.ID)
 	}
 	next, _ := choose(t, f, now, short())
 	for _, busy := range append(choice.Helpers, Helper{Upstream: choice.Upstream}) {
-		require.NotEqual(t, busy.Upstream.ID, next.Upstream.ID, "it would wait for a part of the long prompt")
+		require.NotEqual(t, busy.Upstream.ID, next.Upstream.ID, "it would wait behind a part of the long prompt")
 	}
 }
 
-// Symptom: first events of short streams are late although engines are idle. Sequence: a
-// burst of short prompts. Cause: they were placed on too few engines.
+// Guards against late first events of short streams: a burst of short prompts must spread over
+// enough engines.
 func TestBurstOfShortPromptsStaysInTime(t *testing.T) {
 	f := newFleet(8, Predicted)
 	perEngine := map[string]int{}
@@ -138,9 +136,9 @@
 	}
 }
 
-// Symptom: every entry sends to the same engine at once. Sequence: one entry places work
-// and tells another. Cause: the other's choice did not count it.
-func TestHeardWorkCountsLikeOwn(t *testing.T) {
+// Guards against all entries choosing the same engine at once: a placement reported by another
+// entry must count like a local one.
+func TestRemotePlacementsCountLikeLocalOnes(t *testing.T) {
 	a, b := newFleet(2, Predicted), NewFleet(Settings{Rule: Predicted, Origin: 2})
 	b.Apply(start, upstreams(2), true)
 	choice, id := choose(t, a, start, heavy(40_000))
@@ -153,10 +151,10 @@
 	a.Begun(start, id)
 	a.Ended(start, id, Served)
 	b.Heard(start, 1, a.News())
-	require.Equal(t, 1, b.Outstanding(), "only its own work is left")
+	require.Equal(t, 1, b.Outstanding(), "only its own placement is left")
 }
 
-func TestCurrentBringsANewcomerUpToDate(t *testing.T) {
+func TestSnapshotInitialisesNewEntry(t *testing.T) {
 	a, b := newFleet(4, Predicted), NewFleet(Settings{Rule: Predicted, Origin: 2})
 	b.Apply(start, upstreams(4), true)
 	_, id := choose(t, a, start, heavy(180_000))
@@ -165,41 +163,40 @@
 	b.Heard(start, 1, a.Current(start))
 	require.Equal(t, 2, b.Outstanding())
 	b.Heard(start, 1, a.Current(start))
-	require.Equal(t, 2, b.Outstanding(), "what is known already is not counted twice")
+	require.Equal(t, 2, b.Outstanding(), "known placements are not counted twice")
 	b.ForgetOrigin(start, 1)
 	require.Zero(t, b.Outstanding())
 }
 
-// Symptom: an upstream looks busy for ever. Sequence: the entry that placed work there
-// dies. Cause: nobody tells the end of that work.
-func TestWorkIsForgottenAfterItsDeadline(t *testing.T) {
+// Guards against an upstream that looks busy for ever after the entry that placed requests
+// there has died without reporting their end.
+func TestPlacementsExpireAfterTheirDeadline(t *testing.T) {
 	f := newFleet(2, Predicted)
 	choose(t, f, start, short())
 	f.Forget(start.Add(10 * time.Second))
 	require.Equal(t, 1, f.Outstanding())
-	f.Forget(start.Add(10*time.Second + 2*forgetSlack))
+	f.Forget(start.Add(10*time.Second + 2*expiryMargin))
 	require.Zero(t, f.Outstanding())
 }
 
-// Symptom: all requests are refused when the registry comes back. Sequence: it is away;
-// registrations lapse; it answers and lists nothing; living upstreams register again two
-// seconds later. Cause: the empty list was believed at once.
-func TestLapsedRegistrationsAreDoubtedAtTheRegistrysReturn(t *testing.T) {
+// Guards against refusing all requests after a registry outage. Registrations lapse during the
+// outage, the registry then lists nothing, and live upstreams register again two seconds later;
+// the empty list must not take effect at once.
+func TestLapsedRegistrationsStayInUseAfterRegistryOutage(t *testing.T) {
 	f := newFleet(2, Predicted)
 	f.SourceLost(start)
 	back := start.Add(5 * time.Second)
 	f.Apply(back, nil, true)
 	require.Equal(t, 2, f.Upstreams("model"))
 	f.Apply(back.Add(time.Second), upstreams(2)[:1], false)
-	f.Forget(back.Add(returnGrace + time.Millisecond))
-	require.Equal(t, 1, f.Upstreams("model"), "one is back, the other is gone")
+	f.Forget(back.Add(recoveryGrace + time.Millisecond))
+	require.Equal(t, 1, f.Upstreams("model"), "one is registered again, the other is removed")
 }
 
-// Symptom: an upstream gets a request two seconds after it had begun to leave. Sequence: a
-// poll of the registry fails; as the next one answers, an upstream leaves that tells so only
-// by the removal of its entry. Cause: the removal was doubted for longer than requests may
-// follow it.
-func TestRemovalAtTheRegistrysReturnIsBelievedInTime(t *testing.T) {
+// Guards against sending a request to an upstream two seconds after it began to shut down. A
+// poll of the registry fails, and at the next answer an upstream is removed, which is the only
+// sign of its shutdown; the removal must take effect in time.
+func TestRemovalAfterRegistryOutageTakesEffectInTime(t *testing.T) {
 	const bound = 2 * time.Second
 	f := newFleet(2, Predicted)
 	f.SourceLost(start)
@@ -212,7 +209,7 @@
 	}
 }
 
-func TestRemovalIsBelievedWhileTheRegistryAnswers(t *testing.T) {
+func TestRemovalTakesEffectAtOnceWhileRegistryAnswers(t *testing.T) {
 	f := newFleet(2, Predicted)
 	gone := upstreams(2)[:1]
 	gone[0].Removed = true
@@ -220,37 +217,36 @@
 	require.Equal(t, 1, f.Upstreams("model"))
 }
 
-// Symptom: requests go where no upstream is. Sequence: another writer leaves an entry under
-// the id of an upstream in use, or one of its own. Cause: what was known of it stayed.
-func TestUnreadableRegistrationNamesNoUpstream(t *testing.T) {
-	for name, whole := range map[string]bool{"a change": false, "the whole list": true} {
+// Guards against sending requests to an address where no upstream is. Another writer overwrites
+// the registration of an upstream in use, or adds an unreadable one.
+func TestUnreadableRegistrationRemovesUpstream(t *testing.T) {
+	for name, complete := range map[string]bool{"a change": false, "the complete list": true} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(2, Predicted)
 			changes := upstreams(2)
 			changes[1] = Change{Upstream: Upstream{ID: "u-0001"}, Unreadable: true}
 			changes = append(changes, Change{Upstream: Upstream{ID: "foreign"}, Unreadable: true})
 			f.SourceLost(start)
-			f.Apply(start, changes, whole)
-			require.Equal(t, 1, f.Upstreams("model"), "also at the registry's return; the others hold")
+			f.Apply(start, changes, complete)
+			require.Equal(t, 1, f.Upstreams("model"), "removed even after an outage; the other stays")
 			choice, _ := choose(t, f, start, short())
 			require.Equal(t, "u-0000", choice.Upstream.ID)
 			f.Apply(start, upstreams(2), false)
-			require.Equal(t, 2, f.Upstreams("model"), "its own entry is back")
+			require.Equal(t, 2, f.Upstreams("model"), "its own registration is back")
 		})
 	}
 }
 
-// Symptom: a share of all requests fails although most upstreams are well. Sequence: one
-// upstream fails its requests while its health check is good. Cause: nobody believed the
-// failures.
-func TestFailingUpstreamIsLeftAloneAndFoundAgain(t *testing.T) {
+// Guards against losing a share of all requests to one upstream that fails its requests while
+// its health check passes.
+func TestFailingUpstreamIsExcludedAndReadmitted(t *testing.T) {
 	f := newFleet(3, LeastOutstanding)
 	choice, id := choose(t, f, start, short())
-	ill := choice.Upstream.ID
+	failing := choice.Upstream.ID
 	f.Ended(start, id, Failed)
 	for range 30 {
 		choice, id = choose(t, f, start, short())
-		require.NotEqual(t, ill, choice.Upstream.ID)
+		require.NotEqual(t, failing, choice.Upstream.ID)
 		f.Ended(start, id, Served)
 	}
 	later := start.Add(7 * time.Second)
@@ -259,12 +255,12 @@
 		choice, _ = choose(t, f, later, short())
 		seen[choice.Upstream.ID] = true
 	}
-	require.True(t, seen[ill], "it gets requests again")
+	require.True(t, seen[failing], "it gets requests again")
 }
 
-// Symptom: a service has no upstream left although some would serve. Sequence: all fail
-// once. Cause: every one was ejected.
-func TestDoubtNeverEmptiesAService(t *testing.T) {
+// Guards against a service without upstreams after each of them has failed once: if all are
+// excluded, all are used.
+func TestExclusionsNeverEmptyAService(t *testing.T) {
 	f := newFleet(2, Predicted)
 	for range 10 {
 		_, id := choose(t, f, start, short())
@@ -272,7 +268,7 @@
 	}
 }
 
-// The figures before this rule existed are those of the baseline, least-outstanding.
+// BenchmarkChoose compares the predicted rule with the baseline, least-outstanding.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{18, 1200} {
 		for _, rule := range []Rule{LeastOutstanding, Predicted} {
--- a/core/dispatch/memory_test.go
+++ b/core/dispatch/memory_test.go
@@ -7,50 +7,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: the longest prompts are never served. Sequence: a prompt of 900,000 tokens
-// comes to engines that hold 405,000 each. Cause: no engine's memory was reserved for what
-// the first one can't hold.
-func TestPromptBeyondOneEnginesMemoryGetsTickets(t *testing.T) {
+// Guards against never serving the longest prompts: for a prompt of 900,000 tokens at engines
+// that hold 405,000 each, memory must be reserved for what the primary can't hold.
+func TestPromptBeyondOneEnginesMemoryReservesAtOthers(t *testing.T) {
 	f := newFleet(14, Predicted)
 	choice, id := choose(t, f, start, heavy(900_000))
 	require.True(t, choice.Tickets())
-	held := 0
+	reserved := 0
 	names := map[string]bool{}
 	for _, helper := range choice.Helpers {
-		held += helper.Tokens
+		reserved += helper.Tokens
 		require.Equal(t, helper.Tokens > 0, helper.Ticket != "")
 		require.LessOrEqual(t, helper.Tokens, spec.MemoryTokens)
 		if helper.Ticket != "" {
 			names[helper.Ticket] = true
 		}
 	}
-	require.GreaterOrEqual(t, held+spec.MemoryTokens, 900_650)
-	require.Len(t, names, 1, "one name, at several engines")
+	require.GreaterOrEqual(t, reserved+spec.MemoryTokens, 900_650)
+	require.Len(t, names, 1, "the same name at all engines")
 
-	// What is held is not given to the next one.
+	// Reserved memory is not given to the next request.
 	f.Begun(start, id)
 	for _, u := range f.services["model"] {
-		require.LessOrEqual(t, u.memory, spec.MemoryTokens, u.ID)
+		require.LessOrEqual(t, u.memoryTokens, spec.MemoryTokens, u.ID)
 	}
 	f.Ended(start, id, Served)
 	for _, u := range f.services["model"] {
-		require.Zero(t, u.memory, u.ID)
+		require.Zero(t, u.memoryTokens, u.ID)
 		require.Zero(t, u.backlog, u.ID)
-		require.Zero(t, u.context, u.ID)
+		require.Zero(t, u.contextTokens, u.ID)
 	}
 }
 
-func TestSmallPromptsNeedNoTickets(t *testing.T) {
+func TestPromptsThatFitNeedNoReservations(t *testing.T) {
 	f := newFleet(14, Predicted)
 	choice, _ := choose(t, f, start, heavy(180_000))
 	require.NotEmpty(t, choice.Helpers)
 	require.False(t, choice.Tickets())
 }
 
-// Symptom: a prompt is refused its memory again and again at the same engine. Sequence: an
-// engine refuses an order; the request is placed anew. Cause: what the engine holds beyond
-// what is known here was forgotten at once.
-func TestEngineThatRefusedMemoryIsLeftOut(t *testing.T) {
+// Guards against repeated refusals of a reservation by the same engine: an engine that refused
+// one counts as full for a while, because it holds more than is tracked here.
+func TestNoReservationAtEngineThatRefusedMemory(t *testing.T) {
 	f := newFleet(4, Predicted)
 	f.Full(start, Upstream{ID: "u-0001"})
 	choice, id := choose(t, f, start, heavy(700_000))
@@ -62,15 +60,14 @@
 	f.Ended(start, id, Served)
 }
 
-// Symptom: engines are full although nobody reads there. Sequence: a prompt that needs the
-// memory of several is placed; the one that is to write has no slot. Cause: memory was reserved
-// at the others while the prompt waited in its queue.
-func TestMemoryIsNotReservedForAQueue(t *testing.T) {
+// Guards against engines that are full but idle: no memory is reserved at helpers while the
+// prompt would wait for a slot of the primary.
+func TestNoReservationWhilePrimaryHasNoSlot(t *testing.T) {
 	f := newFleet(4, Predicted)
 	for _, u := range f.services["model"] {
 		for range spec.Slots {
-			f.next++
-			f.place(start, &work{id: WorkID{Origin: 1, Number: f.next}, prompt: 500, gapAim: time.Second, begun: true}, plan{first: u})
+			f.lastNumber++
+			f.place(start, &placement{id: WorkID{Origin: 1, Number: f.lastNumber}, promptTokens: 500, gapTarget: time.Second, streaming: true}, plan{primary: u})
 		}
 	}
 	request := heavy(600_000)
@@ -79,10 +76,10 @@
 	require.False(t, verdict == Place && choice.Tickets())
 }
 
-// Symptom: all long prompts are refused by engines that are idle. Sequence: an engine that
-// was to read a part is gone, and the registry does not tell. Cause: the engine that said so
-// was taken for full, and the next set had the same part at the same one.
-func TestEngineAtFaultIsInNoFurtherSet(t *testing.T) {
+// Guards against refusing all long prompts while engines are idle. A helper is gone and the
+// registry still lists it; the engine that reports the failure must not count as full, and the
+// next set must not include the same helper.
+func TestFaultyHelperIsExcludedFromLaterSets(t *testing.T) {
 	f := newFleet(4, Predicted)
 	gone := upstreams(4)[2]
 	gone.Address = "10.0.0.3:80"
@@ -99,9 +96,8 @@
 	}
 }
 
-// Symptom: in a burst, all requests are late. Sequence: engines have a second to read each;
-// a prompt of 900,000 tokens comes. Cause: it was taken although its 70 s of reading are
-// worth more to the others.
+// Guards against late requests in a burst. Engines have a second of backlog each when a prompt
+// of 900,000 tokens arrives; its 70 s of prefill are worth more to the other requests.
 func TestLongestPromptsAreRefusedFirstUnderLoad(t *testing.T) {
 	f := newFleet(14, Predicted)
 	for range 14 {
@@ -114,15 +110,15 @@
 	committed := heavy(900_000)
 	committed.Committed = true
 	_, _, verdict = f.Choose(start, committed, spec)
-	require.Equal(t, Place, verdict, "what was begun is not given up for its price")
+	require.Equal(t, Place, verdict, "a committed request is not refused for its cost")
 	idle := newFleet(14, Predicted)
 	_, _, verdict = idle.Choose(start, heavy(900_000), spec)
 	require.Equal(t, Place, verdict, "no refusal while engines are free")
 }
 
-// Whatever happens to work in whatever order, the sums on units are those of their loads,
-// and nothing is left when all has ended.
-func TestSumsFollowTheLoads(t *testing.T) {
+// Whatever the order of placements, first events and ends, the sums of each upstream match its
+// loads, and nothing is left when all requests have ended.
+func TestUpstreamSumsMatchLoads(t *testing.T) {
 	f := newFleet(6, Predicted)
 	var ids []WorkID
 	now := start
@@ -148,24 +144,24 @@
 		f.Ended(now, id, Served)
 	}
 	checkSums(t, f)
-	for _, u := range f.units {
+	for _, u := range f.upstreams {
 		require.Empty(t, u.loads)
 	}
 }
 
 func checkSums(t *testing.T, f *Fleet) {
 	t.Helper()
-	for _, u := range f.units {
+	for _, u := range f.upstreams {
 		var backlog time.Duration
 		streams, context, memory := 0, 0, 0
 		for _, l := range u.loads {
-			backlog += l.left
-			memory += l.memory
+			backlog += l.remaining
+			memory += l.memoryTokens
 			if !l.helper {
 				streams++
-				context += l.work.prompt
+				context += l.placement.promptTokens
 			}
 		}
-		require.Equal(t, []any{backlog, streams, context, memory}, []any{u.backlog, u.streams, u.context, u.memory}, u.ID)
+		require.Equal(t, []any{backlog, streams, context, memory}, []any{u.backlog, u.streams, u.contextTokens, u.memoryTokens}, u.ID)
 	}
 }
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -14,147 +14,148 @@
 const (
 	// Served requests were answered.
 	Served Outcome = iota
-	// Shed requests were refused for lack of room, with proof that they did not run.
+	// Shed requests were refused for lack of capacity, with proof that they did not run.
 	Shed
-	// Failed requests were answered wrongly, or with a failure of the upstream's own.
+	// Failed requests got a wrong answer or an internal error of the upstream.
 	Failed
-	// Abandoned requests were given up for reasons that say nothing of the upstream.
+	// Abandoned requests were given up for reasons unrelated to the upstream.
 	Abandoned
-	// Lost requests got no answer, or one that broke off.
+	// Lost requests got no answer or an incomplete one.
 	Lost
-	// Unreached requests found nobody at the upstream's address.
+	// Unreached requests found nothing listening at the upstream's address.
 	Unreached
-	// Misdirected requests found another incarnation at the upstream's address.
+	// Misdirected requests reached another incarnation at the upstream's address.
 	Misdirected
 )
 
-// shedPause keeps off an upstream that has no room, for about the time that a place
-// needs to come free.
+// shedPause is how long an upstream without capacity gets no requests: about the time until a
+// slot is free.
 const shedPause = 60 * time.Millisecond
 
-// record takes the outcome of a request that was placed on a unit at asked. Health checks can
-// lie either way, to all or to some, and cost a place; outcomes are what callers see.
-func (f *Fleet) record(now time.Time, u *unit, outcome Outcome, asked time.Time) {
+// recordOutcome records the outcome of a request that was sent at asked. Outcomes are what
+// callers see; health checks can be wrong either way, for all callers or for some, and take a
+// slot.
+func (f *Fleet) recordOutcome(now time.Time, u *upstreamState, outcome Outcome, sentAt time.Time) {
 	switch outcome {
 	case Served:
-		f.seen(now, u, evidence.Answered, asked)
+		f.recordEvidence(now, u, evidence.Answered, sentAt)
 	case Shed:
 		u.health.Pause(now, shedPause)
 	case Failed:
-		f.seen(now, u, evidence.Erred, asked)
+		f.recordEvidence(now, u, evidence.Erred, sentAt)
 	case Lost:
-		f.seen(now, u, evidence.Silent, asked)
+		f.recordEvidence(now, u, evidence.Silent, sentAt)
 	case Unreached:
-		f.seen(now, u, evidence.Absent, asked)
+		f.recordEvidence(now, u, evidence.Absent, sentAt)
 	case Misdirected:
-		f.seen(now, u, evidence.Replaced, asked)
+		f.recordEvidence(now, u, evidence.Replaced, sentAt)
 	}
 }
 
-// Observe takes what a call beside those of requests says of an upstream that was asked at the
-// given time.
-func (f *Fleet) Observe(now time.Time, upstream Upstream, outcome Outcome, asked time.Time) {
+// Observe records the outcome of a call other than a request to an upstream, sent at asked.
+func (f *Fleet) Observe(now time.Time, upstream Upstream, outcome Outcome, sentAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if u := f.living(upstream); u != nil {
-		f.record(now, u, outcome, asked)
+	if u := f.findIncarnation(upstream); u != nil {
+		f.recordOutcome(now, u, outcome, sentAt)
 	}
 }
 
-// seen takes evidence of this entry's own and wakes who tells the others.
-func (f *Fleet) seen(now time.Time, u *unit, kind evidence.Kind, asked time.Time) {
-	f.evidence.Seen(now, u.subject(), &u.health, kind, asked)
+// recordEvidence records this entry's own evidence and signals that there is a report to send.
+func (f *Fleet) recordEvidence(now time.Time, u *upstreamState, kind evidence.Kind, sentAt time.Time) {
+	f.evidence.Seen(now, u.subject(), &u.health, kind, sentAt)
 	if f.evidence.Pending() {
-		f.wakeTeller()
+		f.signalPending()
 	}
 }
 
-func (u *unit) subject() evidence.Subject {
+func (u *upstreamState) subject() evidence.Subject {
 	return evidence.Subject{Tag: uint32(u.tag), Name: u.name}
 }
 
-// AtFault reports that an upstream made another one refuse a prompt that both were to read, after
-// it was asked at the given time. What a life that has ended is at fault for says nothing of the
-// next.
+// AtFault records that an upstream made another one refuse a prompt that both were to prefill,
+// sent at asked. A fault of an ended incarnation does not count against the next.
 //
-// What goes wrong without it: the one that refused is taken for full, and every further set
-// has the one at fault again, until the registry tells that it is gone. While the registry
-// is away, that is as long as it stays away.
-func (f *Fleet) AtFault(now time.Time, upstream Upstream, asked time.Time) {
+// Without it, the engine that refused would count as full, and every further set would include
+// the faulty one again until the registry removes it, which during a registry outage does not
+// happen.
+func (f *Fleet) AtFault(now time.Time, upstream Upstream, sentAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if u := f.living(upstream); u != nil {
-		f.seen(now, u, u.fault(now, asked), asked)
+	if u := f.findIncarnation(upstream); u != nil {
+		f.recordEvidence(now, u, u.faultKind(now, sentAt), sentAt)
 	}
 }
 
-// refusesWithin is the time within which an engine says that another one won't read a part. What
-// takes longer is an engine that waits for one that is silent, to it at least.
-const refusesWithin = 500 * time.Millisecond
+// fastRefusal is the time within which an engine reports that a helper refuses a part. A slower
+// refusal means that the engine was waiting for a helper that did not answer, at least not to
+// this engine.
+const fastRefusal = 500 * time.Millisecond
 
-// fault is what it says of an engine if it doesn't read its part: it is gone or leaves, where it
-// answered so at once and has places for parts.
-func (u *unit) fault(now, asked time.Time) evidence.Kind {
-	helps := 0
+// faultKind returns the evidence against a helper that did not prefill its part: it is gone or
+// draining if it refused at once while it had capacity for parts.
+func (u *upstreamState) faultKind(now, sentAt time.Time) evidence.Kind {
+	parts := 0
 	for _, l := range u.loads {
-		if l.helper && !l.work.begun {
-			helps++
+		if l.helper && !l.placement.streaming {
+			parts++
 		}
 	}
-	if now.Sub(asked) < refusesWithin && helps < u.Slots {
+	if now.Sub(sentAt) < fastRefusal && parts < u.Slots {
 		return evidence.Leaving
 	}
 	return evidence.Silent
 }
 
-// askFrom is the chance that one of a set is gone from which it is worth a round trip to ask.
-const askFrom = 0.05
+// probeThreshold is the probability that a member of a set is down from which a probe is worth
+// its round trip.
+const probeThreshold = 0.05
 
-// chanceGone returns the chance that one of a plan's engines has gone and nobody knows it yet:
-// engines that go together are found one after the other.
-func (f *Fleet) chanceGone(now time.Time, p *plan) float64 {
+// lossProbability returns the probability that one of a plan's engines is down without anyone
+// knowing it yet. Engines that go down together are found one after the other.
+func (f *Fleet) lossProbability(now time.Time, p *plan) float64 {
 	if len(p.helpers) == 0 {
 		return 0
 	}
-	known := len(f.services[p.first.Service])
+	known := len(f.services[p.primary.Service])
 	each := min(f.evidence.Losses(now)/float64(known), 1)
 	return 1 - math.Pow(1-each, float64(len(p.helpers)))
 }
 
-// Reports returns what other entries are to be told of upstreams since the last call.
+// Reports returns the reports for other entries since the last call.
 func (f *Fleet) Reports(now time.Time) []evidence.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.evidence.Reports(now)
 }
 
-// HeardReports takes what the entry with the given origin tells of upstreams.
+// HeardReports applies the reports of the entry with the given origin.
 func (f *Fleet) HeardReports(now time.Time, origin uint64, reports []evidence.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, told := range f.evidence.Check(reports) {
-		u := f.tags[Tag(told.Tag)]
+	for _, report := range f.evidence.Check(reports) {
+		u := f.tags[Tag(report.Tag)]
 		if u == nil {
 			f.evidence.Drop(evidence.Unknown, 1)
 			continue
 		}
-		f.evidence.Heard(now, origin, u.subject(), &u.health, told, len(f.services[u.Service]))
+		f.evidence.Heard(now, origin, u.subject(), &u.health, report, len(f.services[u.Service]))
 	}
 }
 
-// Verdicts returns which upstreams were left out or taken back since the last call.
+// Verdicts returns the exclusions and readmissions since the last call.
 func (f *Fleet) Verdicts() []evidence.Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.evidence.Verdicts()
 }
 
-// LeftOut returns the number of upstreams that are left out for what is held against them.
+// LeftOut returns the number of upstreams that are excluded by evidence.
 func (f *Fleet) LeftOut(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
-	for _, u := range f.units {
+	for _, u := range f.upstreams {
 		if u.health.Out(now) {
 			n++
 		}
@@ -162,9 +163,9 @@
 	return n
 }
 
-// DroppedReports returns how many reports of other entries were not taken up for a reason.
-func (f *Fleet) DroppedReports(why evidence.Dropped) uint64 {
+// DroppedReports returns how many reports of other entries were dropped for a reason.
+func (f *Fleet) DroppedReports(reason evidence.Dropped) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.evidence.Dropped(why)
+	return f.evidence.Dropped(reason)
 }
--- a/core/dispatch/predicted.go
+++ b/core/dispatch/predicted.go
@@ -9,296 +9,304 @@
 	"acaciacleat.example/core/enginemodel"
 )
 
-// The predicted rule weighs each choice by what it costs in late requests: the request's
-// own, and those that its reading makes late on the engines that it uses. Costs are in
-// the worth of a request, see weight.
+// The predicted rule chooses the placement with the least expected loss from late requests: the
+// request itself, and those that its prefill delays on the engines it uses. Losses are in units
+// of requestValue.
 //
-// Two things pull apart. A long prompt on one engine misses its aim; on many engines it
-// stretches the pauses of every stream that they write. So short streams are packed onto
-// as few engines as keep their aims, from the front of a fixed order that all entries
-// share, and long prompts are read by many engines from its back.
+// Two goals conflict. A long prompt on one engine misses its target; on many engines it
+// stretches the pauses of every stream there. So short streams are packed onto as few engines
+// as meet their targets, from the front of an order that all entries share, and long prompts
+// are split over many engines from its back.
 const (
-	// lateLoss is the part of a request's worth that is lost when it is late.
-	lateLoss = 0.75
-	// easyShare is the share of an aim up to which a predicted time is surely in time; from
-	// there to the whole aim the chance of being late rises to one. Predictions don't know
-	// of requests that other entries place in the same moment.
-	easyShare = 0.6
-	// easyGap is the same for pauses by parts of long prompts, which come out as predicted.
-	// Beside streams with a good pause of 250 ms long prompts are then read in parts of up to
-	// 180 ms; with 0.6, at twice the usual load, they were refused for lack of engines and
+	// lateLossShare is the share of its value that a late request loses.
+	lateLossShare = 0.75
+	// safeShare is the share of a target up to which a predicted time is surely in time; from
+	// there to the whole target the probability of being late rises to one. Predictions don't
+	// include requests that other entries place at the same time.
+	safeShare = 0.6
+	// safeGapShare is the same for pauses from parts of long prompts, which are predicted
+	// accurately. Beside streams with a gap target of 250 ms it allows parts of up to 180 ms;
+	// with 0.6, at twice the usual load, long prompts were refused for lack of engines and
 	// earned half as much.
-	easyGap = 0.9
-	// orderCost is what one place in the order costs, in worth: enough to decide between
-	// engines that are alike, too little to make a request late.
-	orderCost = 0.004
-	// partCost is what each further engine costs a long prompt: its passes end unevenly.
-	partCost = 0.004
-	// networkDelay is the time of a request's way to an upstream and of its first event's
-	// way back.
+	safeGapShare = 0.9
+	// costPerPosition is the cost of one position in the order: enough to decide between equal
+	// engines, too little to make a request late.
+	costPerPosition = 0.004
+	// costPerPart is the cost of each further engine for a long prompt: the passes of the
+	// engines end at different times.
+	costPerPart = 0.004
+	// networkDelay is the delay of a request to its upstream plus that of its first event back.
 	networkDelay = 4 * time.Millisecond
 )
 
-// partCounts are the numbers of engines that are tried for a long prompt.
+// partCounts are the set sizes that are tried for a long prompt.
 var partCounts = [...]int{2, 3, 4, 5, 6, 8, 10, 12, 14, 17}
 
 const (
-	// partedFrom is the reading time from which more than one engine is tried. Under it, the
-	// parts' passes cost more than they gain.
-	partedFrom = 150 * time.Millisecond
-	// waitCost is what a second of waiting on one of several engines costs in the order in
-	// which they are taken: the last of them decides when the prompt is read.
-	waitCost = 1.0
-	// considered is the number of engines that are weighed for a set: some more than a set
-	// has at the most, so that the cost of a choice doesn't grow with the deployment.
-	considered = 40
+	// splitThreshold is the prefill time from which more than one engine is tried. Below it,
+	// the passes for the parts cost more than the split gains.
+	splitThreshold = 150 * time.Millisecond
+	// costPerWaitSecond is the cost of a second of waiting on one of several engines, used to
+	// rank them: the last engine decides when the prefill ends.
+	costPerWaitSecond = 1.0
+	// maxConsidered is the number of engines considered for a set: more than the largest set,
+	// but bounded, so that the cost of a choice doesn't grow with the deployment.
+	maxConsidered = 40
 )
 
-// search looks for the cheapest place for one request. It keeps its slices from one
-// request to the next, so that a choice allocates nothing.
+// search finds the cheapest placement for one request. It reuses its slices between requests,
+// so that a choice allocates nothing.
 type search struct {
-	now     time.Time
-	request *Request
-	spec    *enginemodel.Spec
-	units   []*unit
-	fleet   *Fleet
-	// keep is the only engine that the request may go to; nil for any.
-	keep *unit
-	// self is the request as one of those that wait, and queued what waits before it.
-	self   waiter
-	queued queue
-	// usable engines can read a part of it without making streams pause for too long, and idle
-	// ones of them have nothing to read; backlog is what all engines have to read of parts.
-	usable  int
-	idle    int
-	backlog time.Duration
-	// sure says that long prompts are kept off engines that were proved to be gone.
-	sure bool
-	// unseen is the number of choices that others have made and this entry hasn't heard of.
-	unseen float64
-	// taken are the chances that others take a slot first, by the number of slots left.
-	taken []float64
-	// opening is what it costs long prompts to put the request beside none of its like.
-	opening float64
-	random  *rand.Rand
-	// whole is its reading time on one engine.
-	whole   time.Duration
-	least   float64
-	offers  []offer
-	near    []offer
-	freed   []time.Duration
-	helpers []*unit
-	tickets []int
+	now        time.Time
+	request    *Request
+	spec       *enginemodel.Spec
+	candidates []*upstreamState
+	fleet      *Fleet
+	// pinned is the only engine that the request may go to; nil for any.
+	pinned *upstreamState
+	// self is the request as a waiter, and queueAhead what is ahead of it in the queue.
+	self       waiter
+	queueAhead queueAhead
+	// usable is the number of engines whose streams tolerate a part of the prompt, and idle the
+	// number of those without parts to prefill; partBacklog is the sum of the parts on all
+	// engines.
+	usable      int
+	idle        int
+	partBacklog time.Duration
+	// avoidProved is set if long prompts avoid engines that are proved to be down.
+	avoidProved bool
+	// unseenChoices is the expected number of choices of other entries that are not known here
+	// yet.
+	unseenChoices float64
+	// takenProbability holds, by the number of free slots, the probability that other entries
+	// take them first.
+	takenProbability []float64
+	// openingPenalty is the cost to long prompts of placing the request on an engine without
+	// streams like it.
+	openingPenalty float64
+	random         *rand.Rand
+	// prefillTime is that of the whole prompt on one engine.
+	prefillTime  time.Duration
+	leastCost    float64
+	offers       []offer
+	shortlist    []offer
+	freeTimes    []time.Duration
+	helpers      []*upstreamState
+	reservations []int
 }
 
-// offer is what one engine costs as a part of a set.
+// offer is the cost of one engine as a member of a set.
 type offer struct {
-	unit *unit
-	cost float64
+	upstream *upstreamState
+	cost     float64
 }
 
-// predicted places a request on one engine, or on several that each read a part.
+// predicted places a request on one engine, or on several that each prefill a part.
 func (s *search) predicted(now time.Time, request *Request, spec *enginemodel.Spec) plan {
 	s.now, s.request, s.spec = now, request, spec
-	s.whole = spec.Read(request.PromptTokens)
-	for _, u := range s.units {
-		u.drain(now)
+	s.prefillTime = spec.Read(request.PromptTokens)
+	for _, u := range s.candidates {
+		u.advance(now)
 		for _, l := range u.loads {
-			l.work.done, l.work.trial = 0, 0
+			l.placement.prefillDone, l.placement.trialPrefillDone = 0, 0
 		}
 	}
-	s.backlog = 0
-	s.sure = s.whole >= partedFrom && s.mostlyAlive()
-	for _, u := range s.units {
-		u.foresee()
-		s.foreseeEnds(u)
-		s.backlog += u.ahead
+	s.partBacklog = 0
+	s.avoidProved = s.prefillTime >= splitThreshold && s.mostlyAlive()
+	for _, u := range s.candidates {
+		u.predictPrefill()
+		s.predictEnds(u)
+		s.partBacklog += u.partBacklog
 	}
-	s.unseen = s.fleet.unseen(now)
-	s.taken = chancesTaken(s.taken[:0], s.unseen/bestShared, spec.Slots)
-	s.queued = queue{}
-	if s.held() {
-		s.survey()
-		s.queued = s.fleet.standing(now, s.waiter(), s.backlog, s.usable)
+	s.unseenChoices = s.fleet.unseenChoices(now)
+	s.takenProbability = takenProbabilities(s.takenProbability[:0], s.unseenChoices/contendedEngines, spec.Slots)
+	s.queueAhead = queueAhead{}
+	if s.queueable() {
+		s.countEngines()
+		s.queueAhead = s.fleet.queueAheadOf(now, s.selfWaiter(), s.partBacklog, s.usable)
 	}
-	best := s.alone()
-	if s.whole >= partedFrom {
-		best = s.parted(best)
+	best := s.bestSingle()
+	if s.prefillTime >= splitThreshold {
+		best = s.bestSet(best)
 	}
-	load := s.load()
-	turn := s.turn(&best, s.first(&best))
-	best.hold, best.next = turn.hold, turn.next
-	best.refused = turn.tooLate || !request.Committed && (s.hopeless(turn.first) || s.crowded(&best, turn.first))
+	load := s.meanBacklog()
+	decision := s.admission(&best, s.firstEvent(&best))
+	best.retryAfter, best.headOfQueue = decision.retryAfter, decision.headOfQueue
+	best.refused = decision.reject || !request.Committed && (s.outlastsCaller(decision.firstEvent) || s.queuesPastTarget(&best, decision.firstEvent))
 	best.urgency = urgency(request)
-	best.why = Why{Cost: s.least, First: turn.first, Read: s.whole, Load: load}
+	best.rationale = Why{Cost: s.leastCost, First: decision.firstEvent, Read: s.prefillTime, Load: load}
 	if best.refused {
-		best.why.Clear = s.clear()
+		best.rationale.Clear = s.clearTime()
 	}
 	return best
 }
 
-// mostlyAlive tells whether most engines have nothing proved against them.
+// mostlyAlive reports whether most engines are not proved to be down.
 func (s *search) mostlyAlive() bool {
 	alive := 0
-	for _, u := range s.units {
+	for _, u := range s.candidates {
 		if !u.health.Proved() {
 			alive++
 		}
 	}
-	return 2*alive > len(s.units)
+	return 2*alive > len(s.candidates)
 }
 
-// avoids tells whether the request keeps off an engine that was proved to be gone. It is left to
-// short requests to find out whether it is back.
-//
-// What goes wrong without it: a set that many engines read meets first what one of a few entries
-// knows, and fails as a whole, at each entry once more.
-func (s *search) avoids(u *unit) bool { return s.sure && u != s.keep && u.health.Proved() }
+// avoids reports whether the request avoids an engine that is proved to be down; short requests
+// find out whether it is back. A set of many engines would include one that only a few entries
+// know to be down, and fail as a whole, again at each entry.
+func (s *search) avoids(u *upstreamState) bool {
+	return s.avoidProved && u != s.pinned && u.health.Proved()
+}
 
-// crowded tells whether the request would wait for a slot until it is late, and hold up those
-// behind it. An engine with a free slot is passed over only where the request's reading would
-// cost the streams there more than it brings.
+// queuesPastTarget reports whether the request would wait for a slot until it is late, and hold
+// up those behind it. An engine with a free slot is skipped only where the request's prefill
+// would cost the streams there more than it is worth.
 //
-// What goes wrong without it: beyond what the slots bear, each short request waits in an
-// engine's queue until it is late, takes a slot all the same, and makes those behind it late:
-// goodput falls to half. One that is sent back leaves the slot to one that is in time.
-func (s *search) crowded(p *plan, first time.Duration) bool {
-	return p.first != nil && p.first.streams >= s.spec.Slots && first > s.request.Aim
+// Under overload each short request would otherwise wait in an engine's queue until it is late,
+// take a slot all the same and make those behind it late, which halves goodput. Refusing it
+// leaves the slot to a request that is in time.
+func (s *search) queuesPastTarget(p *plan, firstEvent time.Duration) bool {
+	return p.primary != nil && p.primary.streams >= s.spec.Slots && firstEvent > s.request.Aim
 }
 
-// load returns the mean of what the engines have to read.
-func (s *search) load() time.Duration {
+// meanBacklog returns the mean prefill backlog of the engines.
+func (s *search) meanBacklog() time.Duration {
 	var sum time.Duration
-	for _, u := range s.units {
+	for _, u := range s.candidates {
 		sum += u.backlog
 	}
-	return sum / time.Duration(len(s.units))
+	return sum / time.Duration(len(s.candidates))
 }
 
-// first returns when a plan's first event is expected: when the last of its engines has
-// read its part. A plan without an engine has none.
-func (s *search) first(p *plan) time.Duration {
-	if p.first == nil {
+// firstEvent returns when a plan's first event is expected: when the last of its engines has
+// prefilled its part. It is zero for a plan without an engine.
+func (s *search) firstEvent(p *plan) time.Duration {
+	if p.primary == nil {
 		return 0
 	}
 	if len(p.helpers) == 0 {
-		return s.wait(p.first) + s.slotWait(p.first.streams) + p.left
+		return s.prefillWait(p.primary) + s.slotWait(p.primary.streams) + p.partTime
 	}
-	last := s.pass(p.first)
+	last := s.passWait(p.primary)
 	for _, u := range p.helpers {
-		last = max(last, s.pass(u))
+		last = max(last, s.passWait(u))
 	}
-	return last + p.left
+	return last + p.partTime
 }
 
-// alone returns the best single engine.
-func (s *search) alone() plan {
-	if s.whole >= partedFrom {
-		return s.cheapest(1)
+// bestSingle returns the best single engine.
+func (s *search) bestSingle() plan {
+	if s.prefillTime >= splitThreshold {
+		return s.cheapestSingle(1)
 	}
-	count := min(1+int(math.Ceil(s.unseen*spreadOver)), mostSpread)
-	s.opening = s.openingCost()
-	best := s.cheapest(count)
-	if s.opening > 0 && s.crowded(&best, s.first(&best)) {
-		// Long prompts wait for their turn; a short one would be sent back.
-		s.opening = 0
-		best = s.cheapest(count)
+	count := min(1+int(math.Ceil(s.unseenChoices*enginesPerUnseen)), maxSpread)
+	s.openingPenalty = s.openingCost()
+	best := s.cheapestSingle(count)
+	if s.openingPenalty > 0 && s.queuesPastTarget(&best, s.firstEvent(&best)) {
+		// Long prompts can wait in the queue, whereas a short one would be refused.
+		s.openingPenalty = 0
+		best = s.cheapestSingle(count)
 	}
 	return best
 }
 
 const (
-	// newsAge is what news of a choice take to all other entries: the wait for a batch, two
-	// links, and the handling at each end.
-	newsAge = 7 * time.Millisecond
-	// placementsOver is the time over which others' choices are counted: short against a rush.
-	placementsOver = time.Second
-	// assumedUnseen is assumed where hardly any choice of others is heard of, fewer than hardlyAny
-	// in newsAge: at a start, or behind a cut, there are others all the same.
+	// propagationDelay is the time until all other entries know of a choice: batching, two
+	// network links and the handling at each end.
+	propagationDelay = 7 * time.Millisecond
+	// placementWindow is the time over which the choices of other entries are counted: short,
+	// to follow a surge.
+	placementWindow = time.Second
+	// assumedUnseen is assumed where fewer than minUnseen choices are expected within
+	// propagationDelay: after a start or behind a partition, there are other entries all the
+	// same.
 	assumedUnseen = 0.5
-	hardlyAny     = 0.05
-	// spreadOver is the number of engines to choose from for each choice that isn't known yet.
-	spreadOver = 4
-	// mostSpread bounds them, so that the cost of a choice doesn't grow with the deployment.
-	mostSpread = 16
+	minUnseen     = 0.05
+	// enginesPerUnseen is the number of engines to choose from for each unseen choice.
+	enginesPerUnseen = 4
+	// maxSpread bounds the engines to choose from, so that the cost of a choice doesn't grow
+	// with the deployment.
+	maxSpread = 16
 )
 
-// unseen returns how many choices others have made, as is expected, that are not known here yet.
-func (f *Fleet) unseen(now time.Time) float64 {
-	unseen := newsAge.Seconds() * f.placements.PerSecond(now, placementsOver)
-	if unseen < hardlyAny {
+// unseenChoices returns the expected number of choices of other entries that are not known here
+// yet.
+func (f *Fleet) unseenChoices(now time.Time) float64 {
+	unseen := propagationDelay.Seconds() * f.remoteSingles.PerSecond(now, placementWindow)
+	if unseen < minUnseen {
 		return assumedUnseen
 	}
 	return unseen
 }
 
-// cheapest returns the cheapest single engine, or one of the cheapest so many that cost hardly
-// more.
+// cheapestSingle returns the cheapest single engine, or a random one of the cheapest count
+// engines whose costs hardly differ.
 //
-// What goes wrong with the cheapest alone: it is the same one for all entries, and the more
-// entries there are, the more of them take its last slots before they hear of each other. One
-// sees first events late by a stream's length on a fleet that is nearly idle.
-func (s *search) cheapest(count int) plan {
-	s.near = s.near[:0]
-	for _, u := range s.units {
-		if s.keep != nil && u != s.keep || s.held() && !u.free() || s.avoids(u) {
+// The cheapest is the same for all entries, and the more entries there are, the more of them
+// would take its last slots before they hear of each other. First events would be late by the
+// length of a stream on a nearly idle fleet.
+func (s *search) cheapestSingle(count int) plan {
+	s.shortlist = s.shortlist[:0]
+	for _, u := range s.candidates {
+		if s.pinned != nil && u != s.pinned || s.queueable() && !u.idle() || s.avoids(u) {
 			continue
 		}
-		cost := s.own(s.wait(u)+s.whole) + s.gaps(u, s.whole) + s.room(u) + s.order(u) + u.health.Doubt(s.now)
-		s.near = keepLeast(s.near, offer{unit: u, cost: cost}, count, byCost)
+		cost := s.comparisonCost(s.prefillWait(u)+s.prefillTime) + s.streamCost(u, s.prefillTime) + s.capacityCost(u) + s.positionCost(u) + u.health.Doubt(s.now)
+		s.shortlist = insertLeast(s.shortlist, offer{upstream: u, cost: cost}, count, byCost)
 	}
-	if len(s.near) == 0 {
-		s.least = math.Inf(1)
-		return plan{left: s.whole}
+	if len(s.shortlist) == 0 {
+		s.leastCost = math.Inf(1)
+		return plan{partTime: s.prefillTime}
 	}
-	s.least = s.near[0].cost
-	return plan{first: s.oneOf(s.near), left: s.whole}
+	s.leastCost = s.shortlist[0].cost
+	return plan{primary: s.pickOffer(s.shortlist), partTime: s.prefillTime}
 }
 
-// keepLeast adds a value to the least ones that are kept in order, of which there are so many at the
-// most; of those that are alike the earlier ones stay.
-func keepLeast[T any](kept []T, value T, most int, compare func(a, b T) int) []T {
-	if len(kept) == most {
-		if compare(value, kept[most-1]) >= 0 {
+// insertLeast inserts a value into the sorted list of the least values, which holds at most the
+// given number. Among equal values the earlier ones stay.
+func insertLeast[T any](kept []T, value T, limit int, compare func(a, b T) int) []T {
+	if len(kept) == limit {
+		if compare(value, kept[limit-1]) >= 0 {
 			return kept
 		}
-		kept = kept[:most-1]
+		kept = kept[:limit-1]
 	}
 	i, _ := slices.BinarySearchFunc(kept, value, compare)
 	return slices.Insert(kept, i, value)
 }
 
-// oneOf draws one of the offers that cost no more than meeting others at the first of them
-// would, neither on a full engine nor on one that long prompts would miss.
-func (s *search) oneOf(offers []offer) *unit {
+// pickOffer picks a random offer among those that cost no more than the expected cost of a
+// collision at the first one. It skips full engines and engines that long prompts need.
+func (s *search) pickOffer(offers []offer) *upstreamState {
 	best := offers[0]
 	kept := 1
 	for _, o := range offers[1:] {
-		dear := o.cost > best.cost+s.unseen*fullCost
-		if dear || o.unit.streams >= s.spec.Slots || s.opens(o.unit) && !s.opens(best.unit) {
+		tooCostly := o.cost > best.cost+s.unseenChoices*fullCost
+		if tooCostly || o.upstream.streams >= s.spec.Slots || s.opensEngine(o.upstream) && !s.opensEngine(best.upstream) {
 			continue
 		}
 		offers[kept] = o
 		kept++
 	}
 	if kept == 1 {
-		return best.unit
+		return best.upstream
 	}
-	return offers[s.random.IntN(kept)].unit
+	return offers[s.random.IntN(kept)].upstream
 }
 
-// wait returns the time until an engine begins to read the request alone: after all else.
-func (s *search) wait(u *unit) time.Duration { return s.pass(u) + u.backlog }
+// prefillWait returns the time until an engine starts the prefill of a single-engine request,
+// which comes after all other prefill.
+func (s *search) prefillWait(u *upstreamState) time.Duration { return s.passWait(u) + u.backlog }
 
-// pass returns the time until an engine turns to a part of a prompt, which it reads ahead
-// of all else, and tells of it.
-func (s *search) pass(u *unit) time.Duration {
+// passWait returns the time until an engine starts a part of a prompt, which it prefills before
+// all else, plus the time to report it.
+func (s *search) passWait(u *upstreamState) time.Duration {
 	if u.streams == 0 {
 		return networkDelay
 	}
-	// The pass in hand ends first, and the first event comes with the end of the pass in
-	// which the prompt is read. On engines that write nothing, it comes at once. Observed
-	// first events of short prompts came 68 ms later at the median than predicted without
-	// the second pass.
-	return networkDelay + s.spec.Pause(u.streams, u.context)*3/2
+	// The current pass ends first, and the first event is sent at the end of the pass in which
+	// the prefill ends; an engine without streams sends it at once. Without the second pass,
+	// first events of short prompts came 68 ms later at the median than predicted.
+	return networkDelay + s.spec.Pause(u.streams, u.contextTokens)*3/2
 }
--- a/core/dispatch/registry.go
+++ b/core/dispatch/registry.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// registry judges how far a removal from the registry can be believed.
+// registry tracks outages of the registry and decides how long an upstream whose registration
+// was removed stays in use.
 //
-// What goes wrong: while the registry is away, upstreams can't renew their entries, which
-// then lapse although the upstreams live. One would notice all upstreams vanish at the
-// registry's return and every request refused. Living upstreams are back in the list
-// about two seconds after its return; so what vanishes just then is believed only shortly
-// before that time.
+// During an outage upstreams can't renew their registrations, so they lapse although the
+// upstreams are alive. Acting on these removals as soon as the registry answers again would
+// empty every service. Live upstreams register again about two seconds after the registry's
+// return, so removals in that period take effect only shortly before its end.
 type registry struct {
-	// away is when it last failed to answer; returned when it first answered again.
-	away     bool
-	lastLost time.Time
-	returned time.Time
+	// unavailable is set from the first failed call to the next answer; recoveredAt is the time
+	// of that answer.
+	unavailable bool
+	lastFailure time.Time
+	recoveredAt time.Time
 }
 
 const (
-	// returnGrace is the time from the registry's return in which a removal is doubted.
-	// Living upstreams register again within about two seconds, and one that leaves without
-	// a word, whose entry is removed just then, must get nothing after two seconds: a
-	// living one that takes longer is left out for some tenths of a second.
-	returnGrace = 1850 * time.Millisecond
-	// settleTime is how long after its return the registry still removes what had lapsed.
-	settleTime = 1500 * time.Millisecond
+	// recoveryGrace is how long after the registry's return a removal is deferred. Live
+	// upstreams register again within about two seconds. An upstream that shuts down and whose
+	// registration is removed in this period must get no requests after two seconds; a live one
+	// that takes longer to register is unused for a few tenths of a second.
+	recoveryGrace = 1850 * time.Millisecond
+	// lapseWindow is how long after its return the registry still removes lapsed registrations.
+	lapseWindow = 1500 * time.Millisecond
 )
 
-func (r *registry) lost(now time.Time) {
-	r.away = true
-	r.lastLost = now
+func (r *registry) markUnavailable(now time.Time) {
+	r.unavailable = true
+	r.lastFailure = now
 }
 
-func (r *registry) answered(now time.Time) {
-	if r.away {
-		r.away = false
-		r.returned = now
+func (r *registry) markAvailable(now time.Time) {
+	if r.unavailable {
+		r.unavailable = false
+		r.recoveredAt = now
 	}
 }
 
-// grace returns how long a unit that is removed now stays in use; zero: not at all.
-func (r *registry) grace(now time.Time) time.Duration {
-	if r.returned.IsZero() || now.Sub(r.returned) > settleTime {
+// removalGrace returns how long an upstream that is removed now stays in use; zero removes it
+// at once.
+func (r *registry) removalGrace(now time.Time) time.Duration {
+	if r.recoveredAt.IsZero() || now.Sub(r.recoveredAt) > lapseWindow {
 		return 0
 	}
-	return returnGrace - now.Sub(r.returned)
+	return recoveryGrace - now.Sub(r.recoveredAt)
 }
--- a/core/dispatch/sets.go
+++ b/core/dispatch/sets.go
@@ -6,147 +6,147 @@
 	"time"
 )
 
-// parted returns the cheapest set of engines if one is cheaper than the single engine.
-func (s *search) parted(best plan) plan {
-	s.nearest()
+// bestSet returns the cheapest set of engines if it is cheaper than the single engine.
+func (s *search) bestSet(best plan) plan {
+	s.buildShortlist()
 	count := 0
 	for _, parts := range partCounts {
-		if parts > len(s.near)+s.kept() {
+		if parts > len(s.shortlist)+s.pinnedCount() {
 			break
 		}
-		if cost, ok := s.together(parts); ok && cost < s.least {
-			s.least, count = cost, parts
+		if cost, ok := s.evaluateSet(parts); ok && cost < s.leastCost {
+			s.leastCost, count = cost, parts
 		}
 	}
 	if count == 0 {
 		return best
 	}
-	s.together(count)
-	return s.set(count)
+	s.evaluateSet(count)
+	return s.setPlan(count)
 }
 
-// nearest keeps the engines that could begin soonest and write no more than others.
-func (s *search) nearest() {
-	s.near = s.near[:0]
-	for _, u := range s.units {
-		if u == s.keep || s.held() && !u.free() || s.avoids(u) {
+// buildShortlist selects the engines that can start soonest at the least cost to others.
+func (s *search) buildShortlist() {
+	s.shortlist = s.shortlist[:0]
+	for _, u := range s.candidates {
+		if u == s.pinned || s.queueable() && !u.idle() || s.avoids(u) {
 			continue
 		}
-		o := offer{unit: u, cost: s.damage(u, partedFrom) + waitCost*u.backlog.Seconds() + s.order(u)}
-		s.near = keepLeast(s.near, o, considered, byCost)
+		o := offer{upstream: u, cost: s.impact(u, splitThreshold) + costPerWaitSecond*u.backlog.Seconds() + s.positionCost(u)}
+		s.shortlist = insertLeast(s.shortlist, o, maxConsidered, byCost)
 	}
 }
 
 func byCost(a, b offer) int { return cmp.Compare(a.cost, b.cost) }
 
-// together weighs the cheapest set of a number of engines that each read a part. The set is
-// the beginning of s.offers afterwards, its first engine in front.
-func (s *search) together(parts int) (cost float64, ok bool) {
-	part := s.whole / time.Duration(parts)
+// evaluateSet returns the cost of the cheapest set of the given size, in which each engine
+// prefills one part. Afterwards the set is at the start of s.offers, its primary first.
+func (s *search) evaluateSet(parts int) (cost float64, ok bool) {
+	part := s.prefillTime / time.Duration(parts)
 	s.offers = s.offers[:0]
-	if s.keep != nil {
-		s.offers = append(s.offers, offer{unit: s.keep})
+	if s.pinned != nil {
+		s.offers = append(s.offers, offer{upstream: s.pinned})
 	}
-	for _, o := range s.near {
-		o.cost = s.damage(o.unit, part) + s.order(o.unit) + o.unit.health.Doubt(s.now) + waitCost*o.unit.backlog.Seconds()
+	for _, o := range s.shortlist {
+		o.cost = s.impact(o.upstream, part) + s.positionCost(o.upstream) + o.upstream.health.Doubt(s.now) + costPerWaitSecond*o.upstream.backlog.Seconds()
 		s.offers = append(s.offers, o)
 	}
-	slices.SortFunc(s.offers[s.kept():], byCost)
-	cost = partCost * float64(parts)
+	slices.SortFunc(s.offers[s.pinnedCount():], byCost)
+	cost = costPerPart * float64(parts)
 	first := 0
 	for i, o := range s.offers[:parts] {
-		cost += s.gaps(o.unit, part) + o.unit.health.Doubt(s.now)
-		if s.keep == nil && s.leads(o.unit, s.offers[first].unit) {
+		cost += s.streamCost(o.upstream, part) + o.upstream.health.Doubt(s.now)
+		if s.pinned == nil && s.preferredPrimary(o.upstream, s.offers[first].upstream) {
 			first = i
 		}
 	}
 	s.offers[0], s.offers[first] = s.offers[first], s.offers[0]
-	cost += s.delays(parts, part) + s.own(s.begin(parts)+part) + s.slots(s.offers[0].unit)
-	return cost, s.share(parts)
+	cost += s.setDelayCost(parts, part) + s.comparisonCost(s.prefillStart(parts)+part) + s.slotCost(s.offers[0].upstream)
+	return cost, s.reserveMemory(parts)
 }
 
-// kept is the number of engines that are in every set.
-func (s *search) kept() int {
-	if s.keep != nil {
+// pinnedCount is the number of engines that are in every set.
+func (s *search) pinnedCount() int {
+	if s.pinned != nil {
 		return 1
 	}
 	return 0
 }
 
-// leads tells whether an engine should rather write a prompt's stream than another one of
-// the same set. Streams of long prompts are packed: an engine that writes is late with its
-// events whenever it reads, so the fewer engines write, the more can read freely. One that
-// has no room for the prompt takes it only where none has, the emptier the rather.
-func (s *search) leads(u, than *unit) bool {
+// preferredPrimary reports whether an engine is a better choice than another one of the set to
+// decode the prompt's stream. Streams of long prompts are packed: prefill on an engine delays
+// the events of its streams, so the fewer engines decode, the more can prefill freely. An
+// engine without room for the prompt is chosen only if none has room, and then the one with the
+// least memory in use.
+func (s *search) preferredPrimary(u, other *upstreamState) bool {
 	need := s.request.PromptTokens + s.request.OutputTokens
-	roomy := func(u *unit) bool { return s.free(u) >= need && u.streams < s.spec.Slots }
-	switch fits, other := roomy(u), roomy(than); {
-	case fits != other:
+	hasRoom := func(u *upstreamState) bool { return s.freeTokens(u) >= need && u.streams < s.spec.Slots }
+	switch fits, otherFits := hasRoom(u), hasRoom(other); {
+	case fits != otherFits:
 		return fits
 	case !fits:
-		return u.memory < than.memory
-	case u.streams != than.streams:
-		return u.streams > than.streams
+		return u.memoryTokens < other.memoryTokens
+	case u.streams != other.streams:
+		return u.streams > other.streams
 	default:
-		return u.order > than.order
+		return u.position > other.position
 	}
 }
 
-// begin returns when the last engine of a set begins to read its part.
-func (s *search) begin(parts int) time.Duration {
+// prefillStart returns when the last engine of a set starts the prefill of its part.
+func (s *search) prefillStart(parts int) time.Duration {
 	var last time.Duration
 	for _, o := range s.offers[:parts] {
-		last = max(last, s.pass(o.unit))
+		last = max(last, s.passWait(o.upstream))
 	}
 	return last
 }
 
-// memoryShare is the part of an engine's memory that is planned with: what others have
-// placed in this moment is not known yet.
-const memoryShare = 0.95
+// usableMemoryShare is the share of an engine's memory that is planned with. The rest covers
+// placements of other entries that are not known here yet.
+const usableMemoryShare = 0.95
 
-func (s *search) free(u *unit) int {
-	if s.now.Before(u.full) {
+func (s *search) freeTokens(u *upstreamState) int {
+	if s.now.Before(u.fullUntil) {
 		return 0
 	}
-	return int(memoryShare*float64(s.spec.MemoryTokens)) - u.memory
+	return int(usableMemoryShare*float64(s.spec.MemoryTokens)) - u.memoryTokens
 }
 
-// share divides the prompt's memory over the first engines of s.offers. What the first of
-// them can't hold is reserved at the others; ok is false where they can't hold it either, or
-// where the prompt would wait for a slot of the first one.
-//
-// What goes wrong without the slot: memory stays reserved at engines that nobody reads with,
-// for as long as the first one's queue lasts, 11 s in one case.
-func (s *search) share(parts int) bool {
-	s.tickets = s.tickets[:0]
-	rest := s.request.PromptTokens + s.request.OutputTokens - max(s.free(s.offers[0].unit), 0)
+// reserveMemory divides the prompt's memory over the first engines of s.offers. What the
+// primary can't hold is reserved at the helpers; the result is false if they can't hold it
+// either, or if the prompt would wait for a slot of the primary. In that case the helpers'
+// memory would stay reserved and unused while the prompt waits in the primary's queue, which
+// can take 11 s.
+func (s *search) reserveMemory(parts int) bool {
+	s.reservations = s.reservations[:0]
+	rest := s.request.PromptTokens + s.request.OutputTokens - max(s.freeTokens(s.offers[0].upstream), 0)
 	for _, o := range s.offers[1:parts] {
 		tokens := 0
-		if free := s.free(o.unit); rest > 0 && free > 0 {
-			tokens = min(free, max(rest, leastTicket))
+		if free := s.freeTokens(o.upstream); rest > 0 && free > 0 {
+			tokens = min(free, max(rest, minReservation))
 			rest -= tokens
 		}
-		s.tickets = append(s.tickets, tokens)
+		s.reservations = append(s.reservations, tokens)
 	}
-	reserved := slices.ContainsFunc(s.tickets, func(tokens int) bool { return tokens > 0 })
-	return rest <= 0 && (!reserved || s.offers[0].unit.streams < s.spec.Slots)
+	reserved := slices.ContainsFunc(s.reservations, func(tokens int) bool { return tokens > 0 })
+	return rest <= 0 && (!reserved || s.offers[0].upstream.streams < s.spec.Slots)
 }
 
-// leastTicket is the least number of tokens that is reserved: less isn't worth two orders
-// of its own, and leaves no room for what the first engine takes up meanwhile.
-const leastTicket = 16_384
+// minReservation is the least number of tokens to reserve. Less is not worth the two calls for
+// a reservation, and leaves no margin for what the primary takes in meanwhile.
+const minReservation = 16_384
 
-// set returns the plan of the first engines of s.offers.
-func (s *search) set(parts int) plan {
+// setPlan returns the plan for the first engines of s.offers.
+func (s *search) setPlan(parts int) plan {
 	s.helpers = s.helpers[:0]
 	for _, o := range s.offers[1:parts] {
-		s.helpers = append(s.helpers, o.unit)
+		s.helpers = append(s.helpers, o.upstream)
 	}
 	return plan{
-		first:   s.offers[0].unit,
-		helpers: s.helpers,
-		tickets: s.tickets,
-		left:    s.whole / time.Duration(parts),
+		primary:      s.offers[0].upstream,
+		helpers:      s.helpers,
+		reservations: s.reservations,
+		partTime:     s.prefillTime / time.Duration(parts),
 	}
 }
--- a/core/dispatch/turns.go
+++ b/core/dispatch/turns.go
@@ -6,91 +6,93 @@
 	"time"
 )
 
-// Long prompts take turns. Engines read the newest part first, so a set that is sent while
-// others are read delays all of them, and those behind it delay it: in bursts a prompt of a
-// third of a second took four. What is held at its entry until engines are free overtakes
-// nothing, and can still be placed on those that turn out to be free first.
+// Long prompts wait in a queue. Engines prefill the newest part first, so a set sent while
+// others are in progress delays all of them and is itself delayed by later ones: in bursts, a
+// prompt that needs a third of a second took four. A prompt held at its entry until engines are
+// free delays nothing, and can still go to the engines that become free first.
 //
-// All entries know what waits at the others, and order it alike, see standing.
+// All entries know the queues of the others and order them alike, see queueAheadOf.
 
-// waiter is a request that waits for its turn.
+// waiter is a request in the queue.
 type waiter struct {
 	id WorkID
-	// rank is lower for what is more urgent to the operator.
-	rank int
-	// read is the reading time of its whole prompt on one engine.
-	read time.Duration
-	aim  time.Time
-	// over is when it counts as given up though nobody has said so.
-	over time.Time
-	// passed is since when it could have been placed but for those before it.
-	passed time.Time
+	// priority is set by the operator; lower values go first.
+	priority int
+	// prefillTime is that of its whole prompt on one engine.
+	prefillTime time.Duration
+	target      time.Time
+	// expiresAt is when the waiter is removed even if no end was reported.
+	expiresAt time.Time
+	// blockedSince is the time since which only the requests ahead of it have kept it from
+	// being placed.
+	blockedSince time.Time
 }
 
-func (w *waiter) waiting(now time.Time) Event {
+func (w *waiter) waitingEvent(now time.Time) Event {
 	return Event{
 		Kind:   Waiting,
 		Number: w.id.Number,
-		Rank:   w.rank,
-		PartMs: w.read.Milliseconds(),
-		AimMs:  w.aim.Sub(now).Milliseconds(),
-		LeftMs: (w.over.Sub(now) - forgetSlack).Milliseconds(),
+		Rank:   w.priority,
+		PartMs: w.prefillTime.Milliseconds(),
+		AimMs:  w.target.Sub(now).Milliseconds(),
+		LeftMs: (w.expiresAt.Sub(now) - expiryMargin).Milliseconds(),
 	}
 }
 
-// queue is what a request finds before it among those that wait.
-type queue struct {
-	// count is how many go before it, and read their reading time.
-	count int
-	read  time.Duration
-	// late says that the request can't meet its aim, or only by making a shorter one miss its.
+// queueAhead describes the waiting requests ahead of a request.
+type queueAhead struct {
+	// count is their number, and prefillTime the sum of their prefill times.
+	count       int
+	prefillTime time.Duration
+	// late is set if the request can't meet its target, or only by making a shorter one miss
+	// its own.
 	late bool
 }
 
-// standing returns where a request stands among those that wait, if engines have so much to
-// read now and so many of them read at a time.
+// queueAheadOf returns what is ahead of a request in the queue, given the engines' backlog and
+// the number of engines that prefill at a time.
 //
-// Those that can all meet their aims go by their aims. Where one would miss it, one of those up
-// to it is left out: of the least urgent by the operator's priorities the longest, as that
-// leaves the most in time (Moore, 1968). Those left out follow behind the others, the shortest
-// first.
-func (f *Fleet) standing(now time.Time, own *waiter, backlog time.Duration, engines int) queue {
-	f.order = append(f.order[:0], own)
+// If all can meet their targets, they go in the order of their targets. Where one would miss
+// it, one of the requests up to it is deferred: the longest of the lowest priority, which keeps
+// the number of late requests least (Moore, 1968). Deferred requests follow the others,
+// shortest first.
+func (f *Fleet) queueAheadOf(now time.Time, own *waiter, backlog time.Duration, engines int) queueAhead {
+	f.byTarget = append(f.byTarget[:0], own)
 	for id, w := range f.waiters {
 		if id != own.id {
-			f.order = append(f.order, w)
+			f.byTarget = append(f.byTarget, w)
 		}
 	}
-	slices.SortFunc(f.order, func(a, b *waiter) int {
-		return cmp.Or(a.aim.Compare(b.aim), cmp.Compare(a.id.Origin, b.id.Origin), cmp.Compare(a.id.Number, b.id.Number))
+	slices.SortFunc(f.byTarget, func(a, b *waiter) int {
+		return cmp.Or(a.target.Compare(b.target), cmp.Compare(a.id.Origin, b.id.Origin), cmp.Compare(a.id.Number, b.id.Number))
 	})
-	f.inTime = f.inTime[:0]
-	var q queue
+	f.onTime = f.onTime[:0]
+	var q queueAhead
 	sum := backlog
-	for _, w := range f.order {
-		f.inTime = append(f.inTime, w)
-		sum += w.read
-		if now.Add(sum / time.Duration(engines)).After(w.aim) {
+	for _, w := range f.byTarget {
+		f.onTime = append(f.onTime, w)
+		sum += w.prefillTime
+		if now.Add(sum / time.Duration(engines)).After(w.target) {
 			longest := 0
-			for i, other := range f.inTime {
-				if cmp.Or(cmp.Compare(other.rank, f.inTime[longest].rank), cmp.Compare(other.read, f.inTime[longest].read)) > 0 {
+			for i, other := range f.onTime {
+				if cmp.Or(cmp.Compare(other.priority, f.onTime[longest].priority), cmp.Compare(other.prefillTime, f.onTime[longest].prefillTime)) > 0 {
 					longest = i
 				}
 			}
-			q.late = q.late || f.inTime[longest] == own
-			sum -= f.inTime[longest].read
-			f.inTime = slices.Delete(f.inTime, longest, longest+1)
+			q.late = q.late || f.onTime[longest] == own
+			sum -= f.onTime[longest].prefillTime
+			f.onTime = slices.Delete(f.onTime, longest, longest+1)
 		}
 	}
 	if q.late {
-		for _, w := range f.order {
-			if slices.Contains(f.inTime, w) || w.read < own.read {
+		for _, w := range f.byTarget {
+			if slices.Contains(f.onTime, w) || w.prefillTime < own.prefillTime {
 				q.add(w)
 			}
 		}
 		return q
 	}
-	for _, w := range f.inTime {
+	for _, w := range f.onTime {
 		if w == own {
 			break
 		}
@@ -99,39 +101,38 @@
 	return q
 }
 
-func (q *queue) add(w *waiter) {
+func (q *queueAhead) add(w *waiter) {
 	q.count++
-	q.read += w.read
+	q.prefillTime += w.prefillTime
 }
 
-// widest returns the number of engines of the largest set that n allow.
-func widest(n int) int { return max(min(n, partCounts[len(partCounts)-1]), 1) }
+// largestSet returns the size of the largest set that n engines allow.
+func largestSet(n int) int { return max(min(n, partCounts[len(partCounts)-1]), 1) }
 
-// hold lets a request wait for its turn and tells the other entries of it, once.
-func (f *Fleet) hold(now time.Time, request *Request) WorkID {
-	if _, waits := f.waiters[request.Turn]; waits {
+// enqueue adds a request to the queue and tells the other entries, once.
+func (f *Fleet) enqueue(now time.Time, request *Request) WorkID {
+	if _, known := f.waiters[request.Turn]; known {
 		return request.Turn
 	}
 	w := &waiter{}
 	*w = f.search.self
-	w.id, w.over = f.idOf(request), now.Add(request.Left+forgetSlack)
+	w.id, w.expiresAt = f.placementID(request), now.Add(request.Left+expiryMargin)
 	f.waiters[w.id] = w
-	f.tell(w.waiting(now))
+	f.publish(w.waitingEvent(now))
 	return w.id
 }
 
-// turn tells a request that is held when to ask again. Only who goes first is woken by each
-// change: with many that wait, waking all of them would take the entry's processor for
-// nothing.
-func (f *Fleet) turn(p plan) Turn {
-	t := Turn{After: p.hold}
-	if p.next {
-		t.Changed = f.changed
+// retryFor returns when a waiting request should call Choose again. Only the head of the queue
+// is woken by each change; waking all of a long queue would waste processor time.
+func (f *Fleet) retryFor(p plan) Turn {
+	t := Turn{After: p.retryAfter}
+	if p.headOfQueue {
+		t.Changed = f.queueChanged
 	}
 	return t
 }
 
-// Withdraw ends the wait of a request that is given up.
+// Withdraw removes an abandoned request from the queue.
 func (f *Fleet) Withdraw(id WorkID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -139,14 +140,14 @@
 }
 
 func (f *Fleet) withdraw(id WorkID) {
-	if f.drop(id) {
-		f.tell(Event{Kind: Ended, Number: id.Number})
+	if f.removeWaiter(id) {
+		f.publish(Event{Kind: Ended, Number: id.Number})
 	}
 }
 
-// drop forgets a waiter; it reports whether there was one.
-func (f *Fleet) drop(id WorkID) bool {
-	if _, waits := f.waiters[id]; !waits {
+// removeWaiter removes a waiter; it reports whether there was one.
+func (f *Fleet) removeWaiter(id WorkID) bool {
+	if _, known := f.waiters[id]; !known {
 		return false
 	}
 	delete(f.waiters, id)
@@ -154,188 +155,190 @@
 	return true
 }
 
-// wakeWaiters wakes the requests that wait here: one's turn may have come.
+// wakeWaiters wakes the requests that wait at this entry, because one may be placed now.
 func (f *Fleet) wakeWaiters() {
 	if len(f.waiters) == 0 {
 		return
 	}
-	close(f.changed)
-	f.changed = make(chan struct{})
+	close(f.queueChanged)
+	f.queueChanged = make(chan struct{})
 }
 
 const (
-	// heldFrom is the reading time on one engine from which a prompt waits for its turn: what
-	// is shorter delays others by a few hundredths of a second when several engines read it.
-	heldFrom = time.Second
-	// lead is how long before its engines are expected to be free a prompt is sent: its way
+	// queueThreshold is the prefill time on one engine from which a prompt waits in the queue.
+	// A shorter one, split over several engines, delays others by a few hundredths of a second.
+	queueThreshold = time.Second
+	// sendLead is how long before its engines become free a prompt is sent: the network delay
 	// to them.
-	lead = 4 * time.Millisecond
-	// lookAgain bounds the time after which a waiting prompt looks again.
-	lookAgain = 100 * time.Millisecond
+	sendLead = 4 * time.Millisecond
+	// maxRetryAfter bounds the time until a waiting prompt is considered again.
+	maxRetryAfter = 100 * time.Millisecond
 )
 
-// waiter is the request in hand as one of those that wait.
-func (s *search) waiter() *waiter {
+// selfWaiter returns the current request as a waiter.
+func (s *search) selfWaiter() *waiter {
 	own := &s.self
-	*own = waiter{id: s.request.Turn, rank: s.request.Rank, read: s.whole, aim: s.now.Add(s.request.Aim)}
+	*own = waiter{id: s.request.Turn, priority: s.request.Rank, prefillTime: s.prefillTime, target: s.now.Add(s.request.Aim)}
 	if own.id == (WorkID{}) {
-		own.id = WorkID{Origin: s.fleet.settings.Origin, Number: s.fleet.next + 1}
+		own.id = WorkID{Origin: s.fleet.settings.Origin, Number: s.fleet.lastNumber + 1}
 	}
 	return own
 }
 
-// held tells whether the request in hand takes turns.
-func (s *search) held() bool { return s.whole >= heldFrom && !s.request.Committed }
-
-// free tells whether an engine has no part of another prompt to read, or nearly none: what
-// is sent there now overtakes nothing.
-func (u *unit) free() bool { return u.ahead <= lead }
-
-// turn is what a long prompt is told that is not placed now.
-type turn struct {
-	// hold is how long it should wait; zero to place it now.
-	hold time.Duration
-	// next says that it goes first of those that wait.
-	next bool
-	// first is when its first event is expected.
-	first time.Duration
-	// tooLate says that it can't meet its aim and engines have others to read: it is better
-	// off coming back.
-	tooLate bool
+// queueable reports whether the current request may have to wait in the queue.
+func (s *search) queueable() bool { return s.prefillTime >= queueThreshold && !s.request.Committed }
+
+// idle reports whether an engine has almost no parts of other prompts to prefill, so that a new
+// part delays nothing.
+func (u *upstreamState) idle() bool { return u.partBacklog <= sendLead }
+
+// admission is the decision on a long prompt: place it now, wait or refuse.
+type admission struct {
+	// retryAfter is how long it should wait; zero to place it now.
+	retryAfter time.Duration
+	// headOfQueue is set if no waiting request goes before it.
+	headOfQueue bool
+	// firstEvent is when its first event is expected.
+	firstEvent time.Duration
+	// reject is set if it can't meet its target while engines have other prompts to prefill.
+	// The caller should retry later.
+	reject bool
 }
 
-func (t turn) asNext() turn {
-	t.next = true
+func (t admission) asHead() admission {
+	t.headOfQueue = true
 	return t
 }
 
-// turn decides whether the request takes the plan, whose first event is expected after
-// first, or waits for its turn.
-func (s *search) turn(best *plan, first time.Duration) turn {
-	if !s.held() {
-		return turn{first: first}
+// admission decides whether the request takes the plan, with its first event expected after
+// firstEvent, or waits in the queue.
+func (s *search) admission(best *plan, firstEvent time.Duration) admission {
+	if !s.queueable() {
+		return admission{firstEvent: firstEvent}
 	}
-	start, finish := s.soonest()
-	finish = max(finish, (s.backlog+s.queued.read+s.whole)/time.Duration(len(s.units)))
-	wait := turn{hold: min(max(start, s.queued.read/time.Duration(len(s.units)), lead), lookAgain), first: finish}
-	others := max(s.least-s.own(first), 0)
-	if s.passedOver(best) {
-		s.queued.count = 0
+	start, finish := s.earliestSet()
+	finish = max(finish, (s.partBacklog+s.queueAhead.prefillTime+s.prefillTime)/time.Duration(len(s.candidates)))
+	wait := admission{retryAfter: min(max(start, s.queueAhead.prefillTime/time.Duration(len(s.candidates)), sendLead), maxRetryAfter), firstEvent: finish}
+	othersCost := max(s.leastCost-s.comparisonCost(firstEvent), 0)
+	if s.bypassesHead(best) {
+		s.queueAhead.count = 0
 	}
 	switch {
-	case s.queued.late && (s.queued.count > 0 || best.first == nil || s.idle*2 < s.usable):
-		return turn{first: finish, tooLate: true}
-	case s.queued.count > 0:
+	case s.queueAhead.late && (s.queueAhead.count > 0 || best.primary == nil || s.idle*2 < s.usable):
+		return admission{firstEvent: finish, reject: true}
+	case s.queueAhead.count > 0:
 		return wait
-	case best.first == nil:
-		return wait.asNext()
-	case s.queued.late && others > s.brings(first):
-		return wait.asNext()
-	case !s.queued.late && others+s.lost(first) > s.bearable():
-		return wait.asNext()
+	case best.primary == nil:
+		return wait.asHead()
+	case s.queueAhead.late && othersCost > s.expectedValue(firstEvent):
+		return wait.asHead()
+	case !s.queueAhead.late && othersCost+s.expectedLoss(firstEvent) > s.acceptableCost():
+		return wait.asHead()
 	default:
-		return turn{first: first}
+		return admission{firstEvent: firstEvent}
 	}
 }
 
-// idleFor is how long engines stay idle before those that wait pass by who goes first: some
-// times what its word takes from entry to entry, and a small part of the aims that wait.
-const idleFor = 150 * time.Millisecond
+// headTimeout is how long engines stay idle before the waiting requests bypass the head of the
+// queue: several times the propagation delay between entries, and a small part of the targets
+// of waiting requests.
+const headTimeout = 150 * time.Millisecond
 
-// passedOver tells whether engines have been idle for long while others go before the request.
-//
-// What goes wrong without it: an entry that is frozen or cut off keeps its place for as long as
-// its request has time, and no long prompt is read meanwhile.
-func (s *search) passedOver(best *plan) bool {
+// bypassesHead reports whether engines have been idle too long while others are ahead of the
+// request. Otherwise an entry that is frozen or partitioned would keep its queue position until
+// its request expires, and no long prompt would be prefilled meanwhile.
+func (s *search) bypassesHead(best *plan) bool {
 	own := s.fleet.waiters[s.request.Turn]
-	if own == nil || s.queued.count == 0 || best.first == nil || s.idle*2 < s.usable {
+	if own == nil || s.queueAhead.count == 0 || best.primary == nil || s.idle*2 < s.usable {
 		if own != nil {
-			own.passed = time.Time{}
+			own.blockedSince = time.Time{}
 		}
 		return false
 	}
-	if own.passed.IsZero() {
-		own.passed = s.now
+	if own.blockedSince.IsZero() {
+		own.blockedSince = s.now
 	}
-	return s.now.Sub(own.passed) > idleFor
+	return s.now.Sub(own.blockedSince) > headTimeout
 }
 
-// tooLittle is the worth for which it is not worth waiting.
-const tooLittle = 0.5
+// negligibleCost is the request value below which waiting is not worthwhile.
+const negligibleCost = 0.5
 
-// bearable is the worth that a request that can still meet its aim may cost now, itself
-// included: the less time it has left the more, up to all that being late would cost it.
-func (s *search) bearable() float64 {
-	need := s.whole / time.Duration(widest(len(s.units)))
-	hurry := min(need.Seconds()/max(s.request.Aim.Seconds(), need.Seconds()), 1)
-	return tooLittle + hurry*lateLoss*weight(s.request.PromptTokens)
+// acceptableCost is the request value that a request which can still meet its target may cost
+// now, its own loss included. It rises as the time left shrinks, up to the loss from being
+// late.
+func (s *search) acceptableCost() float64 {
+	need := s.prefillTime / time.Duration(largestSet(len(s.candidates)))
+	timePressure := min(need.Seconds()/max(s.request.Aim.Seconds(), need.Seconds()), 1)
+	return negligibleCost + timePressure*lateLossShare*requestValue(s.request.PromptTokens)
 }
 
-// brings is what a request is worth if its first event comes after first.
-func (s *search) brings(first time.Duration) float64 {
-	return weight(s.request.PromptTokens) - s.lost(first)
+// expectedValue is the value of the request if its first event comes after firstEvent.
+func (s *search) expectedValue(firstEvent time.Duration) float64 {
+	return requestValue(s.request.PromptTokens) - s.expectedLoss(firstEvent)
 }
 
-// survey counts the engines that a part of the prompt would not make pause for too long, and
-// those of them that are free.
-func (s *search) survey() {
+// countEngines counts the engines whose streams tolerate the pause from a part of the prompt,
+// and the idle ones among them.
+func (s *search) countEngines() {
 	s.usable, s.idle = 0, 0
-	for _, u := range s.units {
-		if !s.bears(u) {
+	for _, u := range s.candidates {
+		if !s.toleratesPart(u) {
 			continue
 		}
 		s.usable++
-		if u.free() {
+		if u.idle() {
 			s.idle++
 		}
 	}
 	s.usable = max(s.usable, 1)
 }
 
-// bears tells whether the streams of an engine bear the pause that the smallest part of the
-// prompt makes.
-func (s *search) bears(u *unit) bool {
-	part := s.whole / time.Duration(widest(len(s.units)))
-	return u.streams == 0 || part <= u.gap-s.spec.Pause(u.streams, u.context)
+// toleratesPart reports whether the streams of an engine tolerate the pause from the smallest
+// part of the prompt.
+func (s *search) toleratesPart(u *upstreamState) bool {
+	part := s.prefillTime / time.Duration(largestSet(len(s.candidates)))
+	return u.streams == 0 || part <= u.minGapTarget-s.spec.Pause(u.streams, u.contextTokens)
 }
 
-// patienceShare is the part of a caller's patience within which a first event is expected
-// with some certainty; beyond it the wait is hopeless.
+// patienceShare is the share of the caller's patience within which a first event must be
+// expected. Beyond it the caller is likely to have left.
 const patienceShare = 0.9
 
-// hopeless tells whether a request's caller will be gone before its first event.
-func (s *search) hopeless(first time.Duration) bool {
+// outlastsCaller reports whether the caller will have left before the first event.
+func (s *search) outlastsCaller(firstEvent time.Duration) bool {
 	patience := s.request.Left
 	if s.request.Patience > 0 {
 		patience = min(patience, s.request.Patience)
 	}
-	return first.Seconds() > patienceShare*patience.Seconds()
+	return firstEvent.Seconds() > patienceShare*patience.Seconds()
 }
 
-// soonest returns when the set of engines that would have read the prompt first, if it
-// waits until they are free, begins and ends.
-func (s *search) soonest() (start, finish time.Duration) {
-	s.freed = s.freed[:0]
-	for _, u := range s.units {
-		s.freed = keepLeast(s.freed, u.ahead, cap(s.freed), cmp.Compare)
+// earliestSet returns the start and end of the prefill on the set that finishes first, if the
+// prompt waits until its engines are idle.
+func (s *search) earliestSet() (start, finish time.Duration) {
+	s.freeTimes = s.freeTimes[:0]
+	for _, u := range s.candidates {
+		s.freeTimes = insertLeast(s.freeTimes, u.partBacklog, cap(s.freeTimes), cmp.Compare)
 	}
 	for _, parts := range partCounts {
-		if parts > len(s.freed) {
+		if parts > len(s.freeTimes) {
 			break
 		}
-		begin := s.freed[parts-1]
-		if end := begin + networkDelay + s.whole/time.Duration(parts); finish == 0 || end < finish {
+		begin := s.freeTimes[parts-1]
+		if end := begin + networkDelay + s.prefillTime/time.Duration(parts); finish == 0 || end < finish {
 			start, finish = begin, end
 		}
 	}
 	return start, finish
 }
 
-// clear returns when the engines will have read what is placed and what waits now.
-func (s *search) clear() time.Duration {
-	sum := s.backlog
+// clearTime returns the time until the engines have prefilled all that is placed or waiting
+// now.
+func (s *search) clearTime() time.Duration {
+	sum := s.partBacklog
 	for _, w := range s.fleet.waiters {
-		sum += w.read
+		sum += w.prefillTime
 	}
-	return sum / time.Duration(len(s.units))
+	return sum / time.Duration(len(s.candidates))
 }
--- a/core/dispatch/upstream.go
+++ b/core/dispatch/upstream.go
@@ -1,6 +1,6 @@
-// Package dispatch chooses the upstreams of requests that an entry sends itself, without
-// an agent between: it keeps what is known of each upstream and of the work that was
-// placed there, and decides from it. It does no I/O.
+// Package dispatch chooses the upstreams of requests that an entry sends directly, without an
+// agent in between. It tracks the state of each upstream and the requests placed there. It does
+// no I/O.
 package dispatch
 
 import (
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Upstream is one incarnation of an upstream, as the registry tells it.
+// Upstream is one incarnation of an upstream, as registered.
 type Upstream struct {
-	// ID names the upstream. One that starts again may keep it: Born then tells its lives
-	// apart.
+	// ID names the upstream. It may be the same after a restart; Born then distinguishes the
+	// incarnations.
 	ID string
-	// Born is the time of its start in Unix milliseconds; zero where it is not told.
+	// Born is the start time in Unix milliseconds; zero if the registration has none.
 	Born    int64
 	Service string
 	Address string
 	Zone    string
 	// Slots is the number of requests that it runs at once.
 	Slots int
-	// Leaving upstreams get no new work.
+	// Leaving is set for an upstream that drains and takes no new requests.
 	Leaving bool
 }
 
-// Incarnation names one life of the upstream.
+// Incarnation returns the name of this incarnation.
 func (u *Upstream) Incarnation() string {
 	if u.Born == 0 {
 		return u.ID
@@ -32,89 +32,90 @@
 	return u.ID + "@" + strconv.FormatInt(u.Born, 10)
 }
 
-// Request is what a choice needs to know of a request.
+// Request holds the properties of a request that the choice of an upstream depends on.
 type Request struct {
 	Service string
-	// Engine requests have prompt tokens and are answered by a stream.
+	// PromptTokens and OutputTokens are set for engine requests, which are answered by a
+	// stream.
 	PromptTokens int
 	OutputTokens int
-	// Aim is the time left in which the answer should begin; GapAim the longest pause of
-	// its stream that is on time.
+	// Aim is the time left to the target for the first event; GapAim is the target for the
+	// longest pause between events of the stream.
 	Aim    time.Duration
 	GapAim time.Duration
-	// Left is the time left to the deadline, and Patience that after which the caller leaves
-	// a stream that has not begun; zero for none.
+	// Left is the time left to the deadline. Patience is the time after which the caller
+	// abandons a stream that has not begun; zero for none.
 	Left     time.Duration
 	Patience time.Duration
-	// Rank orders requests of one service among those that wait; 0 goes first.
+	// Rank is the priority among waiting requests of one service; 0 goes first.
 	Rank int
-	// Turn names the request where it has waited for its turn; zero where it has not.
+	// Turn is the ID under which the request has waited in the queue; zero if it has not.
 	Turn WorkID
-	// Exclude lists the incarnations that the request has left.
+	// Exclude lists the incarnations that the request must not use again.
 	Exclude []string
-	// Keep is the only incarnation that the request may go to, others may only help it; empty
-	// for any.
+	// Keep is the only incarnation that may serve the request, with others only as helpers;
+	// empty for any.
 	Keep string
-	// Committed says that an upstream may have worked on the request already, and its caller
-	// may have a part of the answer: it is not refused for its price, which would break off
-	// what was paid for.
+	// Committed is set if an upstream may have worked on the request already and the caller may
+	// have a part of the answer. Such a request is not refused for its cost, which would waste
+	// the work already paid for.
 	Committed bool
 }
 
 // Choice is where a request goes.
 type Choice struct {
 	Upstream Upstream
-	// Helpers read parts of the prompt for Upstream.
+	// Helpers prefill parts of the prompt for Upstream.
 	Helpers []Helper
-	// Ask says that upstreams have gone of late, so that one of a set this wide may have: ask
-	// them before the request is sent.
+	// Ask is set after recent losses of upstreams, if one of this set is likely enough to be
+	// down: probe them before sending the request.
 	Ask bool
-	// Urgency ranks the request at the upstream; 0 goes first.
+	// Urgency is the priority of the request at the upstream; 0 goes first.
 	Urgency int
-	// Turn is when to ask again; set where the request waits for its turn.
+	// Turn says when to call Choose again; set if the request waits in the queue.
 	Turn Turn
-	// Why is what decided the choice, for those who read about it afterwards.
+	// Why explains the choice in logs.
 	Why Why
 }
 
-// Turn tells a request that waits for engines when to ask again.
+// Turn tells a waiting request when to call Choose again.
 type Turn struct {
-	// After is the time after which its turn is expected, and Changed is closed where it may
-	// come sooner; nil where others go first.
+	// After is the expected wait. Changed is closed when the state changes and the request may
+	// go sooner; nil unless the request is at the head of the queue.
 	After   time.Duration
 	Changed <-chan struct{}
 }
 
-// Why holds the inputs of a choice and what was expected of it.
+// Why holds the inputs of a choice and its predictions.
 type Why struct {
 	// Candidates is the number of upstreams that could take the request.
 	Candidates int
-	// Backlog is the reading time ahead of it at Upstream, Streams the number of streams
-	// there, Memory the tokens that its requests fill.
+	// Backlog is the prefill time ahead of the request at Upstream, Streams the number of
+	// streams there, and Memory the tokens that its requests occupy.
 	Backlog time.Duration
 	Streams int
 	Memory  int
-	// First is when its first event is expected, after the choice; zero where it is not
-	// predicted.
+	// First is the predicted time from the choice to the first event; zero without a
+	// prediction.
 	First time.Duration
-	// Cost is the worth that the choice is expected to lose.
+	// Cost is the request value that the choice is expected to lose.
 	Cost float64
-	// Read is the reading time of the whole prompt on one engine, and Load the mean of what
-	// engines have to read already.
+	// Read is the prefill time of the whole prompt on one engine, and Load the mean prefill
+	// backlog of the engines.
 	Read time.Duration
 	Load time.Duration
-	// AgainstProof says that another entry has proved that one of the upstreams serves no more.
+	// AgainstProof is set if another entry has proved that one of the upstreams is down.
 	AgainstProof bool
-	// Clear is when engines will have read the parts that are placed and what waits now; set
-	// where the request is refused.
+	// Clear is the time until the engines have prefilled all placed parts and waiting prompts;
+	// set if the request is refused.
 	Clear time.Duration
 }
 
-// Helper is an upstream that reads a part of another's prompt.
+// Helper is an upstream that prefills a part of another one's prompt.
 type Helper struct {
 	Upstream Upstream
-	// Ticket names the memory that is to be reserved there, and Tokens is its size; empty
-	// and zero for none.
+	// Ticket names the memory reservation to make there, and Tokens is its size; empty and zero
+	// for none.
 	Ticket string
 	Tokens int
 }
