--- a/core/dispatch/book.go
+++ b/core/dispatch/book.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// WorkID identifies a placed or waiting request among all entries.
-type WorkID struct {
+// PlacementID identifies a placed or waiting request among all entries.
+type PlacementID struct {
 	Origin uint64
 	Number uint64
 }
 
 // placement is a placed request.
 type placement struct {
-	id           WorkID
+	id           PlacementID
 	promptTokens int
 	outputTokens int
 	target       time.Time
@@ -61,7 +61,7 @@
 	// partTime is the prefill time of each part.
 	partTime  time.Duration
 	urgency   int
-	rationale Why
+	rationale Explanation
 	// refused is set if the request is not worth the time that it takes from others.
 	refused bool
 	// retryAfter is how long the request should wait in the queue; zero to place it now.
@@ -87,12 +87,12 @@
 	return sum
 }
 
-func (p *plan) choice(id WorkID) Choice {
-	choice := Choice{Upstream: p.primary.Upstream, Urgency: p.urgency, Why: p.rationale}
+func (p *plan) choice(id PlacementID) Choice {
+	choice := Choice{Upstream: p.primary.Upstream, Urgency: p.urgency, Explanation: p.rationale}
 	for i, u := range p.helpers {
 		helper := Helper{Upstream: u.Upstream, Tokens: p.reservedBy(i)}
 		if helper.Tokens > 0 {
-			helper.Ticket = id.reservationName()
+			helper.Reservation = id.reservationName()
 		}
 		choice.Helpers = append(choice.Helpers, helper)
 	}
@@ -100,7 +100,7 @@
 }
 
 // reservationName names the memory reserved for a placement; it is never reused.
-func (id WorkID) reservationName() string {
+func (id PlacementID) reservationName() string {
 	return strconv.FormatUint(id.Origin, 36) + "-" + strconv.FormatUint(id.Number, 36)
 }
 
@@ -114,9 +114,9 @@
 		placedAt:     now,
 		promptTokens: request.PromptTokens,
 		outputTokens: request.OutputTokens,
-		target:       now.Add(request.Aim),
-		gapTarget:    request.GapAim,
-		expiresAt:    now.Add(request.Left + expiryMargin),
+		target:       now.Add(request.FirstEventTarget),
+		gapTarget:    request.GapTarget,
+		expiresAt:    now.Add(request.TimeToDeadline + expiryMargin),
 	}
 	delete(f.waiters, pl.id)
 	f.place(now, pl, p)
@@ -127,12 +127,12 @@
 
 // placementID returns the ID for the placement of a request: the ID under which it has waited,
 // or a new one.
-func (f *Fleet) placementID(request *Request) WorkID {
-	if request.Turn != (WorkID{}) {
-		return request.Turn
+func (f *Fleet) placementID(request *Request) PlacementID {
+	if request.QueueID != (PlacementID{}) {
+		return request.QueueID
 	}
 	f.lastNumber++
-	return WorkID{Origin: f.settings.Origin, Number: f.lastNumber}
+	return PlacementID{Origin: f.settings.Origin, Number: f.lastNumber}
 }
 
 // place adds the loads of a placement to its upstreams.
@@ -162,16 +162,16 @@
 	}
 }
 
-// Begun records the first event of a placed request: its prefill is complete.
-func (f *Fleet) Begun(now time.Time, id WorkID) {
+// FirstEvent records the first event of a placed request: its prefill is complete.
+func (f *Fleet) RecordFirstEvent(now time.Time, id PlacementID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.markStreaming(now, id) {
-		f.publish(Event{Kind: Begun, Number: id.Number})
+		f.publish(Event{Kind: FirstEvent, Number: id.Number})
 	}
 }
 
-func (f *Fleet) markStreaming(now time.Time, id WorkID) bool {
+func (f *Fleet) markStreaming(now time.Time, id PlacementID) bool {
 	pl := f.placements[id]
 	if pl == nil || pl.streaming {
 		return false
@@ -187,8 +187,8 @@
 	return true
 }
 
-// Ended records the end of a placed request at its upstream.
-func (f *Fleet) Ended(now time.Time, id WorkID, outcome Outcome) {
+// RecordEnd records the end of a placed request at its upstream.
+func (f *Fleet) RecordEnd(now time.Time, id PlacementID, outcome Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	pl := f.placements[id]
@@ -296,9 +296,9 @@
 // before other loads.
 func (l *load) isPart() bool { return len(l.placement.loads) > 1 }
 
-// Forget removes expired placements and waiters, whose entries have gone without reporting an
-// end.
-func (f *Fleet) Forget(now time.Time) {
+// RemoveExpired removes expired placements and waiters, whose entries have gone without
+// reporting an end.
+func (f *Fleet) RemoveExpired(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, pl := range f.placements {
--- a/core/dispatch/costs.go
+++ b/core/dispatch/costs.go
@@ -31,8 +31,8 @@
 // expectedLoss is the value that the request loses if its first event comes after t.
 func (s *search) expectedLoss(t time.Duration) float64 {
 	value := requestValue(s.request.PromptTokens)
-	loss := value * lateLossShare * lateProbability(t, s.request.Aim)
-	if t > s.request.Left {
+	loss := value * lateLossShare * lateProbability(t, s.request.FirstEventTarget)
+	if t > s.request.TimeToDeadline {
 		loss += value * (1 - lateLossShare)
 	}
 	return loss
@@ -60,7 +60,7 @@
 	if u.streams == 0 {
 		return 0
 	}
-	pass := s.spec.Pause(u.streams, u.contextTokens) + u.backlog
+	pass := s.spec.PassTime(u.streams, u.contextTokens) + u.backlog
 	// Short prompts are many, and several entries may place one on an engine at the same time;
 	// parts of long prompts are known to all entries.
 	safe := safeShare
@@ -92,7 +92,7 @@
 	if u.streams == 0 {
 		return
 	}
-	pass := s.spec.Pause(u.streams, u.contextTokens).Seconds() / (1 - min(u.prefillUtilisation, maxPrefillUtilisation))
+	pass := s.spec.PassTime(u.streams, u.contextTokens).Seconds() / (1 - min(u.prefillUtilisation, maxPrefillUtilisation))
 	for _, l := range u.loads {
 		l.streamEnd = 0
 		if l.helper || !l.placement.streaming || pass <= 0 {
@@ -130,7 +130,7 @@
 // arrives.
 //
 // Short requests are packed, so all entries see the same engine with one slot left, and several
-// take it before they hear of each other. Without the probability of this, first events at
+// take it before they learn of each other. Without the probability of this, first events at
 // engines chosen with one slot left are hundreds of milliseconds late.
 func (s *search) slotCost(u *upstreamState) float64 {
 	freeSlots := max(s.spec.Slots-u.streams, 0)
@@ -171,7 +171,7 @@
 	}
 	// If the service doesn't publish mean token counts, the others are assumed to be like this
 	// request.
-	answer, prompt := s.spec.UsualAnswer, s.spec.UsualPrompt
+	answer, prompt := s.spec.MeanAnswerTokens, s.spec.MeanPromptTokens
 	if answer <= 0 {
 		answer, prompt = s.request.OutputTokens, s.request.PromptTokens
 	}
@@ -199,7 +199,7 @@
 // request's would. Long prompts are prefilled there in larger parts than they could be beside
 // this request.
 func (s *search) opensEngine(u *upstreamState) bool {
-	return u.minGapTarget == 0 || u.minGapTarget > s.request.GapAim
+	return u.minGapTarget == 0 || u.minGapTarget > s.request.GapTarget
 }
 
 // maxOpeningCost is the value to long prompts of an engine without short streams, for the
@@ -238,9 +238,9 @@
 // urgency returns the upstream priority: the shorter the gap target, the more urgent.
 func urgency(request *Request) int {
 	switch {
-	case request.GapAim <= 300*time.Millisecond:
+	case request.GapTarget <= 300*time.Millisecond:
 		return 0
-	case request.GapAim <= 800*time.Millisecond:
+	case request.GapTarget <= 800*time.Millisecond:
 		return 3
 	default:
 		return 5
--- a/core/dispatch/event.go
+++ b/core/dispatch/event.go
@@ -11,7 +11,7 @@
 // The kinds of event.
 const (
 	Placed EventKind = iota + 1
-	Begun
+	FirstEvent
 	Ended
 	// Waiting means that a request waits in the queue at its entry; PartMs is the prefill time
 	// of its whole prompt. The wait ends with Placed or Ended.
@@ -35,7 +35,10 @@
 type Event struct {
 	Kind   EventKind
 	Number uint64
-	// The other fields are set for Placed. Tickets are the tokens that each helper holds.
+	// The other fields are set for Placed. First is the tag of the primary, and Tickets are the
+	// tokens that each helper holds. PartMs is the prefill time of each part, AimMs the time
+	// left to the target for the first event, GapMs the gap target and LeftMs the time left to
+	// the deadline.
 	First   Tag
 	Helpers []Tag
 	Tickets []int
@@ -93,11 +96,11 @@
 	}
 }
 
-// Told receives a value when there may be events or reports to send.
-func (f *Fleet) Told() <-chan struct{} { return f.pendingSignal }
+// Pending receives a value when there may be events or reports to send.
+func (f *Fleet) Pending() <-chan struct{} { return f.pendingSignal }
 
-// News returns the events since the last call.
-func (f *Fleet) News() []Event {
+// TakeEvents returns the events since the last call.
+func (f *Fleet) TakeEvents() []Event {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	events := f.pending
@@ -105,8 +108,8 @@
 	return events
 }
 
-// Heard applies the events of the entry with the given origin.
-func (f *Fleet) Heard(now time.Time, origin uint64, events []Event) {
+// ApplyEvents applies the events of the entry with the given origin.
+func (f *Fleet) ApplyEvents(now time.Time, origin uint64, events []Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range events {
@@ -115,11 +118,11 @@
 }
 
 func (f *Fleet) applyEvent(now time.Time, origin uint64, e *Event) {
-	id := WorkID{Origin: origin, Number: e.Number}
+	id := PlacementID{Origin: origin, Number: e.Number}
 	switch e.Kind {
 	case Placed:
 		f.applyPlaced(now, id, e)
-	case Begun:
+	case FirstEvent:
 		f.markStreaming(now, id)
 	case Ended:
 		if pl := f.placements[id]; pl != nil {
@@ -137,7 +140,7 @@
 	}
 }
 
-func (f *Fleet) applyPlaced(now time.Time, id WorkID, e *Event) {
+func (f *Fleet) applyPlaced(now time.Time, id PlacementID, e *Event) {
 	f.removeWaiter(id)
 	primary := f.tags[e.First]
 	if primary == nil || f.placements[id] != nil {
@@ -165,9 +168,9 @@
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Current returns the events that bring a newly connected entry up to date with this entry's
+// Snapshot returns the events that bring a newly connected entry up to date with this entry's
 // placements and queue.
-func (f *Fleet) Current(now time.Time) []Event {
+func (f *Fleet) Snapshot(now time.Time) []Event {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var events []Event
@@ -177,7 +180,7 @@
 		}
 		events = append(events, pl.placedEvent(now))
 		if pl.streaming {
-			events = append(events, Event{Kind: Begun, Number: pl.id.Number})
+			events = append(events, Event{Kind: FirstEvent, Number: pl.id.Number})
 		}
 	}
 	for _, w := range f.waiters {
@@ -188,8 +191,8 @@
 	return events
 }
 
-// ForgetOrigin removes the placements and waiters of an entry that is gone.
-func (f *Fleet) ForgetOrigin(now time.Time, origin uint64) {
+// RemoveOrigin removes the placements and waiters of an entry that is gone.
+func (f *Fleet) RemoveOrigin(now time.Time, origin uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, pl := range f.placements {
--- a/core/dispatch/evidence_test.go
+++ b/core/dispatch/evidence_test.go
@@ -21,7 +21,7 @@
 	c := &cluster{shareReports: true}
 	for origin := range n {
 		f := NewFleet(Settings{Rule: Predicted, Origin: uint64(origin + 1)})
-		f.Apply(start, upstreams(engines), true)
+		f.ApplyChanges(start, upstreams(engines), true)
 		c.fleets = append(c.fleets, f)
 	}
 	return c
@@ -30,14 +30,14 @@
 // exchange delivers the pending events and reports of each entry to all others.
 func (c *cluster) exchange(now time.Time) {
 	for i, from := range c.fleets {
-		events, reports := from.News(), from.Reports(now)
+		events, reports := from.TakeEvents(), from.TakeReports(now)
 		if !c.shareReports {
 			reports = nil
 		}
 		for j, to := range c.fleets {
 			if i != j {
-				to.Heard(now, from.settings.Origin, events)
-				to.HeardReports(now, from.settings.Origin, reports)
+				to.ApplyEvents(now, from.settings.Origin, events)
+				to.ApplyReports(now, from.settings.Origin, reports)
 			}
 		}
 	}
@@ -55,13 +55,13 @@
 		failed := slices.IndexFunc(choice.Helpers, func(h Helper) bool { return draining(h.Upstream.ID) })
 		switch {
 		case draining(choice.Upstream.ID):
-			f.Ended(now.Add(2*time.Millisecond), id, Misdirected)
+			f.RecordEnd(now.Add(2*time.Millisecond), id, Misdirected)
 		case failed >= 0:
-			f.Ended(now.Add(2*time.Millisecond), id, Abandoned)
-			f.AtFault(now.Add(2*time.Millisecond), choice.Helpers[failed].Upstream, now)
+			f.RecordEnd(now.Add(2*time.Millisecond), id, Abandoned)
+			f.RecordFault(now.Add(2*time.Millisecond), choice.Helpers[failed].Upstream, now)
 		default:
-			f.Begun(now.Add(20*time.Millisecond), id)
-			f.Ended(now.Add(20*time.Millisecond), id, Served)
+			f.RecordFirstEvent(now.Add(20*time.Millisecond), id)
+			f.RecordEnd(now.Add(20*time.Millisecond), id, Served)
 			return refusals, true
 		}
 		refusals++
@@ -106,7 +106,7 @@
 func TestPinnedEngineIsPrimaryOfTheSet(t *testing.T) {
 	f := newFleet(8, Predicted)
 	request := heavy(260_000)
-	request.Keep = "u-0003"
+	request.PinnedTo = "u-0003"
 	choice, _ := choose(t, f, start, request)
 	require.Equal(t, "u-0003", choice.Upstream.ID)
 	require.Len(t, choice.Helpers, 7)
@@ -114,10 +114,10 @@
 		require.NotEqual(t, "u-0003", helper.Upstream.ID)
 	}
 	request = short()
-	request.Keep = "u-0005"
+	request.PinnedTo = "u-0005"
 	choice, _ = choose(t, f, start, request)
 	require.Equal(t, "u-0005", choice.Upstream.ID)
-	request.Keep = "u-0009"
+	request.PinnedTo = "u-0009"
 	_, _, verdict := f.Choose(start, request, spec)
 	require.Equal(t, NoUpstream, verdict)
 }
@@ -126,14 +126,14 @@
 func TestSetsAreProbedOnlyAfterLosses(t *testing.T) {
 	f := newFleet(60, Predicted)
 	choice, id := choose(t, f, start, heavy(260_000))
-	require.False(t, choice.Ask)
-	f.Ended(start, id, Served)
+	require.False(t, choice.Probe)
+	f.RecordEnd(start, id, Served)
 	f.Observe(start, upstreams(60)[59].Upstream, Unreached, start)
 	choice, id = choose(t, f, start.Add(time.Second), heavy(260_000))
-	require.True(t, choice.Ask)
-	f.Ended(start.Add(time.Second), id, Served)
+	require.True(t, choice.Probe)
+	f.RecordEnd(start.Add(time.Second), id, Served)
 	choice, _ = choose(t, f, start.Add(time.Second), short())
-	require.False(t, choice.Ask, "a single engine refuses at once")
+	require.False(t, choice.Probe, "a single engine refuses at once")
 	choice, _ = choose(t, f, start.Add(20*time.Second), heavy(260_000))
-	require.False(t, choice.Ask)
+	require.False(t, choice.Probe)
 }
--- a/core/dispatch/fleet.go
+++ b/core/dispatch/fleet.go
@@ -52,8 +52,8 @@
 	upstreams     map[string]*upstreamState
 	tags          map[Tag]*upstreamState
 	services      map[string][]*upstreamState
-	placements    map[WorkID]*placement
-	waiters       map[WorkID]*waiter
+	placements    map[PlacementID]*placement
+	waiters       map[PlacementID]*waiter
 	byTarget      []*waiter
 	onTime        []*waiter
 	queueChanged  chan struct{}
@@ -62,7 +62,7 @@
 	pending       []Event
 	pendingSignal chan struct{}
 	search        search
-	evidence      *evidence.Book
+	evidence      *evidence.Tracker
 	// remoteSingles counts the requests that other entries placed on a single engine.
 	// prefillDemand sums the prefill time, in seconds, of queueable prompts of all entries.
 	remoteSingles decay.Sum
@@ -113,14 +113,14 @@
 		settings:      settings,
 		upstreams:     make(map[string]*upstreamState),
 		services:      make(map[string][]*upstreamState),
-		placements:    make(map[WorkID]*placement),
-		waiters:       make(map[WorkID]*waiter),
+		placements:    make(map[PlacementID]*placement),
+		waiters:       make(map[PlacementID]*waiter),
 		queueChanged:  make(chan struct{}),
 		pendingSignal: make(chan struct{}, 1),
 	}
 	f.search.fleet = f
 	f.search.random = rand.New(rand.NewPCG(settings.Origin, 0))
-	f.evidence = evidence.NewBook(f.search.random)
+	f.evidence = evidence.NewTracker(f.search.random)
 	f.search.freeTimes = make([]time.Duration, 0, partCounts[len(partCounts)-1])
 	return f
 }
@@ -131,19 +131,20 @@
 	defer f.mu.Unlock()
 	n := 0
 	for _, u := range f.services[service] {
-		if !u.Leaving {
+		if !u.Draining {
 			n++
 		}
 	}
 	return n
 }
 
-// Born returns the registered start time of an upstream in Unix milliseconds; zero if unknown.
-func (f *Fleet) Born(id string) int64 {
+// StartedAtMs returns the registered start time of an upstream in Unix milliseconds; zero if
+// unknown.
+func (f *Fleet) StartedAtMs(id string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if u := f.upstreams[id]; u != nil {
-		return u.Born
+		return u.StartedAtMs
 	}
 	return 0
 }
@@ -166,8 +167,9 @@
 // until one of its requests ends.
 const fullFor = time.Second
 
-// Full records that an engine refused to reserve memory: it holds more than is tracked here.
-func (f *Fleet) Full(now time.Time, upstream Upstream) {
+// MarkFull records that an engine refused to reserve memory: it holds more than is tracked
+// here.
+func (f *Fleet) MarkFull(now time.Time, upstream Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if u := f.findIncarnation(upstream); u != nil {
@@ -183,20 +185,20 @@
 	return nil
 }
 
-// Lists reports whether the registry lists an upstream.
-func (f *Fleet) Lists(id string) bool {
+// Registered reports whether the registry lists an upstream.
+func (f *Fleet) Registered(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.upstreams[id] != nil
 }
 
-// Leaves reports whether an incarnation is registered as draining or no longer registered. An
+// Draining reports whether an incarnation is registered as draining or no longer registered. An
 // incarnation replaced by a later one under the same ID is not draining.
-func (f *Fleet) Leaves(upstream Upstream) bool {
+func (f *Fleet) Draining(upstream Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u := f.upstreams[upstream.ID]
-	return u == nil || u.name == upstream.Incarnation() && u.Leaving
+	return u == nil || u.name == upstream.Incarnation() && u.Draining
 }
 
 // Replaced reports whether another incarnation has registered the address of the given one
@@ -209,16 +211,16 @@
 		revision = u.revision
 	}
 	for _, u := range f.upstreams {
-		if u.Address == upstream.Address && u.name != upstream.Incarnation() && u.revision > revision && !u.Leaving {
+		if u.Address == upstream.Address && u.name != upstream.Incarnation() && u.revision > revision && !u.Draining {
 			return true
 		}
 	}
 	return false
 }
 
-// Apply applies changes of registrations. If whole is set, the changes list every upstream
-// there is. It returns the incarnations that ended because their upstream restarted.
-func (f *Fleet) Apply(now time.Time, changes []Change, complete bool) (ended []Upstream) {
+// ApplyChanges applies changes of registrations. If whole is set, the changes list every
+// upstream there is. It returns the incarnations that ended because their upstream restarted.
+func (f *Fleet) ApplyChanges(now time.Time, changes []Change, complete bool) (ended []Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.registry.markAvailable(now)
@@ -249,8 +251,8 @@
 	return ended
 }
 
-// SourceLost records that the registry did not answer.
-func (f *Fleet) SourceLost(now time.Time) {
+// RegistryUnavailable records that the registry did not answer.
+func (f *Fleet) RegistryUnavailable(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.registry.markUnavailable(now)
@@ -270,13 +272,13 @@
 		u = &upstreamState{}
 	case change.Revision < u.revision:
 		return previous, false // A delayed answer; a newer registration is known.
-	case upstream.Born == 0:
-		upstream.Born = u.Born // Without a start time, no restart is assumed.
-	case u.Born != 0 && u.Born != upstream.Born:
+	case upstream.StartedAtMs == 0:
+		upstream.StartedAtMs = u.StartedAtMs // Without a start time, no restart is assumed.
+	case u.StartedAtMs != 0 && u.StartedAtMs != upstream.StartedAtMs:
 		previous, restarted = u.Upstream, true
 		u = &upstreamState{}
 	}
-	if change.Revision > u.revision && !upstream.Leaving {
+	if change.Revision > u.revision && !upstream.Draining {
 		u.health.Registered(now)
 	}
 	f.upstreams[upstream.ID] = u
@@ -293,7 +295,7 @@
 	if u == nil {
 		return
 	}
-	if grace := f.registry.removalGrace(now); grace > 0 && !u.Leaving {
+	if grace := f.registry.removalGrace(now); grace > 0 && !u.Draining {
 		if u.lapsesAt.IsZero() {
 			u.lapsesAt = now.Add(grace)
 		}
@@ -350,7 +352,7 @@
 // When an upstream restarts under another ID, its old registration remains until it lapses. A
 // set with both would name one address twice, and engines refuse such a prompt as malformed.
 func (u *upstreamState) superseded() bool {
-	return u.supersededBy != nil && !u.supersededBy.health.Proved()
+	return u.supersededBy != nil && !u.supersededBy.health.ProvedDown()
 }
 
 // candidates returns the upstreams that may take a request: not draining, not excluded by the
@@ -359,7 +361,7 @@
 func (f *Fleet) candidates(now time.Time, request *Request, result []*upstreamState) []*upstreamState {
 	all := f.services[request.Service]
 	for _, u := range all {
-		if u.accepts(now, request) && !u.health.Out(now) && !u.superseded() {
+		if u.accepts(now, request) && !u.health.Excluded(now) && !u.superseded() {
 			result = append(result, u)
 		}
 	}
@@ -374,15 +376,15 @@
 	return result
 }
 
-// Elsewhere reports whether a request has an upstream besides those that it excludes.
-func (f *Fleet) Elsewhere(now time.Time, request *Request) bool {
+// HasAlternative reports whether a request has an upstream besides those that it excludes.
+func (f *Fleet) HasAlternative(now time.Time, request *Request) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.ContainsFunc(f.services[request.Service], func(u *upstreamState) bool { return u.accepts(now, request) })
 }
 
 func (u *upstreamState) accepts(now time.Time, request *Request) bool {
-	if u.Leaving || !u.lapsesAt.IsZero() && !now.Before(u.lapsesAt) {
+	if u.Draining || !u.lapsesAt.IsZero() && !now.Before(u.lapsesAt) {
 		return false
 	}
 	return !slices.Contains(request.Exclude, u.name)
@@ -397,40 +399,40 @@
 	Place Verdict = iota
 	// NoUpstream means that no upstream takes requests.
 	NoUpstream
-	// TooBusy means that the request would cost others more than it is worth. The caller should
-	// retry later.
-	TooBusy
-	// Hold means that the request waits in the queue: call Choose again, under the returned ID,
-	// when the Turn says so.
-	Hold
+	// Overloaded means that the request would cost others more than it is worth. The caller
+	// should retry later.
+	Overloaded
+	// Queue means that the request waits in the queue: call Choose again, under the returned
+	// ID, when the Retry says so.
+	Queue
 )
 
 // Choose decides where a request goes and records the placement.
-func (f *Fleet) Choose(now time.Time, request *Request, spec *enginemodel.Spec) (choice Choice, id WorkID, verdict Verdict) {
+func (f *Fleet) Choose(now time.Time, request *Request, spec *enginemodel.Spec) (choice Choice, id PlacementID, verdict Verdict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.plan(now, request, spec)
 	switch {
 	case !ok:
-		f.withdraw(request.Turn)
-		return Choice{}, WorkID{}, NoUpstream
+		f.withdraw(request.QueueID)
+		return Choice{}, PlacementID{}, NoUpstream
 	case p.refused:
-		f.withdraw(request.Turn)
-		return Choice{Why: p.rationale}, WorkID{}, TooBusy
+		f.withdraw(request.QueueID)
+		return Choice{Explanation: p.rationale}, PlacementID{}, Overloaded
 	case p.retryAfter > 0:
 		id := f.enqueue(now, request)
-		return Choice{Turn: f.retryFor(p), Why: p.rationale}, id, Hold
+		return Choice{Retry: f.retryFor(p), Explanation: p.rationale}, id, Queue
 	}
 	p.rationale.Candidates = len(f.search.candidates)
 	p.rationale.Backlog = p.primary.backlog
 	p.rationale.Streams = p.primary.streams
-	p.rationale.Memory = p.primary.memoryTokens
-	p.rationale.AgainstProof = p.primary.health.AgainstProof(now) || slices.ContainsFunc(p.helpers, func(u *upstreamState) bool {
-		return u.health.AgainstProof(now)
+	p.rationale.MemoryTokens = p.primary.memoryTokens
+	p.rationale.KnownDown = p.primary.health.KnownDown(now) || slices.ContainsFunc(p.helpers, func(u *upstreamState) bool {
+		return u.health.KnownDown(now)
 	})
 	pl := f.commit(now, request, p)
 	choice = p.choice(pl.id)
-	choice.Ask = f.lossProbability(now, &p) > probeThreshold
+	choice.Probe = f.lossProbability(now, &p) > probeThreshold
 	return choice, pl.id, Place
 }
 
@@ -439,8 +441,8 @@
 	f.search.candidates = f.candidates(now, request, f.search.candidates[:0])
 	candidates := f.search.candidates
 	f.search.pinned = nil
-	if request.Keep != "" {
-		i := slices.IndexFunc(candidates, func(u *upstreamState) bool { return u.name == request.Keep })
+	if request.PinnedTo != "" {
+		i := slices.IndexFunc(candidates, func(u *upstreamState) bool { return u.name == request.PinnedTo })
 		if i < 0 {
 			return plan{}, false
 		}
@@ -462,7 +464,7 @@
 // entry's own zone are preferred among equals.
 //
 // Each entry starts its search at a different upstream. If all started at the same one, they
-// would all choose it among equal upstreams before they hear of each other, and it would refuse
+// would all choose it among equal upstreams before they learn of each other, and it would refuse
 // for lack of slots while others are idle.
 func (f *Fleet) leastOutstanding(now time.Time, candidates []*upstreamState) *upstreamState {
 	var best *upstreamState
@@ -474,7 +476,7 @@
 		if u.Zone != f.settings.Zone {
 			value += zonePenalty
 		}
-		value += u.health.Doubt(now)
+		value += u.health.Penalty(now)
 		if best == nil || value < least {
 			best, least = u, value
 		}
--- a/core/dispatch/fleet_test.go
+++ b/core/dispatch/fleet_test.go
@@ -15,7 +15,7 @@
 // spec has the published figures of a typical engine.
 var spec = &enginemodel.Spec{
 	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond,
-	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, ReadRate: 154_000,
+	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, PrefillRate: 154_000,
 	PerPair: 0.162, Chunk: 2048, Hop: 100 * time.Microsecond,
 }
 
@@ -29,21 +29,21 @@
 
 func newFleet(n int, rule Rule) *Fleet {
 	f := NewFleet(Settings{Rule: rule, Origin: 1})
-	f.Apply(start, upstreams(n), true)
+	f.ApplyChanges(start, upstreams(n), true)
 	return f
 }
 
 func short() *Request {
-	return &Request{Service: "model", PromptTokens: 5000, OutputTokens: 1300, Aim: 300 * time.Millisecond,
-		GapAim: 250 * time.Millisecond, Left: 10 * time.Second}
+	return &Request{Service: "model", PromptTokens: 5000, OutputTokens: 1300, FirstEventTarget: 300 * time.Millisecond,
+		GapTarget: 250 * time.Millisecond, TimeToDeadline: 10 * time.Second}
 }
 
 func heavy(tokens int) *Request {
-	return &Request{Service: "model", PromptTokens: tokens, OutputTokens: 650, Aim: 4 * time.Second,
-		GapAim: time.Second, Left: 15 * time.Second}
+	return &Request{Service: "model", PromptTokens: tokens, OutputTokens: 650, FirstEventTarget: 4 * time.Second,
+		GapTarget: time.Second, TimeToDeadline: 15 * time.Second}
 }
 
-func choose(t *testing.T, f *Fleet, now time.Time, request *Request) (Choice, WorkID) {
+func choose(t *testing.T, f *Fleet, now time.Time, request *Request) (Choice, PlacementID) {
 	t.Helper()
 	choice, id, verdict := f.Choose(now, request, spec)
 	require.Equal(t, Place, verdict)
@@ -56,8 +56,8 @@
 	seen := map[string]int{}
 	for origin := range uint64(60) {
 		f := NewFleet(Settings{Rule: Predicted, Origin: origin + 1})
-		f.Apply(start, upstreams(3), true)
-		choice, _, verdict := f.Choose(start, &Request{Service: "model", Left: time.Second}, nil)
+		f.ApplyChanges(start, upstreams(3), true)
+		choice, _, verdict := f.Choose(start, &Request{Service: "model", TimeToDeadline: time.Second}, nil)
 		require.Equal(t, Place, verdict)
 		seen[choice.Upstream.ID]++
 	}
@@ -68,11 +68,11 @@
 	f := newFleet(2, Predicted)
 	request := short()
 	request.Exclude = []string{"u-0000"}
-	require.True(t, f.Elsewhere(start, request))
+	require.True(t, f.HasAlternative(start, request))
 	leaving := upstreams(2)[1]
-	leaving.Leaving = true
-	f.Apply(start, []Change{leaving}, false)
-	require.False(t, f.Elsewhere(start, request))
+	leaving.Draining = true
+	f.ApplyChanges(start, []Change{leaving}, false)
+	require.False(t, f.HasAlternative(start, request))
 }
 
 func TestLeastOutstandingSpreads(t *testing.T) {
@@ -88,14 +88,14 @@
 func TestDrainingAndExcludedUpstreamsGetNoRequests(t *testing.T) {
 	f := newFleet(3, Predicted)
 	gone := upstreams(3)[:1]
-	gone[0].Leaving = true
-	f.Apply(start, gone, false)
+	gone[0].Draining = true
+	f.ApplyChanges(start, gone, false)
 	request := short()
 	request.Exclude = []string{"u-0001"}
 	for range 20 {
 		choice, id := choose(t, f, start, request)
 		require.Equal(t, "u-0002", choice.Upstream.ID)
-		f.Ended(start, id, Served)
+		f.RecordEnd(start, id, Served)
 	}
 	request.Exclude = []string{"u-0001", "u-0002"}
 	_, _, verdict := f.Choose(start, request, spec)
@@ -107,7 +107,7 @@
 func TestLongPromptsAvoidEnginesWithShortStreams(t *testing.T) {
 	f := newFleet(8, Predicted)
 	decoding, id := choose(t, f, start, short())
-	f.Begun(start.Add(50*time.Millisecond), id)
+	f.RecordFirstEvent(start.Add(50*time.Millisecond), id)
 	now := start.Add(60 * time.Millisecond)
 	choice, _ := choose(t, f, now, heavy(180_000))
 	require.NotEmpty(t, choice.Helpers, "a single engine would miss the target")
@@ -132,7 +132,7 @@
 	}
 	for id, n := range perEngine {
 		read := time.Duration(n) * spec.Read(short().PromptTokens)
-		require.Less(t, read, short().Aim, "%s has %d", id, n)
+		require.Less(t, read, short().FirstEventTarget, "%s has %d", id, n)
 	}
 }
 
@@ -140,31 +140,31 @@
 // entry must count like a local one.
 func TestRemotePlacementsCountLikeLocalOnes(t *testing.T) {
 	a, b := newFleet(2, Predicted), NewFleet(Settings{Rule: Predicted, Origin: 2})
-	b.Apply(start, upstreams(2), true)
+	b.ApplyChanges(start, upstreams(2), true)
 	choice, id := choose(t, a, start, heavy(40_000))
-	b.Heard(start, 1, a.News())
+	b.ApplyEvents(start, 1, a.TakeEvents())
 	require.Equal(t, 1, b.Outstanding())
 	other, _ := choose(t, b, start, short())
 	if len(choice.Helpers) == 0 {
 		require.NotEqual(t, choice.Upstream.ID, other.Upstream.ID)
 	}
-	a.Begun(start, id)
-	a.Ended(start, id, Served)
-	b.Heard(start, 1, a.News())
+	a.RecordFirstEvent(start, id)
+	a.RecordEnd(start, id, Served)
+	b.ApplyEvents(start, 1, a.TakeEvents())
 	require.Equal(t, 1, b.Outstanding(), "only its own placement is left")
 }
 
 func TestSnapshotInitialisesNewEntry(t *testing.T) {
 	a, b := newFleet(4, Predicted), NewFleet(Settings{Rule: Predicted, Origin: 2})
-	b.Apply(start, upstreams(4), true)
+	b.ApplyChanges(start, upstreams(4), true)
 	_, id := choose(t, a, start, heavy(180_000))
-	a.Begun(start, id)
+	a.RecordFirstEvent(start, id)
 	choose(t, a, start, short())
-	b.Heard(start, 1, a.Current(start))
+	b.ApplyEvents(start, 1, a.Snapshot(start))
 	require.Equal(t, 2, b.Outstanding())
-	b.Heard(start, 1, a.Current(start))
+	b.ApplyEvents(start, 1, a.Snapshot(start))
 	require.Equal(t, 2, b.Outstanding(), "known placements are not counted twice")
-	b.ForgetOrigin(start, 1)
+	b.RemoveOrigin(start, 1)
 	require.Zero(t, b.Outstanding())
 }
 
@@ -173,9 +173,9 @@
 func TestPlacementsExpireAfterTheirDeadline(t *testing.T) {
 	f := newFleet(2, Predicted)
 	choose(t, f, start, short())
-	f.Forget(start.Add(10 * time.Second))
+	f.RemoveExpired(start.Add(10 * time.Second))
 	require.Equal(t, 1, f.Outstanding())
-	f.Forget(start.Add(10*time.Second + 2*expiryMargin))
+	f.RemoveExpired(start.Add(10*time.Second + 2*expiryMargin))
 	require.Zero(t, f.Outstanding())
 }
 
@@ -184,12 +184,12 @@
 // the empty list must not take effect at once.
 func TestLapsedRegistrationsStayInUseAfterRegistryOutage(t *testing.T) {
 	f := newFleet(2, Predicted)
-	f.SourceLost(start)
+	f.RegistryUnavailable(start)
 	back := start.Add(5 * time.Second)
-	f.Apply(back, nil, true)
+	f.ApplyChanges(back, nil, true)
 	require.Equal(t, 2, f.Upstreams("model"))
-	f.Apply(back.Add(time.Second), upstreams(2)[:1], false)
-	f.Forget(back.Add(recoveryGrace + time.Millisecond))
+	f.ApplyChanges(back.Add(time.Second), upstreams(2)[:1], false)
+	f.RemoveExpired(back.Add(recoveryGrace + time.Millisecond))
 	require.Equal(t, 1, f.Upstreams("model"), "one is registered again, the other is removed")
 }
 
@@ -199,10 +199,10 @@
 func TestRemovalAfterRegistryOutageTakesEffectInTime(t *testing.T) {
 	const bound = 2 * time.Second
 	f := newFleet(2, Predicted)
-	f.SourceLost(start)
+	f.RegistryUnavailable(start)
 	gone := upstreams(2)[:1]
 	gone[0].Removed = true
-	f.Apply(start.Add(time.Second), gone, false)
+	f.ApplyChanges(start.Add(time.Second), gone, false)
 	for i := range 4 {
 		choice, _ := choose(t, f, start.Add(time.Second+bound-time.Duration(100-i)*time.Millisecond), short())
 		require.Equal(t, "u-0001", choice.Upstream.ID)
@@ -213,7 +213,7 @@
 	f := newFleet(2, Predicted)
 	gone := upstreams(2)[:1]
 	gone[0].Removed = true
-	f.Apply(start.Add(time.Second), gone, false)
+	f.ApplyChanges(start.Add(time.Second), gone, false)
 	require.Equal(t, 1, f.Upstreams("model"))
 }
 
@@ -226,12 +226,12 @@
 			changes := upstreams(2)
 			changes[1] = Change{Upstream: Upstream{ID: "u-0001"}, Unreadable: true}
 			changes = append(changes, Change{Upstream: Upstream{ID: "foreign"}, Unreadable: true})
-			f.SourceLost(start)
-			f.Apply(start, changes, complete)
+			f.RegistryUnavailable(start)
+			f.ApplyChanges(start, changes, complete)
 			require.Equal(t, 1, f.Upstreams("model"), "removed even after an outage; the other stays")
 			choice, _ := choose(t, f, start, short())
 			require.Equal(t, "u-0000", choice.Upstream.ID)
-			f.Apply(start, upstreams(2), false)
+			f.ApplyChanges(start, upstreams(2), false)
 			require.Equal(t, 2, f.Upstreams("model"), "its own registration is back")
 		})
 	}
@@ -243,11 +243,11 @@
 	f := newFleet(3, LeastOutstanding)
 	choice, id := choose(t, f, start, short())
 	failing := choice.Upstream.ID
-	f.Ended(start, id, Failed)
+	f.RecordEnd(start, id, Failed)
 	for range 30 {
 		choice, id = choose(t, f, start, short())
 		require.NotEqual(t, failing, choice.Upstream.ID)
-		f.Ended(start, id, Served)
+		f.RecordEnd(start, id, Served)
 	}
 	later := start.Add(7 * time.Second)
 	seen := map[string]bool{}
@@ -264,7 +264,7 @@
 	f := newFleet(2, Predicted)
 	for range 10 {
 		_, id := choose(t, f, start, short())
-		f.Ended(start, id, Failed)
+		f.RecordEnd(start, id, Failed)
 	}
 }
 
@@ -281,8 +281,8 @@
 					b.ReportAllocs()
 					for b.Loop() {
 						_, id, _ := f.Choose(start, request, spec)
-						f.Ended(start, id, Served)
-						f.News()
+						f.RecordEnd(start, id, Served)
+						f.TakeEvents()
 					}
 				})
 			}
--- a/core/dispatch/memory_test.go
+++ b/core/dispatch/memory_test.go
@@ -12,26 +12,26 @@
 func TestPromptBeyondOneEnginesMemoryReservesAtOthers(t *testing.T) {
 	f := newFleet(14, Predicted)
 	choice, id := choose(t, f, start, heavy(900_000))
-	require.True(t, choice.Tickets())
+	require.True(t, choice.NeedsReservations())
 	reserved := 0
 	names := map[string]bool{}
 	for _, helper := range choice.Helpers {
 		reserved += helper.Tokens
-		require.Equal(t, helper.Tokens > 0, helper.Ticket != "")
+		require.Equal(t, helper.Tokens > 0, helper.Reservation != "")
 		require.LessOrEqual(t, helper.Tokens, spec.MemoryTokens)
-		if helper.Ticket != "" {
-			names[helper.Ticket] = true
+		if helper.Reservation != "" {
+			names[helper.Reservation] = true
 		}
 	}
 	require.GreaterOrEqual(t, reserved+spec.MemoryTokens, 900_650)
 	require.Len(t, names, 1, "the same name at all engines")
 
 	// Reserved memory is not given to the next request.
-	f.Begun(start, id)
+	f.RecordFirstEvent(start, id)
 	for _, u := range f.services["model"] {
 		require.LessOrEqual(t, u.memoryTokens, spec.MemoryTokens, u.ID)
 	}
-	f.Ended(start, id, Served)
+	f.RecordEnd(start, id, Served)
 	for _, u := range f.services["model"] {
 		require.Zero(t, u.memoryTokens, u.ID)
 		require.Zero(t, u.backlog, u.ID)
@@ -43,21 +43,21 @@
 	f := newFleet(14, Predicted)
 	choice, _ := choose(t, f, start, heavy(180_000))
 	require.NotEmpty(t, choice.Helpers)
-	require.False(t, choice.Tickets())
+	require.False(t, choice.NeedsReservations())
 }
 
 // Guards against repeated refusals of a reservation by the same engine: an engine that refused
 // one counts as full for a while, because it holds more than is tracked here.
 func TestNoReservationAtEngineThatRefusedMemory(t *testing.T) {
 	f := newFleet(4, Predicted)
-	f.Full(start, Upstream{ID: "u-0001"})
+	f.MarkFull(start, Upstream{ID: "u-0001"})
 	choice, id := choose(t, f, start, heavy(700_000))
 	for _, helper := range choice.Helpers {
 		if helper.Upstream.ID == "u-0001" {
 			require.Zero(t, helper.Tokens)
 		}
 	}
-	f.Ended(start, id, Served)
+	f.RecordEnd(start, id, Served)
 }
 
 // Guards against engines that are full but idle: no memory is reserved at helpers while the
@@ -67,13 +67,13 @@
 	for _, u := range f.services["model"] {
 		for range spec.Slots {
 			f.lastNumber++
-			f.place(start, &placement{id: WorkID{Origin: 1, Number: f.lastNumber}, promptTokens: 500, gapTarget: time.Second, streaming: true}, plan{primary: u})
+			f.place(start, &placement{id: PlacementID{Origin: 1, Number: f.lastNumber}, promptTokens: 500, gapTarget: time.Second, streaming: true}, plan{primary: u})
 		}
 	}
 	request := heavy(600_000)
 	request.Committed = true
 	choice, _, verdict := f.Choose(start, request, spec)
-	require.False(t, verdict == Place && choice.Tickets())
+	require.False(t, verdict == Place && choice.NeedsReservations())
 }
 
 // Guards against refusing all long prompts while engines are idle. A helper is gone and the
@@ -83,11 +83,11 @@
 	f := newFleet(4, Predicted)
 	gone := upstreams(4)[2]
 	gone.Address = "10.0.0.3:80"
-	f.Apply(start, []Change{gone}, false)
+	f.ApplyChanges(start, []Change{gone}, false)
 	choice, id := choose(t, f, start, heavy(180_000))
 	require.Len(t, choice.Helpers, 3)
-	f.Ended(start, id, Abandoned)
-	f.AtFault(start, gone.Upstream, start)
+	f.RecordEnd(start, id, Abandoned)
+	f.RecordFault(start, gone.Upstream, start)
 	choice, _ = choose(t, f, start, heavy(180_000))
 	require.Len(t, choice.Helpers, 2)
 	require.NotEqual(t, gone.ID, choice.Upstream.ID)
@@ -104,7 +104,7 @@
 		f.Choose(start, heavy(120_000), spec)
 	}
 	_, _, verdict := f.Choose(start, heavy(900_000), spec)
-	require.Equal(t, TooBusy, verdict)
+	require.Equal(t, Overloaded, verdict)
 	_, _, verdict = f.Choose(start, short(), spec)
 	require.Equal(t, Place, verdict)
 	committed := heavy(900_000)
@@ -120,7 +120,7 @@
 // loads, and nothing is left when all requests have ended.
 func TestUpstreamSumsMatchLoads(t *testing.T) {
 	f := newFleet(6, Predicted)
-	var ids []WorkID
+	var ids []PlacementID
 	now := start
 	for i := range 200 {
 		now = now.Add(time.Duration(i%7) * 13 * time.Millisecond)
@@ -132,16 +132,16 @@
 			ids = append(ids, id)
 		}
 		if i%3 == 0 && len(ids) > 0 {
-			f.Begun(now, ids[len(ids)/2])
+			f.RecordFirstEvent(now, ids[len(ids)/2])
 		}
 		if i%4 == 0 && len(ids) > 4 {
-			f.Ended(now, ids[0], Outcome(i%4))
+			f.RecordEnd(now, ids[0], Outcome(i%4))
 			ids = ids[1:]
 		}
 		checkSums(t, f)
 	}
 	for _, id := range ids {
-		f.Ended(now, id, Served)
+		f.RecordEnd(now, id, Served)
 	}
 	checkSums(t, f)
 	for _, u := range f.upstreams {
--- a/core/dispatch/order_test.go
+++ b/core/dispatch/order_test.go
@@ -13,10 +13,10 @@
 func TestNewestPartIsReadFirst(t *testing.T) {
 	f := newFleet(2, Predicted)
 	engines := f.services["model"]
-	older, newer := &placement{id: WorkID{Number: 1}}, &placement{id: WorkID{Number: 2}}
+	older, newer := &placement{id: PlacementID{Number: 1}}, &placement{id: PlacementID{Number: 2}}
 	f.place(start, older, plan{primary: engines[0], helpers: engines[1:], partTime: 300 * time.Millisecond})
 	f.place(start, newer, plan{primary: engines[1], helpers: engines[:1], partTime: 200 * time.Millisecond})
-	single := &placement{id: WorkID{Number: 3}}
+	single := &placement{id: PlacementID{Number: 3}}
 	f.place(start, single, plan{primary: engines[0], partTime: 30 * time.Millisecond})
 
 	engines[0].advance(start.Add(150 * time.Millisecond))
@@ -54,15 +54,15 @@
 		choice, id := choose(t, f, now, request)
 		require.NotEmpty(t, choice.Helpers)
 		primaries[choice.Upstream.ID]++
-		now = now.Add(choice.Why.First)
-		f.Begun(now, id)
+		now = now.Add(choice.Explanation.FirstEvent)
+		f.RecordFirstEvent(now, id)
 	}
 	require.Len(t, primaries, 1, "one engine decodes all streams while it has room")
 }
 
 // Guards against short requests that are hundreds of milliseconds late, at engines that had a
 // slot left when they were chosen: one in six was. Several entries place a request before they
-// hear of each other; packing to the last slot would lead all of them to the same engine.
+// learn of each other; packing to the last slot would lead all of them to the same engine.
 func TestShortRequestsLeaveLastSlotForOtherEntries(t *testing.T) {
 	f := newFleet(4, Predicted)
 	now := start
@@ -71,7 +71,7 @@
 		choice, id := choose(t, f, now, short())
 		streamsByEngine[choice.Upstream.ID]++
 		now = now.Add(40 * time.Millisecond)
-		f.Begun(now, id)
+		f.RecordFirstEvent(now, id)
 	}
 	for id, streams := range streamsByEngine {
 		require.Less(t, streams, spec.Slots, "%s was filled while others had room", id)
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -63,7 +63,7 @@
 
 // recordEvidence records this entry's own evidence and signals that there is a report to send.
 func (f *Fleet) recordEvidence(now time.Time, u *upstreamState, kind evidence.Kind, sentAt time.Time) {
-	f.evidence.Seen(now, u.subject(), &u.health, kind, sentAt)
+	f.evidence.Observe(now, u.subject(), &u.health, kind, sentAt)
 	if f.evidence.Pending() {
 		f.signalPending()
 	}
@@ -73,13 +73,13 @@
 	return evidence.Subject{Tag: uint32(u.tag), Name: u.name}
 }
 
-// AtFault records that an upstream made another one refuse a prompt that both were to prefill,
-// sent at asked. A fault of an ended incarnation does not count against the next.
+// RecordFault records that an upstream made another one refuse a prompt that both were to
+// prefill, sent at asked. A fault of an ended incarnation does not count against the next.
 //
 // Without it, the engine that refused would count as full, and every further set would include
 // the faulty one again until the registry removes it, which during a registry outage does not
 // happen.
-func (f *Fleet) AtFault(now time.Time, upstream Upstream, sentAt time.Time) {
+func (f *Fleet) RecordFault(now time.Time, upstream Upstream, sentAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if u := f.findIncarnation(upstream); u != nil {
@@ -102,7 +102,7 @@
 		}
 	}
 	if now.Sub(sentAt) < fastRefusal && parts < u.Slots {
-		return evidence.Leaving
+		return evidence.Draining
 	}
 	return evidence.Silent
 }
@@ -122,41 +122,41 @@
 	return 1 - math.Pow(1-each, float64(len(p.helpers)))
 }
 
-// Reports returns the reports for other entries since the last call.
-func (f *Fleet) Reports(now time.Time) []evidence.Report {
+// TakeReports returns the reports for other entries since the last call.
+func (f *Fleet) TakeReports(now time.Time) []evidence.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.evidence.Reports(now)
+	return f.evidence.TakeReports(now)
 }
 
-// HeardReports applies the reports of the entry with the given origin.
-func (f *Fleet) HeardReports(now time.Time, origin uint64, reports []evidence.Report) {
+// ApplyReports applies the reports of the entry with the given origin.
+func (f *Fleet) ApplyReports(now time.Time, origin uint64, reports []evidence.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, report := range f.evidence.Check(reports) {
 		u := f.tags[Tag(report.Tag)]
 		if u == nil {
-			f.evidence.Drop(evidence.Unknown, 1)
+			f.evidence.CountDropped(evidence.Unknown, 1)
 			continue
 		}
-		f.evidence.Heard(now, origin, u.subject(), &u.health, report, len(f.services[u.Service]))
+		f.evidence.ApplyReport(now, origin, u.subject(), &u.health, report, len(f.services[u.Service]))
 	}
 }
 
-// Verdicts returns the exclusions and readmissions since the last call.
-func (f *Fleet) Verdicts() []evidence.Verdict {
+// TakeVerdicts returns the exclusions and readmissions since the last call.
+func (f *Fleet) TakeVerdicts() []evidence.Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.evidence.Verdicts()
+	return f.evidence.TakeVerdicts()
 }
 
-// LeftOut returns the number of upstreams that are excluded by evidence.
-func (f *Fleet) LeftOut(now time.Time) int {
+// Excluded returns the number of upstreams that are excluded by evidence.
+func (f *Fleet) Excluded(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, u := range f.upstreams {
-		if u.health.Out(now) {
+		if u.health.Excluded(now) {
 			n++
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 // DroppedReports returns how many reports of other entries were dropped for a reason.
-func (f *Fleet) DroppedReports(reason evidence.Dropped) uint64 {
+func (f *Fleet) DroppedReports(reason evidence.DropReason) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.evidence.Dropped(reason)
--- a/core/dispatch/place_test.go
+++ b/core/dispatch/place_test.go
@@ -44,7 +44,7 @@
 	for i := range 2 * perSecond {
 		now = start.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
 		number := uint64(i + 1)
-		f.Heard(now, 9, []Event{
+		f.ApplyEvents(now, 9, []Event{
 			{Kind: Placed, Number: number, First: f.services["model"][0].tag, Prompt: 5000, Output: 1300, AimMs: 300, GapMs: 250, LeftMs: 10_000},
 			{Kind: Ended, Number: number},
 		})
@@ -54,13 +54,13 @@
 
 // Guards against one in ten short prompts being late by the length of a stream on a large,
 // nearly idle fleet. A hundred entries get hundreds of prompts a second and choose before they
-// hear of each other; they must not all choose the same engine.
+// learn of each other; they must not all choose the same engine.
 func TestSimultaneousChoicesSpreadOverEngines(t *testing.T) {
 	const rate = 600
 	chosen := map[string]int{}
 	for origin := range uint64(100) {
 		f := NewFleet(Settings{Rule: Predicted, Origin: origin + 1})
-		f.Apply(start, upstreams(112), true)
+		f.ApplyChanges(start, upstreams(112), true)
 		choice, _ := choose(t, f, simulateRemotePlacements(f, rate), short())
 		chosen[choice.Upstream.ID]++
 	}
@@ -108,7 +108,7 @@
 				choice, id := choose(t, f, now, short())
 				opened[choice.Upstream.ID] = true
 				now = now.Add(30 * time.Millisecond)
-				f.Begun(now, id)
+				f.RecordFirstEvent(now, id)
 			}
 			if demand > 0 {
 				require.Len(t, opened, 1)
@@ -130,7 +130,7 @@
 		choice, id := choose(t, f, now, short())
 		opened[choice.Upstream.ID] = true
 		now = now.Add(30 * time.Millisecond)
-		f.Begun(now, id)
+		f.RecordFirstEvent(now, id)
 	}
 	require.Greater(t, len(opened), 1)
 }
@@ -141,7 +141,7 @@
 func TestPrefillThatDelaysStreamsPastDeadlineIsCharged(t *testing.T) {
 	f := newFleet(2, Predicted)
 	slow := f.services["model"][0]
-	pl := &placement{id: WorkID{Number: 1}, promptTokens: 5000, outputTokens: 38 * spec.Stride, target: start, gapTarget: 250 * time.Millisecond,
+	pl := &placement{id: PlacementID{Number: 1}, promptTokens: 5000, outputTokens: 38 * spec.Stride, target: start, gapTarget: 250 * time.Millisecond,
 		streaming: true, firstEventAt: start, expiresAt: start.Add(4500*time.Millisecond + expiryMargin)}
 	f.place(start, pl, plan{primary: slow})
 	slow.prefillUtilisation = 0.6
@@ -165,7 +165,7 @@
 	u.advance(start)
 	for i := range 40 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		f.place(now, &placement{id: WorkID{Number: uint64(i)}}, plan{primary: u, partTime: 40 * time.Millisecond})
+		f.place(now, &placement{id: PlacementID{Number: uint64(i)}}, plan{primary: u, partTime: 40 * time.Millisecond})
 	}
 	u.advance(start.Add(4 * time.Second))
 	require.InDelta(t, 0.4, u.prefillUtilisation, 0.05)
--- a/core/dispatch/predicted.go
+++ b/core/dispatch/predicted.go
@@ -134,9 +134,9 @@
 	best.retryAfter, best.headOfQueue = decision.retryAfter, decision.headOfQueue
 	best.refused = decision.reject || !request.Committed && (s.outlastsCaller(decision.firstEvent) || s.queuesPastTarget(&best, decision.firstEvent))
 	best.urgency = urgency(request)
-	best.rationale = Why{Cost: s.leastCost, First: decision.firstEvent, Read: s.prefillTime, Load: load}
+	best.rationale = Explanation{ExpectedLoss: s.leastCost, FirstEvent: decision.firstEvent, Read: s.prefillTime, MeanBacklog: load}
 	if best.refused {
-		best.rationale.Clear = s.clearTime()
+		best.rationale.ClearTime = s.clearTime()
 	}
 	return best
 }
@@ -145,7 +145,7 @@
 func (s *search) mostlyAlive() bool {
 	alive := 0
 	for _, u := range s.candidates {
-		if !u.health.Proved() {
+		if !u.health.ProvedDown() {
 			alive++
 		}
 	}
@@ -156,7 +156,7 @@
 // find out whether it is back. A set of many engines would include one that only a few entries
 // know to be down, and fail as a whole, again at each entry.
 func (s *search) avoids(u *upstreamState) bool {
-	return s.avoidProved && u != s.pinned && u.health.Proved()
+	return s.avoidProved && u != s.pinned && u.health.ProvedDown()
 }
 
 // queuesPastTarget reports whether the request would wait for a slot until it is late, and hold
@@ -167,7 +167,7 @@
 // take a slot all the same and make those behind it late, which halves goodput. Refusing it
 // leaves the slot to a request that is in time.
 func (s *search) queuesPastTarget(p *plan, firstEvent time.Duration) bool {
-	return p.primary != nil && p.primary.streams >= s.spec.Slots && firstEvent > s.request.Aim
+	return p.primary != nil && p.primary.streams >= s.spec.Slots && firstEvent > s.request.FirstEventTarget
 }
 
 // meanBacklog returns the mean prefill backlog of the engines.
@@ -244,7 +244,7 @@
 // engines whose costs hardly differ.
 //
 // The cheapest is the same for all entries, and the more entries there are, the more of them
-// would take its last slots before they hear of each other. First events would be late by the
+// would take its last slots before they learn of each other. First events would be late by the
 // length of a stream on a nearly idle fleet.
 func (s *search) cheapestSingle(count int) plan {
 	s.shortlist = s.shortlist[:0]
@@ -252,7 +252,7 @@
 		if s.pinned != nil && u != s.pinned || s.queueable() && !u.idle() || s.avoids(u) {
 			continue
 		}
-		cost := s.comparisonCost(s.prefillWait(u)+s.prefillTime) + s.streamCost(u, s.prefillTime) + s.capacityCost(u) + s.positionCost(u) + u.health.Doubt(s.now)
+		cost := s.comparisonCost(s.prefillWait(u)+s.prefillTime) + s.streamCost(u, s.prefillTime) + s.capacityCost(u) + s.positionCost(u) + u.health.Penalty(s.now)
 		s.shortlist = insertLeast(s.shortlist, offer{upstream: u, cost: cost}, count, byCost)
 	}
 	if len(s.shortlist) == 0 {
@@ -308,5 +308,5 @@
 	// The current pass ends first, and the first event is sent at the end of the pass in which
 	// the prefill ends; an engine without streams sends it at once. Without the second pass,
 	// first events of short prompts came 68 ms later at the median than predicted.
-	return networkDelay + s.spec.Pause(u.streams, u.contextTokens)*3/2
+	return networkDelay + s.spec.PassTime(u.streams, u.contextTokens)*3/2
 }
--- a/core/dispatch/restart_test.go
+++ b/core/dispatch/restart_test.go
@@ -11,7 +11,7 @@
 // incarnation returns the registration of one upstream with the given start time.
 func incarnation(n int, startedAt int64) []Change {
 	changes := upstreams(n)[n-1:]
-	changes[0].Born = startedAt
+	changes[0].StartedAtMs = startedAt
 	return changes
 }
 
@@ -19,32 +19,32 @@
 // failures of the previous incarnation under the same ID.
 func TestNewIncarnationInheritsNoState(t *testing.T) {
 	f := newFleet(2, Predicted)
-	f.Apply(start, incarnation(2, 1000), false)
+	f.ApplyChanges(start, incarnation(2, 1000), false)
 	old := f.upstreams["u-0001"]
 	for range 4 {
-		pl := &placement{id: WorkID{Origin: 1, Number: f.lastNumber + 1}, promptTokens: 200_000}
+		pl := &placement{id: PlacementID{Origin: 1, Number: f.lastNumber + 1}, promptTokens: 200_000}
 		f.lastNumber++
 		f.place(start, pl, plan{primary: old, partTime: time.Second})
 	}
-	f.Full(start, old.Upstream)
-	f.AtFault(start, old.Upstream, start)
+	f.MarkFull(start, old.Upstream)
+	f.RecordFault(start, old.Upstream, start)
 
-	ended := f.Apply(start, incarnation(2, 2000), false)
+	ended := f.ApplyChanges(start, incarnation(2, 2000), false)
 	require.Equal(t, []Upstream{old.Upstream}, ended)
 	u := f.upstreams["u-0001"]
-	require.Equal(t, int64(2000), u.Born)
+	require.Equal(t, int64(2000), u.StartedAtMs)
 	require.NotEqual(t, old.tag, u.tag, "placements on the previous incarnation don't count")
 	require.Zero(t, u.backlog+u.partBacklog)
 	require.Zero(t, u.streams+u.memoryTokens+u.contextTokens+len(u.loads))
 	require.Zero(t, u.health)
 	require.Zero(t, u.fullUntil)
 
-	f.Full(start, old.Upstream)
-	f.AtFault(start, old.Upstream, start)
+	f.MarkFull(start, old.Upstream)
+	f.RecordFault(start, old.Upstream, start)
 	require.Zero(t, u.health, "late evidence on the previous incarnation")
 	require.Zero(t, u.fullUntil)
 	for _, pl := range f.placements {
-		f.Ended(start, pl.id, Failed)
+		f.RecordEnd(start, pl.id, Failed)
 	}
 	require.Zero(t, u.health, "failures of the previous incarnation")
 	checkSums(t, f)
@@ -54,13 +54,13 @@
 // upstream.
 func TestExcludedIncarnationDoesNotExcludeTheNext(t *testing.T) {
 	f := NewFleet(Settings{Rule: Predicted, Origin: 1})
-	f.Apply(start, incarnation(1, 1000), true)
+	f.ApplyChanges(start, incarnation(1, 1000), true)
 	request := short()
 	choice, _ := choose(t, f, start, request)
 	request.Exclude = []string{choice.Upstream.Incarnation()}
 	_, _, verdict := f.Choose(start, request, spec)
 	require.Equal(t, NoUpstream, verdict)
-	f.Apply(start, incarnation(1, 2000), false)
+	f.ApplyChanges(start, incarnation(1, 2000), false)
 	choose(t, f, start, request)
 }
 
@@ -68,24 +68,24 @@
 // restart.
 func TestRegistrationChangesThatAreNoRestart(t *testing.T) {
 	cases := map[string]Change{
-		"repeated":                   {Upstream: Upstream{Born: 2000}, Revision: 9},
-		"outdated":                   {Upstream: Upstream{Born: 1000}, Revision: 3},
+		"repeated":                   {Upstream: Upstream{StartedAtMs: 2000}, Revision: 9},
+		"outdated":                   {Upstream: Upstream{StartedAtMs: 1000}, Revision: 3},
 		"without start time":         {Upstream: Upstream{}, Revision: 9},
-		"draining, same incarnation": {Upstream: Upstream{Born: 2000, Leaving: true}, Revision: 9},
+		"draining, same incarnation": {Upstream: Upstream{StartedAtMs: 2000, Draining: true}, Revision: 9},
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(1, Predicted)
 			first := incarnation(1, 2000)
 			first[0].Revision = 5
-			f.Apply(start, first, true)
+			f.ApplyChanges(start, first, true)
 			choose(t, f, start, short())
 			next := first[0]
-			next.Born, next.Leaving, next.Revision = change.Born, change.Leaving, change.Revision
-			require.Empty(t, f.Apply(start, []Change{next}, false))
+			next.StartedAtMs, next.Draining, next.Revision = change.StartedAtMs, change.Draining, change.Revision
+			require.Empty(t, f.ApplyChanges(start, []Change{next}, false))
 			u := f.upstreams["u-0000"]
-			require.Equal(t, int64(2000), u.Born)
-			require.Equal(t, change.Leaving, u.Leaving)
+			require.Equal(t, int64(2000), u.StartedAtMs)
+			require.Equal(t, change.Draining, u.Draining)
 			require.Len(t, u.loads, 1)
 		})
 	}
@@ -96,11 +96,11 @@
 	f := newFleet(1, Predicted)
 	first := incarnation(1, 2000)
 	first[0].Revision = 5
-	f.Apply(start, first, true)
+	f.ApplyChanges(start, first, true)
 	next := incarnation(1, 1500)
 	next[0].Revision = 6
-	require.Len(t, f.Apply(start, next, false), 1)
-	require.Equal(t, int64(1500), f.upstreams["u-0000"].Born)
+	require.Len(t, f.ApplyChanges(start, next, false), 1)
+	require.Equal(t, int64(1500), f.upstreams["u-0000"].StartedAtMs)
 }
 
 // Guards against removing an upstream that restarted during a registry outage. Its registration
@@ -108,15 +108,15 @@
 // of the previous incarnation must not apply to it.
 func TestRestartCancelsPendingRemoval(t *testing.T) {
 	f := newFleet(2, Predicted)
-	f.Apply(start, incarnation(2, 1000), false)
-	f.SourceLost(start)
+	f.ApplyChanges(start, incarnation(2, 1000), false)
+	f.RegistryUnavailable(start)
 	now := start.Add(time.Second)
 	gone := incarnation(2, 1000)
 	gone[0].Removed = true
-	f.Apply(now, gone, false)
+	f.ApplyChanges(now, gone, false)
 	require.Equal(t, 2, f.Upstreams("model"), "the removal is deferred")
-	f.Apply(now.Add(100*time.Millisecond), incarnation(2, 2000), false)
-	f.Forget(now.Add(10 * time.Second))
+	f.ApplyChanges(now.Add(100*time.Millisecond), incarnation(2, 2000), false)
+	f.RemoveExpired(now.Add(10 * time.Second))
 	require.Equal(t, 2, f.Upstreams("model"))
 }
 
@@ -125,11 +125,11 @@
 func TestEventsOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	a, b := newFleet(1, Predicted), newFleet(1, Predicted)
 	for _, f := range []*Fleet{a, b} {
-		f.Apply(start, incarnation(1, 1000), false)
+		f.ApplyChanges(start, incarnation(1, 1000), false)
 	}
 	choose(t, a, start, short())
-	b.Apply(start, incarnation(1, 2000), false)
-	b.Heard(start, 2, a.News())
+	b.ApplyChanges(start, incarnation(1, 2000), false)
+	b.ApplyEvents(start, 2, a.TakeEvents())
 	require.Empty(t, b.upstreams["u-0000"].loads)
 }
 
@@ -138,13 +138,13 @@
 // address twice.
 func TestNewerRegistrationOfAnAddressSupersedesTheOlder(t *testing.T) {
 	f := newFleet(0, Predicted)
-	entries := upstreams(6)
-	for i := range entries {
-		entries[i].Address = "10.0.0." + entries[i].ID
-		entries[i].Revision = uint64(10 + i)
+	registrations := upstreams(6)
+	for i := range registrations {
+		registrations[i].Address = "10.0.0." + registrations[i].ID
+		registrations[i].Revision = uint64(10 + i)
 	}
-	entries[5].Address = entries[2].Address
-	f.Apply(start, entries, true)
+	registrations[5].Address = registrations[2].Address
+	f.ApplyChanges(start, registrations, true)
 	choice, id := choose(t, f, start, heavy(260_000))
 	require.Len(t, choice.Helpers, 4)
 	used := map[string]bool{choice.Upstream.Address: true}
@@ -153,14 +153,14 @@
 		used[helper.Upstream.Address] = true
 	}
 
-	f.Ended(start, id, Served)
+	f.RecordEnd(start, id, Served)
 
 	// The newer registration may come from a faulty writer: once it is proved wrong, it
 	// supersedes nothing.
-	f.Observe(start, entries[5].Upstream, Misdirected, start)
+	f.Observe(start, registrations[5].Upstream, Misdirected, start)
 	choice, _ = choose(t, f, start, heavy(260_000))
-	require.True(t, choice.Upstream.ID == entries[2].ID || slices.ContainsFunc(choice.Helpers, func(h Helper) bool {
-		return h.Upstream.ID == entries[2].ID
+	require.True(t, choice.Upstream.ID == registrations[2].ID || slices.ContainsFunc(choice.Helpers, func(h Helper) bool {
+		return h.Upstream.ID == registrations[2].ID
 	}))
 }
 
@@ -168,12 +168,12 @@
 // address, left by a faulty writer, must not supersede the one that serves.
 func TestRegistrationOfAnotherServiceDoesNotEmptyAService(t *testing.T) {
 	f := newFleet(0, Predicted)
-	entries := upstreams(2)
-	entries[0].Revision, entries[1].Revision = 1, 2
-	entries[1].Service = "other"
-	f.Apply(start, entries, true)
+	registrations := upstreams(2)
+	registrations[0].Revision, registrations[1].Revision = 1, 2
+	registrations[1].Service = "other"
+	f.ApplyChanges(start, registrations, true)
 	choice, _ := choose(t, f, start, short())
-	require.Equal(t, entries[0].ID, choice.Upstream.ID)
+	require.Equal(t, registrations[0].ID, choice.Upstream.ID)
 }
 
 // Guards against long prompts failing at one entry after another when the exclusion of several
@@ -202,14 +202,14 @@
 func TestReplacedReportsNewerRegistrationOfTheAddress(t *testing.T) {
 	f := NewFleet(Settings{Rule: Predicted})
 	older, newer := Upstream{ID: "a", Service: "s", Address: "x"}, Upstream{ID: "b", Service: "s", Address: "x"}
-	f.Apply(time.Now(), []Change{{Upstream: older, Revision: 3}, {Upstream: newer, Revision: 5}}, true)
+	f.ApplyChanges(time.Now(), []Change{{Upstream: older, Revision: 3}, {Upstream: newer, Revision: 5}}, true)
 	require.True(t, f.Replaced(older))
 	require.False(t, f.Replaced(newer))
-	require.False(t, f.Leaves(older))
-	f.Apply(time.Now(), []Change{{Upstream: older, Removed: true}}, false)
+	require.False(t, f.Draining(older))
+	f.ApplyChanges(time.Now(), []Change{{Upstream: older, Removed: true}}, false)
 	require.True(t, f.Replaced(older), "also after its removal")
-	require.True(t, f.Leaves(older))
-	newer.Leaving = true
-	f.Apply(time.Now(), []Change{{Upstream: newer, Revision: 6}}, false)
+	require.True(t, f.Draining(older))
+	newer.Draining = true
+	f.ApplyChanges(time.Now(), []Change{{Upstream: newer, Revision: 6}}, false)
 	require.False(t, f.Replaced(older))
 }
--- a/core/dispatch/sets.go
+++ b/core/dispatch/sets.go
@@ -48,14 +48,14 @@
 		s.offers = append(s.offers, offer{upstream: s.pinned})
 	}
 	for _, o := range s.shortlist {
-		o.cost = s.impact(o.upstream, part) + s.positionCost(o.upstream) + o.upstream.health.Doubt(s.now) + costPerWaitSecond*o.upstream.backlog.Seconds()
+		o.cost = s.impact(o.upstream, part) + s.positionCost(o.upstream) + o.upstream.health.Penalty(s.now) + costPerWaitSecond*o.upstream.backlog.Seconds()
 		s.offers = append(s.offers, o)
 	}
 	slices.SortFunc(s.offers[s.pinnedCount():], byCost)
 	cost = costPerPart * float64(parts)
 	first := 0
 	for i, o := range s.offers[:parts] {
-		cost += s.streamCost(o.upstream, part) + o.upstream.health.Doubt(s.now)
+		cost += s.streamCost(o.upstream, part) + o.upstream.health.Penalty(s.now)
 		if s.pinned == nil && s.preferredPrimary(o.upstream, s.offers[first].upstream) {
 			first = i
 		}
--- a/core/dispatch/turns.go
+++ b/core/dispatch/turns.go
@@ -15,7 +15,7 @@
 
 // waiter is a request in the queue.
 type waiter struct {
-	id WorkID
+	id PlacementID
 	// priority is set by the operator; lower values go first.
 	priority int
 	// prefillTime is that of its whole prompt on one engine.
@@ -110,13 +110,13 @@
 func largestSet(n int) int { return max(min(n, partCounts[len(partCounts)-1]), 1) }
 
 // enqueue adds a request to the queue and tells the other entries, once.
-func (f *Fleet) enqueue(now time.Time, request *Request) WorkID {
-	if _, known := f.waiters[request.Turn]; known {
-		return request.Turn
+func (f *Fleet) enqueue(now time.Time, request *Request) PlacementID {
+	if _, known := f.waiters[request.QueueID]; known {
+		return request.QueueID
 	}
 	w := &waiter{}
 	*w = f.search.self
-	w.id, w.expiresAt = f.placementID(request), now.Add(request.Left+expiryMargin)
+	w.id, w.expiresAt = f.placementID(request), now.Add(request.TimeToDeadline+expiryMargin)
 	f.waiters[w.id] = w
 	f.publish(w.waitingEvent(now))
 	return w.id
@@ -124,8 +124,8 @@
 
 // retryFor returns when a waiting request should call Choose again. Only the head of the queue
 // is woken by each change; waking all of a long queue would waste processor time.
-func (f *Fleet) retryFor(p plan) Turn {
-	t := Turn{After: p.retryAfter}
+func (f *Fleet) retryFor(p plan) Retry {
+	t := Retry{After: p.retryAfter}
 	if p.headOfQueue {
 		t.Changed = f.queueChanged
 	}
@@ -133,20 +133,20 @@
 }
 
 // Withdraw removes an abandoned request from the queue.
-func (f *Fleet) Withdraw(id WorkID) {
+func (f *Fleet) Withdraw(id PlacementID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.withdraw(id)
 }
 
-func (f *Fleet) withdraw(id WorkID) {
+func (f *Fleet) withdraw(id PlacementID) {
 	if f.removeWaiter(id) {
 		f.publish(Event{Kind: Ended, Number: id.Number})
 	}
 }
 
 // removeWaiter removes a waiter; it reports whether there was one.
-func (f *Fleet) removeWaiter(id WorkID) bool {
+func (f *Fleet) removeWaiter(id PlacementID) bool {
 	if _, known := f.waiters[id]; !known {
 		return false
 	}
@@ -178,9 +178,9 @@
 // selfWaiter returns the current request as a waiter.
 func (s *search) selfWaiter() *waiter {
 	own := &s.self
-	*own = waiter{id: s.request.Turn, priority: s.request.Rank, prefillTime: s.prefillTime, target: s.now.Add(s.request.Aim)}
-	if own.id == (WorkID{}) {
-		own.id = WorkID{Origin: s.fleet.settings.Origin, Number: s.fleet.lastNumber + 1}
+	*own = waiter{id: s.request.QueueID, priority: s.request.Priority, prefillTime: s.prefillTime, target: s.now.Add(s.request.FirstEventTarget)}
+	if own.id == (PlacementID{}) {
+		own.id = PlacementID{Origin: s.fleet.settings.Origin, Number: s.fleet.lastNumber + 1}
 	}
 	return own
 }
@@ -248,7 +248,7 @@
 // request. Otherwise an entry that is frozen or partitioned would keep its queue position until
 // its request expires, and no long prompt would be prefilled meanwhile.
 func (s *search) bypassesHead(best *plan) bool {
-	own := s.fleet.waiters[s.request.Turn]
+	own := s.fleet.waiters[s.request.QueueID]
 	if own == nil || s.queueAhead.count == 0 || best.primary == nil || s.idle*2 < s.usable {
 		if own != nil {
 			own.blockedSince = time.Time{}
@@ -269,7 +269,7 @@
 // late.
 func (s *search) acceptableCost() float64 {
 	need := s.prefillTime / time.Duration(largestSet(len(s.candidates)))
-	timePressure := min(need.Seconds()/max(s.request.Aim.Seconds(), need.Seconds()), 1)
+	timePressure := min(need.Seconds()/max(s.request.FirstEventTarget.Seconds(), need.Seconds()), 1)
 	return negligibleCost + timePressure*lateLossShare*requestValue(s.request.PromptTokens)
 }
 
@@ -298,7 +298,7 @@
 // part of the prompt.
 func (s *search) toleratesPart(u *upstreamState) bool {
 	part := s.prefillTime / time.Duration(largestSet(len(s.candidates)))
-	return u.streams == 0 || part <= u.minGapTarget-s.spec.Pause(u.streams, u.contextTokens)
+	return u.streams == 0 || part <= u.minGapTarget-s.spec.PassTime(u.streams, u.contextTokens)
 }
 
 // patienceShare is the share of the caller's patience within which a first event must be
@@ -307,7 +307,7 @@
 
 // outlastsCaller reports whether the caller will have left before the first event.
 func (s *search) outlastsCaller(firstEvent time.Duration) bool {
-	patience := s.request.Left
+	patience := s.request.TimeToDeadline
 	if s.request.Patience > 0 {
 		patience = min(patience, s.request.Patience)
 	}
--- a/core/dispatch/turns_test.go
+++ b/core/dispatch/turns_test.go
@@ -13,8 +13,8 @@
 type simulatedRequest struct {
 	at      time.Duration
 	request *Request
-	queueID WorkID
-	id      WorkID
+	queueID PlacementID
+	id      PlacementID
 	choice  Choice
 	// placed and firstEvent are the times of its placement and its first event; zero if not
 	// yet.
@@ -50,10 +50,10 @@
 			switch {
 			case at < r.at || r.refused || r.firstEvent > 0:
 			case r.placed > 0:
-				if at >= r.placed+r.choice.Why.First {
+				if at >= r.placed+r.choice.Explanation.FirstEvent {
 					r.firstEvent = at
-					p.fleet.Begun(now, r.id)
-					p.fleet.Ended(now, r.id, Served)
+					p.fleet.RecordFirstEvent(now, r.id)
+					p.fleet.RecordEnd(now, r.id, Served)
 				}
 			default:
 				p.choose(t, now, at, r)
@@ -65,17 +65,17 @@
 func (p *simulation) choose(t *testing.T, now time.Time, at time.Duration, r *simulatedRequest) {
 	t.Helper()
 	request := *r.request
-	request.Aim -= at - r.at
-	request.Left -= at - r.at
-	request.Turn = r.queueID
+	request.FirstEventTarget -= at - r.at
+	request.TimeToDeadline -= at - r.at
+	request.QueueID = r.queueID
 	choice, id, verdict := p.fleet.Choose(now, &request, spec)
 	switch verdict {
 	case Place:
 		r.choice, r.id, r.placed = choice, id, max(at, 1)
-	case Hold:
-		require.Positive(t, choice.Turn.After)
+	case Queue:
+		require.Positive(t, choice.Retry.After)
 		r.queueID = id
-	case TooBusy:
+	case Overloaded:
 		r.refused = true
 	default:
 		t.Fatalf("verdict %d", verdict)
@@ -92,7 +92,7 @@
 	p.run(t, 10*time.Second)
 	for _, r := range p.requests {
 		require.NotZero(t, r.firstEvent)
-		expected := r.placed + r.choice.Why.First
+		expected := r.placed + r.choice.Explanation.FirstEvent
 		require.InDelta(t, expected.Seconds(), r.firstEvent.Seconds(), 2*simulationStep.Seconds(), "first events come as predicted")
 	}
 	require.Greater(t, p.requests[7].placed, p.requests[7].at+100*time.Millisecond, "the last one waited")
@@ -133,24 +133,24 @@
 	a, b := newFleet(4, Predicted), newFleet(4, Predicted)
 	b.settings.Origin = 2
 	choose(t, a, start, heavy(160_000))
-	b.Heard(start, 1, a.News())
+	b.ApplyEvents(start, 1, a.TakeEvents())
 	now := start.Add(10 * time.Millisecond)
 	relaxed, urgent := heavy(160_000), heavy(160_000)
-	urgent.Aim -= time.Second
+	urgent.FirstEventTarget -= time.Second
 	_, relaxedID, verdict := a.Choose(now, relaxed, spec)
-	require.Equal(t, Hold, verdict)
+	require.Equal(t, Queue, verdict)
 	_, urgentID, verdict := b.Choose(now, urgent, spec)
-	require.Equal(t, Hold, verdict)
-	a.Heard(now, 2, b.News())
-	b.Heard(now, 1, a.News())
+	require.Equal(t, Queue, verdict)
+	a.ApplyEvents(now, 2, b.TakeEvents())
+	b.ApplyEvents(now, 1, a.TakeEvents())
 
 	elapsed := 1200 * time.Millisecond // The first prompt is prefilled by then.
 	now = start.Add(elapsed)
-	relaxed.Turn, urgent.Turn = relaxedID, urgentID
-	relaxed.Aim -= elapsed
-	urgent.Aim -= elapsed
+	relaxed.QueueID, urgent.QueueID = relaxedID, urgentID
+	relaxed.FirstEventTarget -= elapsed
+	urgent.FirstEventTarget -= elapsed
 	_, _, verdict = a.Choose(now, relaxed, spec)
-	require.Equal(t, Hold, verdict, "the other has the earlier target")
+	require.Equal(t, Queue, verdict, "the other has the earlier target")
 	_, _, verdict = b.Choose(now, urgent, spec)
 	require.Equal(t, Place, verdict)
 }
@@ -158,13 +158,13 @@
 // Guards against waiting behind a request that is gone because it was withdrawn, its entry
 // died, or its time is over.
 func TestAbandonedRequestsLeaveTheQueue(t *testing.T) {
-	cases := map[string]func(f, other *Fleet, id WorkID){
-		"given up": func(f, other *Fleet, id WorkID) {
+	cases := map[string]func(f, other *Fleet, id PlacementID){
+		"given up": func(f, other *Fleet, id PlacementID) {
 			other.Withdraw(id)
-			f.Heard(start, 2, other.News())
+			f.ApplyEvents(start, 2, other.TakeEvents())
 		},
-		"entry lost": func(f, _ *Fleet, _ WorkID) { f.ForgetOrigin(start, 2) },
-		"time over":  func(f, _ *Fleet, _ WorkID) { f.Forget(start.Add(17 * time.Second)) },
+		"entry lost": func(f, _ *Fleet, _ PlacementID) { f.RemoveOrigin(start, 2) },
+		"time over":  func(f, _ *Fleet, _ PlacementID) { f.RemoveExpired(start.Add(17 * time.Second)) },
 	}
 	for name, end := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -172,10 +172,10 @@
 			other.settings.Origin = 2
 			choose(t, other, start, heavy(160_000))
 			_, id, verdict := other.Choose(start, heavy(160_000), spec)
-			require.Equal(t, Hold, verdict)
-			f.Heard(start, 2, other.News())
+			require.Equal(t, Queue, verdict)
+			f.ApplyEvents(start, 2, other.TakeEvents())
 			_, own, verdict := f.Choose(start, heavy(170_000), spec)
-			require.Equal(t, Hold, verdict)
+			require.Equal(t, Queue, verdict)
 			changed := f.queueChanged
 			end(f, other, id)
 			require.NotContains(t, f.waiters, id)
@@ -191,7 +191,7 @@
 // is frozen or partitioned.
 func TestUnresponsiveQueueHeadIsBypassed(t *testing.T) {
 	f := newFleet(6, Predicted)
-	f.Heard(start, 2, []Event{{Kind: Waiting, Number: 7, PartMs: 2000, AimMs: 1500, LeftMs: 15_000}})
+	f.ApplyEvents(start, 2, []Event{{Kind: Waiting, Number: 7, PartMs: 2000, AimMs: 1500, LeftMs: 15_000}})
 	request := heavy(160_000)
 	placed := time.Duration(0)
 	for at := time.Duration(0); at < 2*time.Second; at += simulationStep {
@@ -200,8 +200,8 @@
 			placed = at
 			break
 		}
-		require.Equal(t, Hold, verdict)
-		request.Turn = id
+		require.Equal(t, Queue, verdict)
+		request.QueueID = id
 	}
 	require.Greater(t, placed, headTimeout, "a live entry has time to place its request")
 	require.Less(t, placed, 2*headTimeout)
@@ -214,15 +214,15 @@
 	_, first := choose(t, f, start, heavy(160_000))
 	request := heavy(160_000)
 	_, queueID, verdict := f.Choose(start, request, spec)
-	require.Equal(t, Hold, verdict)
-	other.Heard(start, 1, f.News())
+	require.Equal(t, Queue, verdict)
+	other.ApplyEvents(start, 1, f.TakeEvents())
 	require.Len(t, other.waiters, 1)
 	now := start.Add(time.Second)
-	f.Begun(now, first)
-	request.Turn = queueID
+	f.RecordFirstEvent(now, first)
+	request.QueueID = queueID
 	_, id := choose(t, f, now, request)
 	require.Equal(t, queueID, id)
-	other.Heard(now, 1, f.News())
+	other.ApplyEvents(now, 1, f.TakeEvents())
 	require.Empty(t, other.waiters)
 	require.Contains(t, other.placements, queueID)
 }
@@ -231,8 +231,8 @@
 // waiting prompts must be deferred, the priority counts before the length.
 func TestLowerPriorityIsDeferredFirst(t *testing.T) {
 	f := NewFleet(Settings{Origin: 1})
-	urgent := &waiter{id: WorkID{Origin: 1, Number: 1}, priority: 0, prefillTime: 3 * time.Second, target: start.Add(3 * time.Second)}
-	other := &waiter{id: WorkID{Origin: 1, Number: 2}, priority: 1, prefillTime: time.Second, target: start.Add(3 * time.Second)}
+	urgent := &waiter{id: PlacementID{Origin: 1, Number: 1}, priority: 0, prefillTime: 3 * time.Second, target: start.Add(3 * time.Second)}
+	other := &waiter{id: PlacementID{Origin: 1, Number: 2}, priority: 1, prefillTime: time.Second, target: start.Add(3 * time.Second)}
 	f.waiters[urgent.id], f.waiters[other.id] = urgent, other
 	require.False(t, f.queueAheadOf(start, urgent, 0, 1).late)
 	require.True(t, f.queueAheadOf(start, other, 0, 1).late)
@@ -248,16 +248,16 @@
 	choose(t, f, start, heavy(160_000))
 	f.Choose(start, heavy(160_000), spec)
 	later := start.Add(20 * time.Second)
-	f.Forget(later)
+	f.RemoveExpired(later)
 	hopeless := short()
-	hopeless.Left = time.Millisecond
+	hopeless.TimeToDeadline = time.Millisecond
 	choice, _, verdict := f.Choose(later, hopeless, spec)
-	require.Equal(t, TooBusy, verdict)
-	require.Zero(t, choice.Why.Clear)
+	require.Equal(t, Overloaded, verdict)
+	require.Zero(t, choice.Explanation.ClearTime)
 }
 
-// The number of deferred requests is the least possible, compared with all subsets, and no
-// request counts as both in time and late.
+// Among requests of equal priority, the number of deferred ones is the least possible, compared
+// with all subsets, and no request counts as both in time and late.
 func TestQueueOrderMaximisesRequestsInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFleet(Settings{Origin: 1})
@@ -265,7 +265,7 @@
 		engines := rapid.IntRange(1, 4).Draw(t, "engines")
 		backlog := time.Duration(rapid.IntRange(0, 2000).Draw(t, "backlog")) * time.Millisecond
 		for i := range n {
-			id := WorkID{Origin: 1, Number: uint64(i + 1)}
+			id := PlacementID{Origin: 1, Number: uint64(i + 1)}
 			f.waiters[id] = &waiter{
 				id:          id,
 				prefillTime: time.Duration(rapid.IntRange(1, 3000).Draw(t, "read")) * time.Millisecond,
@@ -283,7 +283,7 @@
 }
 
 // maxInTime tries all subsets of the waiters.
-func maxInTime(waiters map[WorkID]*waiter, backlog time.Duration, engines int) int {
+func maxInTime(waiters map[PlacementID]*waiter, backlog time.Duration, engines int) int {
 	var all []*waiter
 	for _, w := range waiters {
 		all = append(all, w)
@@ -311,22 +311,22 @@
 func TestShortPromptsAreRefusedWhenNoSlotFreesInTime(t *testing.T) {
 	const interval, decodeTime = 20 * time.Millisecond, 1700 * time.Millisecond
 	f := newFleet(2, Predicted)
-	ends := map[int]WorkID{}
+	ends := map[int]PlacementID{}
 	placed, inTime, refused := 0, 0, 0
 	for i := range 400 {
 		now := start.Add(time.Duration(i) * interval)
-		f.Ended(now, ends[i], Served)
+		f.RecordEnd(now, ends[i], Served)
 		choice, id, verdict := f.Choose(now, short(), spec)
-		if verdict == TooBusy {
+		if verdict == Overloaded {
 			refused++
 			continue
 		}
 		require.Equal(t, Place, verdict)
 		placed++
-		if choice.Why.First <= 300*time.Millisecond {
+		if choice.Explanation.FirstEvent <= 300*time.Millisecond {
 			inTime++
 		}
-		ends[i+int((choice.Why.First+decodeTime)/interval)] = id
+		ends[i+int((choice.Explanation.FirstEvent+decodeTime)/interval)] = id
 	}
 	require.Greater(t, placed, 100, "the slots are used")
 	require.Greater(t, refused, 100)
--- a/core/dispatch/upstream.go
+++ b/core/dispatch/upstream.go
@@ -10,26 +10,26 @@
 
 // Upstream is one incarnation of an upstream, as registered.
 type Upstream struct {
-	// ID names the upstream. It may be the same after a restart; Born then distinguishes the
-	// incarnations.
+	// ID names the upstream. It may be the same after a restart; StartedAtMs then distinguishes
+	// the incarnations.
 	ID string
-	// Born is the start time in Unix milliseconds; zero if the registration has none.
-	Born    int64
-	Service string
-	Address string
-	Zone    string
+	// StartedAtMs is the start time in Unix milliseconds; zero if the registration has none.
+	StartedAtMs int64
+	Service     string
+	Address     string
+	Zone        string
 	// Slots is the number of requests that it runs at once.
 	Slots int
-	// Leaving is set for an upstream that drains and takes no new requests.
-	Leaving bool
+	// Draining is set while the upstream completes its requests and takes no new ones.
+	Draining bool
 }
 
 // Incarnation returns the name of this incarnation.
 func (u *Upstream) Incarnation() string {
-	if u.Born == 0 {
+	if u.StartedAtMs == 0 {
 		return u.ID
 	}
-	return u.ID + "@" + strconv.FormatInt(u.Born, 10)
+	return u.ID + "@" + strconv.FormatInt(u.StartedAtMs, 10)
 }
 
 // Request holds the properties of a request that the choice of an upstream depends on.
@@ -39,23 +39,23 @@
 	// stream.
 	PromptTokens int
 	OutputTokens int
-	// Aim is the time left to the target for the first event; GapAim is the target for the
-	// longest pause between events of the stream.
-	Aim    time.Duration
-	GapAim time.Duration
-	// Left is the time left to the deadline. Patience is the time after which the caller
-	// abandons a stream that has not begun; zero for none.
-	Left     time.Duration
-	Patience time.Duration
-	// Rank is the priority among waiting requests of one service; 0 goes first.
-	Rank int
-	// Turn is the ID under which the request has waited in the queue; zero if it has not.
-	Turn WorkID
+	// FirstEventTarget is the time left to the target for the first event; GapTarget is the
+	// target for the longest pause between events of the stream.
+	FirstEventTarget time.Duration
+	GapTarget        time.Duration
+	// TimeToDeadline is the time left to the deadline. Patience is the time after which the
+	// caller abandons a stream that has not begun; zero for none.
+	TimeToDeadline time.Duration
+	Patience       time.Duration
+	// Priority is the priority among waiting requests of one service; 0 goes first.
+	Priority int
+	// QueueID is the ID under which the request has waited in the queue; zero if it has not.
+	QueueID PlacementID
 	// Exclude lists the incarnations that the request must not use again.
 	Exclude []string
-	// Keep is the only incarnation that may serve the request, with others only as helpers;
+	// PinnedTo is the only incarnation that may serve the request, with others only as helpers;
 	// empty for any.
-	Keep string
+	PinnedTo string
 	// Committed is set if an upstream may have worked on the request already and the caller may
 	// have a part of the answer. Such a request is not refused for its cost, which would waste
 	// the work already paid for.
@@ -67,61 +67,61 @@
 	Upstream Upstream
 	// Helpers prefill parts of the prompt for Upstream.
 	Helpers []Helper
-	// Ask is set after recent losses of upstreams, if one of this set is likely enough to be
+	// Probe is set after recent losses of upstreams, if one of this set is likely enough to be
 	// down: probe them before sending the request.
-	Ask bool
+	Probe bool
 	// Urgency is the priority of the request at the upstream; 0 goes first.
 	Urgency int
-	// Turn says when to call Choose again; set if the request waits in the queue.
-	Turn Turn
-	// Why explains the choice in logs.
-	Why Why
+	// Retry says when to call Choose again; set if the request waits in the queue.
+	Retry Retry
+	// Explanation explains the choice in logs.
+	Explanation Explanation
 }
 
-// Turn tells a waiting request when to call Choose again.
-type Turn struct {
+// Retry tells a waiting request when to call Choose again.
+type Retry struct {
 	// After is the expected wait. Changed is closed when the state changes and the request may
 	// go sooner; nil unless the request is at the head of the queue.
 	After   time.Duration
 	Changed <-chan struct{}
 }
 
-// Why holds the inputs of a choice and its predictions.
-type Why struct {
+// Explanation holds the inputs of a choice and its predictions.
+type Explanation struct {
 	// Candidates is the number of upstreams that could take the request.
 	Candidates int
 	// Backlog is the prefill time ahead of the request at Upstream, Streams the number of
-	// streams there, and Memory the tokens that its requests occupy.
-	Backlog time.Duration
-	Streams int
-	Memory  int
-	// First is the predicted time from the choice to the first event; zero without a
+	// streams there, and MemoryTokens the tokens that its requests occupy.
+	Backlog      time.Duration
+	Streams      int
+	MemoryTokens int
+	// FirstEvent is the predicted time from the choice to the first event; zero without a
 	// prediction.
-	First time.Duration
-	// Cost is the request value that the choice is expected to lose.
-	Cost float64
-	// Read is the prefill time of the whole prompt on one engine, and Load the mean prefill
-	// backlog of the engines.
-	Read time.Duration
-	Load time.Duration
-	// AgainstProof is set if another entry has proved that one of the upstreams is down.
-	AgainstProof bool
-	// Clear is the time until the engines have prefilled all placed parts and waiting prompts;
-	// set if the request is refused.
-	Clear time.Duration
+	FirstEvent time.Duration
+	// ExpectedLoss is the request value that the choice is expected to lose.
+	ExpectedLoss float64
+	// Read is the prefill time of the whole prompt on one engine, and MeanBacklog the mean
+	// prefill backlog of the engines.
+	Read        time.Duration
+	MeanBacklog time.Duration
+	// KnownDown is set if another entry has proved that one of the upstreams is down.
+	KnownDown bool
+	// ClearTime is the time until the engines have prefilled all placed parts and waiting
+	// prompts; set if the request is refused.
+	ClearTime time.Duration
 }
 
 // Helper is an upstream that prefills a part of another one's prompt.
 type Helper struct {
 	Upstream Upstream
-	// Ticket names the memory reservation to make there, and Tokens is its size; empty and zero
-	// for none.
-	Ticket string
-	Tokens int
+	// Reservation names the memory reservation to make there, and Tokens is its size; empty and
+	// zero for none.
+	Reservation string
+	Tokens      int
 }
 
-// Tickets reports whether memory must be reserved before the request is sent.
-func (c *Choice) Tickets() bool {
+// NeedsReservations reports whether memory must be reserved before the request is sent.
+func (c *Choice) NeedsReservations() bool {
 	for _, helper := range c.Helpers {
 		if helper.Tokens > 0 {
 			return true
--- a/core/enginemodel/spec.go
+++ b/core/enginemodel/spec.go
@@ -23,8 +23,8 @@
 	// PerContextToken is added to a step for each context token of these streams, in
 	// nanoseconds.
 	PerContextToken float64
-	// ReadRate is the number of prompt tokens prefilled per second.
-	ReadRate float64
+	// PrefillRate is the number of prompt tokens prefilled per second.
+	PrefillRate float64
 	// PerPair is the prefill time for each pair of a prompt token and an earlier one, in
 	// nanoseconds.
 	PerPair float64
@@ -34,19 +34,19 @@
 	Hop time.Duration
 	// ReportLag is the age of an engine's report when others receive it.
 	ReportLag time.Duration
-	// UsualPrompt and UsualAnswer are mean token counts.
-	UsualPrompt int
-	UsualAnswer int
+	// MeanPromptTokens and MeanAnswerTokens are mean token counts.
+	MeanPromptTokens int
+	MeanAnswerTokens int
 }
 
 // Read returns the time that one engine without other requests needs to prefill a prompt. It
 // has a term for each token and one for each pair of a token and an earlier one.
 func (s *Spec) Read(promptTokens int) time.Duration {
-	if s.ReadRate <= 0 {
+	if s.PrefillRate <= 0 {
 		return 0
 	}
 	n := float64(promptTokens)
-	linear := n / s.ReadRate * float64(time.Second)
+	linear := n / s.PrefillRate * float64(time.Second)
 	pairs := n * n / 2 * s.PerPair
 	steps := time.Duration(0)
 	if s.Chunk > 0 {
@@ -55,9 +55,9 @@
 	return time.Duration(linear+pairs) + steps
 }
 
-// Pause returns the time of a pass without prefill that decodes streams with the given total
+// PassTime returns the time of a pass without prefill that decodes streams with the given total
 // context: the shortest pause between two events of one of these streams.
-func (s *Spec) Pause(streams, contextTokens int) time.Duration {
+func (s *Spec) PassTime(streams, contextTokens int) time.Duration {
 	step := s.Step + s.PerStream*time.Duration(streams) + time.Duration(s.PerContextToken*float64(contextTokens))
 	return step * time.Duration(max(s.Stride, 1))
 }
@@ -66,5 +66,5 @@
 func (s *Spec) Write(tokens, streams, contextTokens int) time.Duration {
 	stride := max(s.Stride, 1)
 	passes := (tokens + stride - 1) / stride
-	return s.Pause(streams, contextTokens) * time.Duration(passes)
+	return s.PassTime(streams, contextTokens) * time.Duration(passes)
 }
--- a/core/enginemodel/spec_test.go
+++ b/core/enginemodel/spec_test.go
@@ -9,7 +9,7 @@
 
 var spec = Spec{
 	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond,
-	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, ReadRate: 154_000, PerPair: 0.162, Chunk: 2048,
+	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, PrefillRate: 154_000, PerPair: 0.162, Chunk: 2048,
 }
 
 // The expected times are calculated by hand from the published figures, with a step for each
@@ -32,7 +32,7 @@
 }
 
 func TestPassAndDecodeTimes(t *testing.T) {
-	require.InDelta(t, 0.0445, spec.Pause(0, 0).Seconds(), 0.0001)
-	require.InDelta(t, 0.0578, spec.Pause(1, 182_000).Seconds(), 0.0005)
-	require.Equal(t, 38*spec.Pause(3, 15_000), spec.Write(38*34, 3, 15_000))
+	require.InDelta(t, 0.0445, spec.PassTime(0, 0).Seconds(), 0.0001)
+	require.InDelta(t, 0.0578, spec.PassTime(1, 182_000).Seconds(), 0.0005)
+	require.Equal(t, 38*spec.PassTime(3, 15_000), spec.Write(38*34, 3, 15_000))
 }
--- a/core/evidence/evidence.go
+++ b/core/evidence/evidence.go
@@ -31,8 +31,9 @@
 	Silent
 	// Absent means that nothing listens at its address.
 	Absent
-	// Leaving means that it refuses requests for which it has capacity, because it drains.
-	Leaving
+	// Draining means that it refuses requests for which it has capacity, because it drains. Its
+	// name in logs is "leaving".
+	Draining
 	// Replaced means that its address belongs to another incarnation.
 	Replaced
 )
@@ -69,15 +70,15 @@
 // Verdict is a decision to exclude an incarnation, or to readmit it.
 type Verdict struct {
 	Name string
-	// Kind is the deciding evidence, By the origin of the entry that observed it, zero for this
-	// one, and Age its age.
-	Kind Kind
-	By   uint64
-	Age  time.Duration
-	// At is the time of the decision, and For how long the incarnation is excluded; zero if it
-	// is readmitted.
-	At  time.Time
-	For time.Duration
+	// Kind is the deciding evidence, Origin the entry that observed it, zero for this one, and
+	// Age its age.
+	Kind   Kind
+	Origin uint64
+	Age    time.Duration
+	// At is the time of the decision, and Duration how long the incarnation is excluded; zero
+	// if it is readmitted.
+	At       time.Time
+	Duration time.Duration
 }
 
 // Record is the evidence on one incarnation. The zero value holds none.
@@ -107,8 +108,8 @@
 	at     time.Time
 }
 
-// Out reports whether the incarnation is excluded.
-func (r *Record) Out(now time.Time) bool { return now.Before(r.excludedUntil) }
+// Excluded reports whether the incarnation is excluded.
+func (r *Record) Excluded(now time.Time) bool { return now.Before(r.excludedUntil) }
 
 // penaltyPerFailure is added to the load of an upstream for each consecutive failure and each
 // entry that suspects it, as a share of the slots.
@@ -117,8 +118,8 @@
 // maxFailures bounds the consecutive failures that count.
 const maxFailures = 5
 
-// Doubt returns the penalty to add to the load, as a share of the slots.
-func (r *Record) Doubt(now time.Time) float64 {
+// Penalty returns the penalty to add to the load, as a share of the slots.
+func (r *Record) Penalty(now time.Time) float64 {
 	n := min(r.failures, maxFailures)
 	for _, s := range r.suspects {
 		if s.origin != 0 && now.Sub(s.at) < suspicionTTL {
@@ -128,16 +129,17 @@
 	return penaltyPerFailure * float64(n)
 }
 
-// Proved reports whether the incarnation was proved to be down and nothing has answered since.
-func (r *Record) Proved() bool { return r.kind.proof() }
+// ProvedDown reports whether the incarnation was proved to be down and nothing has answered
+// since.
+func (r *Record) ProvedDown() bool { return r.kind.proof() }
 
 // propagationDelay is how long after another entry's proof requests may still arrive that were
 // sent without knowing of it.
 const propagationDelay = 100 * time.Millisecond
 
-// AgainstProof reports whether a request sent now goes to an incarnation that another entry has
+// KnownDown reports whether a request sent now goes to an incarnation that another entry has
 // proved to be down.
-func (r *Record) AgainstProof(now time.Time) bool {
+func (r *Record) KnownDown(now time.Time) bool {
 	return !r.firstProofAt.IsZero() && now.Sub(r.firstProofAt) > propagationDelay
 }
 
@@ -197,7 +199,7 @@
 	switch kind {
 	case Absent:
 		initial, maximum = absentInitial, absentMax
-	case Leaving, Replaced:
+	case Draining, Replaced:
 		initial, maximum = goneInitial, goneMax
 	}
 	return min(initial<<min(r.failures, 8), maximum)
--- a/core/evidence/evidence_test.go
+++ b/core/evidence/evidence_test.go
@@ -16,29 +16,29 @@
 // testEntry is an entry's evidence on a number of upstreams.
 type testEntry struct {
 	origin  uint64
-	book    *Book
+	tracker *Tracker
 	records []Record
 }
 
 func newEntry(origin uint64, upstreams int) *testEntry {
-	return &testEntry{origin: origin, book: NewBook(rand.New(rand.NewPCG(origin, 0))), records: make([]Record, upstreams)}
+	return &testEntry{origin: origin, tracker: NewTracker(rand.New(rand.NewPCG(origin, 0))), records: make([]Record, upstreams)}
 }
 
 func subject(i int) Subject { return Subject{Tag: uint32(i), Name: fmt.Sprint("u", i)} }
 
 func (e *testEntry) observe(now time.Time, i int, kind Kind, sentAt time.Time) {
-	e.book.Seen(now, subject(i), &e.records[i], kind, sentAt)
+	e.tracker.Observe(now, subject(i), &e.records[i], kind, sentAt)
 }
 
 func (e *testEntry) receive(now time.Time, origin uint64, reports ...Report) {
-	for _, r := range e.book.Check(reports) {
-		e.book.Heard(now, origin, subject(int(r.Tag)), &e.records[r.Tag], r, len(e.records))
+	for _, r := range e.tracker.Check(reports) {
+		e.tracker.ApplyReport(now, origin, subject(int(r.Tag)), &e.records[r.Tag], r, len(e.records))
 	}
 }
 
 // shareWith sends an entry's pending reports to others.
 func (e *testEntry) shareWith(now time.Time, others ...*testEntry) {
-	reports := e.book.Reports(now)
+	reports := e.tracker.TakeReports(now)
 	for _, other := range others {
 		other.receive(now, e.origin, reports...)
 	}
@@ -46,7 +46,7 @@
 
 func (e *testEntry) excluded(now time.Time) (n int) {
 	for i := range e.records {
-		if e.records[i].Out(now) {
+		if e.records[i].Excluded(now) {
 			n++
 		}
 	}
@@ -56,14 +56,14 @@
 // Guards against each of twenty entries losing a request at the same upstream that is gone:
 // proof from one entry must exclude it at the others.
 func TestProofFromOneEntryExcludesAtAll(t *testing.T) {
-	for _, kind := range []Kind{Absent, Leaving, Replaced} {
+	for _, kind := range []Kind{Absent, Draining, Replaced} {
 		a, b := newEntry(1, 4), newEntry(2, 4)
 		a.observe(start, 2, kind, start)
 		a.shareWith(start.Add(5*time.Millisecond), b)
-		require.True(t, b.records[2].Out(start.Add(10*time.Millisecond)), kind)
+		require.True(t, b.records[2].Excluded(start.Add(10*time.Millisecond)), kind)
 		require.Equal(t, 1, b.excluded(start.Add(10*time.Millisecond)))
-		require.False(t, b.records[2].AgainstProof(start.Add(50*time.Millisecond)), "such a request may be in flight")
-		require.True(t, b.records[2].AgainstProof(start.Add(time.Second)))
+		require.False(t, b.records[2].KnownDown(start.Add(50*time.Millisecond)), "such a request may be in flight")
+		require.True(t, b.records[2].KnownDown(start.Add(time.Second)))
 	}
 }
 
@@ -77,9 +77,9 @@
 	b.observe(later, 2, Answered, later.Add(-time.Millisecond))
 	b.shareWith(later, a, c)
 	for _, e := range []*testEntry{a, b, c} {
-		require.False(t, e.records[2].Out(later.Add(time.Millisecond)), e.origin)
-		require.Zero(t, e.records[2].Doubt(later), e.origin)
-		require.False(t, e.records[2].AgainstProof(later), e.origin)
+		require.False(t, e.records[2].Excluded(later.Add(time.Millisecond)), e.origin)
+		require.Zero(t, e.records[2].Penalty(later), e.origin)
+		require.False(t, e.records[2].KnownDown(later), e.origin)
 	}
 }
 
@@ -87,9 +87,9 @@
 // an earlier stream; the answer must not count as a sign that it takes new requests.
 func TestDrainingUpstreamStaysExcludedWhileFinishingRequests(t *testing.T) {
 	a := newEntry(1, 4)
-	a.observe(start, 2, Leaving, start)
+	a.observe(start, 2, Draining, start)
 	a.observe(start.Add(time.Second), 2, Answered, start.Add(-time.Second))
-	require.True(t, a.records[2].Out(start.Add(2*time.Second)))
+	require.True(t, a.records[2].Excluded(start.Add(2*time.Second)))
 }
 
 // Guards against a partition between two zones excluding all upstreams of one of them
@@ -118,7 +118,7 @@
 		}
 	}
 	require.LessOrEqual(t, float64(uninformed.excluded(now)), maxSuspectShare*upstreams, "a quarter")
-	require.Positive(t, uninformed.book.Dropped(Distrusted))
+	require.Positive(t, uninformed.tracker.Dropped(Distrusted))
 }
 
 // Guards against one entry's suspicion excluding an upstream everywhere.
@@ -126,12 +126,12 @@
 	a, b, c := newEntry(1, 8), newEntry(2, 8), newEntry(3, 8)
 	a.observe(start, 2, Silent, start)
 	a.shareWith(start, c)
-	require.False(t, c.records[2].Out(start))
-	require.Positive(t, c.records[2].Doubt(start))
-	require.Zero(t, c.records[2].Doubt(start.Add(2*suspicionTTL)))
+	require.False(t, c.records[2].Excluded(start))
+	require.Positive(t, c.records[2].Penalty(start))
+	require.Zero(t, c.records[2].Penalty(start.Add(2*suspicionTTL)))
 	b.observe(start.Add(100*time.Millisecond), 2, Silent, start)
 	b.shareWith(start.Add(100*time.Millisecond), c)
-	require.True(t, c.records[2].Out(start.Add(100*time.Millisecond)), "two entries suspect it")
+	require.True(t, c.records[2].Excluded(start.Add(100*time.Millisecond)), "two entries suspect it")
 }
 
 // Guards against a faulty entry excluding an upstream for as long as it sends proof: the
@@ -141,14 +141,14 @@
 	now, retries := start, 0
 	for now.Before(start.Add(30 * time.Second)) {
 		b.receive(now, 7, Report{Tag: 3, Kind: Replaced})
-		if !b.records[3].Out(now) {
+		if !b.records[3].Excluded(now) {
 			retries++
 			b.observe(now.Add(5*time.Millisecond), 3, Answered, now)
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
 	require.Greater(t, retries, 200, "of 300 requests")
-	require.Positive(t, b.book.Dropped(Distrusted))
+	require.Positive(t, b.tracker.Dropped(Distrusted))
 }
 
 // Guards against one entry excluding all upstreams by reporting that all are gone.
@@ -160,7 +160,7 @@
 	}
 	b.receive(start, 7, reports...)
 	require.Equal(t, 10, b.excluded(start))
-	require.EqualValues(t, 10, b.book.Dropped(Distrusted))
+	require.EqualValues(t, 10, b.tracker.Dropped(Distrusted))
 }
 
 // Guards against twenty simultaneous reports of one fault excluding an upstream for as long as
@@ -168,10 +168,10 @@
 func TestReportsOfOneFaultCountOnce(t *testing.T) {
 	c := newEntry(99, 8)
 	for origin := range uint64(20) {
-		c.receive(start, origin+1, Report{Tag: 2, Kind: Leaving})
+		c.receive(start, origin+1, Report{Tag: 2, Kind: Draining})
 	}
 	require.Equal(t, 2, c.records[2].failures, "the first proof and its confirmation")
-	require.False(t, c.records[2].Out(start.Add(goneMax+time.Second)))
+	require.False(t, c.records[2].Excluded(start.Add(goneMax+time.Second)))
 }
 
 func TestOutdatedReportIsOverruled(t *testing.T) {
@@ -179,16 +179,16 @@
 	b.observe(start, 2, Answered, start.Add(-10*time.Millisecond))
 	b.receive(start.Add(10*time.Millisecond), 7, Report{Tag: 2, Kind: Absent, AgeMs: 500})
 	require.Zero(t, b.excluded(start.Add(10*time.Millisecond)))
-	require.EqualValues(t, 1, b.book.Dropped(Overruled))
+	require.EqualValues(t, 1, b.tracker.Dropped(Overruled))
 }
 
 func TestRegistrationClearsOlderEvidence(t *testing.T) {
 	a := newEntry(1, 4)
 	a.observe(start, 2, Replaced, start)
 	a.records[2].Registered(start.Add(100 * time.Millisecond))
-	require.True(t, a.records[2].Out(start.Add(200*time.Millisecond)), "the renewal may be older than the evidence")
+	require.True(t, a.records[2].Excluded(start.Add(200*time.Millisecond)), "the renewal may be older than the evidence")
 	a.records[2].Registered(start.Add(2 * time.Second))
-	require.False(t, a.records[2].Out(start.Add(2*time.Second)))
+	require.False(t, a.records[2].Excluded(start.Add(2*time.Second)))
 }
 
 // For arbitrary reports of other entries, nothing panics, one entry excludes no more than its
@@ -206,16 +206,16 @@
 					Kind:  Kind(rapid.IntRange(0, 9).Draw(t, "kind")),
 					AgeMs: int64(rapid.IntRange(-1000, 9000).Draw(t, "age")),
 				}
-			}), 0, 2*MostReports).Draw(t, "reports")
+			}), 0, 2*MaxReports).Draw(t, "reports")
 			b.receive(now, 7, reports...)
 			if n := b.excluded(now); n > upstreams/2 {
 				t.Fatalf("one entry excluded %d of %d", n, upstreams)
 			}
-			if n := len(b.book.Reports(now)); n > MostReports {
+			if n := len(b.tracker.TakeReports(now)); n > MaxReports {
 				t.Fatalf("%d reports sent", n)
 			}
 		}
-		if n := len(b.book.Verdicts()); n > maxVerdicts {
+		if n := len(b.tracker.TakeVerdicts()); n > maxVerdicts {
 			t.Fatalf("%d verdicts kept", n)
 		}
 	})
@@ -226,6 +226,6 @@
 	for i := range 2000 {
 		a.observe(start, i, Absent, start)
 	}
-	require.Len(t, a.book.Reports(start), MostReports)
-	require.Nil(t, a.book.Reports(start))
+	require.Len(t, a.tracker.TakeReports(start), MaxReports)
+	require.Nil(t, a.tracker.TakeReports(start))
 }
--- a/core/evidence/witness.go
+++ b/core/evidence/witness.go
@@ -39,29 +39,29 @@
 	lastReport   time.Time
 }
 
-func (b *Book) reporter(now time.Time, origin uint64) *reporter {
-	rep := b.reporters[origin]
+func (t *Tracker) reporter(now time.Time, origin uint64) *reporter {
+	rep := t.reporters[origin]
 	if rep == nil {
-		b.evictReporters(now)
+		t.evictReporters(now)
 		rep = &reporter{accused: make(map[uint32]time.Time)}
-		b.reporters[origin] = rep
+		t.reporters[origin] = rep
 	}
 	rep.lastReport = now
 	return rep
 }
 
 // evictReporters makes room if too many reporters are tracked.
-func (b *Book) evictReporters(now time.Time) {
-	if len(b.reporters) < maxReporters {
+func (t *Tracker) evictReporters(now time.Time) {
+	if len(t.reporters) < maxReporters {
 		return
 	}
-	for origin, rep := range b.reporters {
+	for origin, rep := range t.reporters {
 		if now.Sub(rep.lastReport) > contradictionDecay {
-			delete(b.reporters, origin)
+			delete(t.reporters, origin)
 		}
 	}
-	if len(b.reporters) >= maxReporters {
-		clear(b.reporters)
+	if len(t.reporters) >= maxReporters {
+		clear(t.reporters)
 	}
 }
 
@@ -89,16 +89,16 @@
 }
 
 // Check counts and drops the reports that no correct entry would send.
-func (b *Book) Check(reports []Report) []Report {
-	if len(reports) > MostReports {
-		b.Drop(Excess, len(reports)-MostReports)
-		reports = reports[:MostReports]
+func (t *Tracker) Check(reports []Report) []Report {
+	if len(reports) > MaxReports {
+		t.CountDropped(Excess, len(reports)-MaxReports)
+		reports = reports[:MaxReports]
 	}
 	kept := make([]Report, 0, len(reports))
 	for _, r := range reports {
 		valid := r.Kind == Answered || r.Kind >= Silent && r.Kind <= Replaced
 		if !valid || r.AgeMs < 0 || r.AgeMs > maxReportAge.Milliseconds() {
-			b.Drop(Malformed, 1)
+			t.CountDropped(Malformed, 1)
 			continue
 		}
 		kept = append(kept, r)
@@ -106,40 +106,41 @@
 	return kept
 }
 
-// Heard applies a checked report from the entry origin on one of a service's known upstreams.
-func (b *Book) Heard(now time.Time, origin uint64, subject Subject, r *Record, report Report, known int) {
+// ApplyReport applies a checked report from the entry origin on one of a service's known
+// upstreams.
+func (t *Tracker) ApplyReport(now time.Time, origin uint64, subject Subject, r *Record, report Report, known int) {
 	at := now.Add(-time.Duration(report.AgeMs) * time.Millisecond)
 	if report.Kind == Answered {
 		if r.hasEvidence() && at.After(r.evidenceAt) {
-			b.readmit(now, at, subject, r, origin)
+			t.readmit(now, at, subject, r, origin)
 		}
 		return
 	}
 	if r.answeredSentAt.After(at) {
-		b.Drop(Overruled, 1)
+		t.CountDropped(Overruled, 1)
 		return
 	}
-	if !b.reporter(now, origin).mayAccuse(now, report.Tag, report.Kind, known) {
-		b.Drop(Distrusted, 1)
+	if !t.reporter(now, origin).mayAccuse(now, report.Tag, report.Kind, known) {
+		t.CountDropped(Distrusted, 1)
 		return
 	}
 	r.shared = true
 	if report.Kind.proof() {
-		b.applyProof(now, at, origin, subject, r, report.Kind)
+		t.applyProof(now, at, origin, subject, r, report.Kind)
 		return
 	}
-	if r.addSuspicion(origin, at) && !r.Out(now) {
-		b.exclude(now, at, subject, r, Silent, origin, r.exclusionTime(Silent))
+	if r.addSuspicion(origin, at) && !r.Excluded(now) {
+		t.exclude(now, at, subject, r, Silent, origin, r.exclusionTime(Silent))
 	}
 }
 
 // applyProof excludes an incarnation for unconfirmedTime on the first entry's proof, and for as
 // long as this entry's own proof would once a second entry confirms it.
-func (b *Book) applyProof(now, at time.Time, origin uint64, subject Subject, r *Record, kind Kind) {
+func (t *Tracker) applyProof(now, at time.Time, origin uint64, subject Subject, r *Record, kind Kind) {
 	if r.firstProofAt.IsZero() {
 		r.firstProofAt = now
 	}
-	excluded := r.Out(now) && r.kind.proof()
+	excluded := r.Excluded(now) && r.kind.proof()
 	switch {
 	case r.accuser == origin:
 		r.lastProofAt = now // Repeated proof counts once; then this entry tries the incarnation itself.
@@ -150,17 +151,17 @@
 		// its result to the others.
 		duration := r.exclusionTime(kind)
 		r.accuser = 0
-		b.exclude(now, at, subject, r, kind, origin, duration+b.jitter(duration))
+		t.exclude(now, at, subject, r, kind, origin, duration+t.jitter(duration))
 	default:
 		r.accuser, r.lastProofAt = origin, now
-		b.exclude(now, at, subject, r, kind, origin, unconfirmedTime+b.jitter(unconfirmedTime))
+		t.exclude(now, at, subject, r, kind, origin, unconfirmedTime+t.jitter(unconfirmedTime))
 	}
 }
 
 // jitter returns a random extra delay before this entry retries, so that one entry retries
 // first and tells the others.
-func (b *Book) jitter(duration time.Duration) time.Duration {
-	return time.Duration(b.random.Int64N(int64(duration)))
+func (t *Tracker) jitter(duration time.Duration) time.Duration {
+	return time.Duration(t.random.Int64N(int64(duration)))
 }
 
 // addSuspicion records the suspicion of an entry; it reports whether enough entries suspect the
--- a/core/policytest/day_test.go
+++ b/core/policytest/day_test.go
@@ -42,9 +42,9 @@
 
 var publishedSpec = &enginemodel.Spec{
 	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond,
-	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, ReadRate: 154_000,
+	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, PrefillRate: 154_000,
 	PerPair: 0.162, Chunk: 2048, Hop: 100 * time.Microsecond,
-	UsualPrompt: 11_323, UsualAnswer: 1266,
+	MeanPromptTokens: 11_323, MeanAnswerTokens: 1266,
 }
 
 var usualDeployment = &deployment{
@@ -73,9 +73,9 @@
 
 var largeSpec = &enginemodel.Spec{
 	Slots: 10, MemoryTokens: 405_000, Stride: 53, Step: 1310 * time.Microsecond,
-	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, ReadRate: 154_000,
+	PerStream: 917 * time.Nanosecond, PerContextToken: 2.13, PrefillRate: 154_000,
 	PerPair: 0.162, Chunk: 2048, Hop: 100 * time.Microsecond,
-	UsualPrompt: 12_000, UsualAnswer: 1300,
+	MeanPromptTokens: 12_000, MeanAnswerTokens: 1300,
 }
 
 // sight is what entries see of each other's work.
@@ -196,7 +196,7 @@
 	}
 	for i := range fleets {
 		fleet := dispatch.NewFleet(dispatch.Settings{Rule: rule, Origin: uint64(i + 1)})
-		fleet.Apply(epoch, changes, true)
+		fleet.ApplyChanges(epoch, changes, true)
 		r.fleets = append(r.fleets, fleet)
 	}
 	return r
@@ -218,7 +218,7 @@
 // arrive takes an attempt of a prompt's caller.
 func (r *rig) arrive(now time.Duration, p *prompt) {
 	p.attempts++
-	p.arrived, p.turn = now, dispatch.WorkID{}
+	p.arrived, p.turn = now, dispatch.PlacementID{}
 	r.choose(now, p)
 }
 
@@ -228,16 +228,16 @@
 	waited := now - p.arrived
 	choice, id, verdict := r.fleet(p.entry).Choose(epoch.Add(now), &dispatch.Request{
 		Service: "model", PromptTokens: p.tokens, OutputTokens: p.events * r.deployment.spec.Stride,
-		Aim: p.kind.aim - waited, GapAim: p.kind.gapAim, Left: p.kind.deadline - (now - p.at), Turn: p.turn,
+		FirstEventTarget: p.kind.aim - waited, GapTarget: p.kind.gapAim, TimeToDeadline: p.kind.deadline - (now - p.at), QueueID: p.turn,
 	}, r.deployment.spec)
 	switch {
 	case verdict == dispatch.Place:
 		r.place(now, p, choice, id)
-	case verdict == dispatch.Hold:
+	case verdict == dispatch.Queue:
 		p.turn = id
-		r.at(now+choice.Turn.After, func(now time.Duration) { r.choose(now, p) })
+		r.at(now+choice.Retry.After, func(now time.Duration) { r.choose(now, p) })
 	case p.attempts == 1:
-		r.at(now+max(choice.Why.Clear, returnAfter), func(now time.Duration) { r.arrive(now, p) })
+		r.at(now+max(choice.Explanation.ClearTime, returnAfter), func(now time.Duration) { r.arrive(now, p) })
 	default:
 		p.refused = true
 	}
@@ -245,7 +245,7 @@
 }
 
 // place sends a prompt where its choice says.
-func (r *rig) place(now time.Duration, p *prompt, choice dispatch.Choice, id dispatch.WorkID) {
+func (r *rig) place(now time.Duration, p *prompt, choice dispatch.Choice, id dispatch.PlacementID) {
 	p.id, p.urgency, p.left = id, choice.Urgency, p.events
 	p.parts = 1 + len(choice.Helpers)
 	share := float64(p.tokens) / float64(p.parts)
@@ -295,7 +295,7 @@
 	if of.parts == 0 {
 		of.late = now-of.at > of.kind.aim
 		of.last = now
-		r.fleet(of.entry).Begun(epoch.Add(now), of.id)
+		r.fleet(of.entry).RecordFirstEvent(epoch.Add(now), of.id)
 		r.tell(now, of.entry)
 	}
 }
@@ -319,7 +319,7 @@
 			break
 		}
 	}
-	r.fleet(p.entry).Ended(epoch.Add(now), p.id, dispatch.Served)
+	r.fleet(p.entry).RecordEnd(epoch.Add(now), p.id, dispatch.Served)
 	r.tell(now, p.entry)
 }
 
@@ -329,14 +329,14 @@
 		return
 	}
 	r.at(now+batch, func(now time.Duration) {
-		events := r.fleets[entry].News()
+		events := r.fleets[entry].TakeEvents()
 		if len(events) == 0 {
 			return
 		}
 		r.at(now+r.deployment.way, func(now time.Duration) {
 			for i, other := range r.fleets {
 				if i != entry {
-					other.Heard(epoch.Add(now), uint64(entry+1), events)
+					other.ApplyEvents(epoch.Add(now), uint64(entry+1), events)
 				}
 			}
 		})
--- a/core/policytest/engines_test.go
+++ b/core/policytest/engines_test.go
@@ -21,9 +21,9 @@
 	// wait of that attempt.
 	attempts int
 	arrived  time.Duration
-	turn     dispatch.WorkID
+	turn     dispatch.PlacementID
 
-	id      dispatch.WorkID
+	id      dispatch.PlacementID
 	urgency int
 	parts   int // still to be read
 	left    int // events to write
@@ -106,7 +106,7 @@
 		steps = e.spec.Stride
 	}
 	for range steps {
-		took += e.spec.Pause(len(e.writing), context) / time.Duration(e.spec.Stride)
+		took += e.spec.PassTime(len(e.writing), context) / time.Duration(e.spec.Stride)
 		took += e.read(&read)
 	}
 	return took, read
@@ -120,7 +120,7 @@
 		tokens := min(room, p.tokens)
 		room -= tokens
 		p.tokens -= tokens
-		perToken := float64(time.Second)/e.spec.ReadRate + float64(p.of.tokens)/2*e.spec.PerPair
+		perToken := float64(time.Second)/e.spec.PrefillRate + float64(p.of.tokens)/2*e.spec.PerPair
 		took += time.Duration(tokens * perToken)
 		if p.tokens <= 0 {
 			e.reading = e.reading[1:]
--- a/core/tokens/tokens.go
+++ b/core/tokens/tokens.go
@@ -17,9 +17,9 @@
 	maxRatio = 1.0
 	// maxModels bounds the memory if callers can choose model names.
 	maxModels = 1024
-	// errorMultiplier makes Upper cover relative errors of twice the running mean.
+	// errorMultiplier makes UpperBound cover relative errors of twice the running mean.
 	errorMultiplier = 2
-	// minMargin is the least relative margin that Upper adds. The ratio follows the common
+	// minMargin is the least relative margin that UpperBound adds. The ratio follows the common
 	// short prompts, which have a larger share of JSON. Without a margin, a long prompt was
 	// estimated 1 % too low, and engines refused the parts of its set.
 	minMargin = 0.02
@@ -50,8 +50,8 @@
 	return max(1, int(math.Ceil(float64(bytes)*e.ratio(model).tokensPerByte)))
 }
 
-// Upper estimates a number of tokens that is seldom exceeded, for memory reservations.
-func (e *Estimator) Upper(model string, bytes int) int {
+// UpperBound estimates a number of tokens that is seldom exceeded, for memory reservations.
+func (e *Estimator) UpperBound(model string, bytes int) int {
 	r := e.ratio(model)
 	margin := max(minMargin, errorMultiplier*r.relativeError)
 	return max(1, int(math.Ceil(float64(bytes)*r.tokensPerByte*(1+margin))))
--- a/core/tokens/tokens_test.go
+++ b/core/tokens/tokens_test.go
@@ -17,7 +17,7 @@
 	}
 	require.InEpsilon(t, 4000, e.Tokens("m", 10_000), 0.05)
 	require.Less(t, e.RelativeError("m"), 0.1)
-	require.Greater(t, e.Upper("m", 10_000), e.Tokens("m", 10_000))
+	require.Greater(t, e.UpperBound("m", 10_000), e.Tokens("m", 10_000))
 	require.Equal(t, 2500, e.Tokens("other", 10_000), "models are independent")
 }
 
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -183,7 +183,7 @@
 func (e *sharedEstimator) upper(model string, bytes int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.estimator.Upper(model, bytes)
+	return e.estimator.UpperBound(model, bytes)
 }
 
 func (e *sharedEstimator) observe(model string, bytes, promptTokens int) {
--- a/entry/gateway/crashes.go
+++ b/entry/gateway/crashes.go
@@ -88,7 +88,7 @@
 // NewCrashes returns Crashes that tell a quarantine which requests upstreams have crashed under.
 func NewCrashes(clients *Clients, fleet *dispatch.Fleet, metrics *Metrics, told Quarantine, log zerolog.Logger) *Crashes {
 	return &Crashes{
-		dial: clients.dial, leaves: fleet.Leaves, replaced: fleet.Replaced, now: time.Now, log: log,
+		dial: clients.dial, leaves: fleet.Draining, replaced: fleet.Replaced, now: time.Now, log: log,
 		count: metrics.broke, crashed: told.Ended,
 		broken: make(map[string]*brokenUpstream),
 	}
--- a/entry/gateway/crashes_test.go
+++ b/entry/gateway/crashes_test.go
@@ -41,7 +41,7 @@
 			_ = other.Close() // Nobody reads from it.
 			return conn, nil
 		},
-		leaves: func(upstream dispatch.Upstream) bool { return upstream.Leaving },
+		leaves: func(upstream dispatch.Upstream) bool { return upstream.Draining },
 		now:    time.Now, log: zerolog.New(&w.log), count: w.metrics.broke,
 		replaced: func(dispatch.Upstream) bool { return w.replacement },
 		broken:   make(map[string]*brokenUpstream),
@@ -128,7 +128,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := watchCrashes(syscall.ECONNREFUSED)
 		leaving := engine
-		leaving.Leaving = true
+		leaving.Draining = true
 		w.broke(leaving, question)
 		pass(time.Second)
 		require.Contains(t, w.log.String(), `"leaving":true`)
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -39,7 +39,7 @@
 	retries *Retries
 	// choice and work are those of the attempt in hand.
 	choice dispatch.Choice
-	work   dispatch.WorkID
+	work   dispatch.PlacementID
 	sends  int
 	// sentAt is when the attempt in hand was sent.
 	sentAt time.Time
@@ -102,7 +102,7 @@
 // choose finds the upstream of the next attempt, and waits for the request's turn where the
 // engines are better used by others.
 func (e *exchange) choose() attempt.Action {
-	var turn dispatch.WorkID
+	var turn dispatch.PlacementID
 	began := e.now()
 	asked := 0
 	e.awaitVerdict()
@@ -124,17 +124,17 @@
 		switch verdict {
 		case dispatch.NoUpstream:
 			return e.machine.NoReplica(now, fault(result.NoReplica, result.NotRun, "no upstream of the service takes requests"))
-		case dispatch.TooBusy:
-			return e.machine.NoReplica(now, tooBusy(choice.Why))
-		case dispatch.Hold:
+		case dispatch.Overloaded:
+			return e.machine.NoReplica(now, tooBusy(choice.Explanation))
+		case dispatch.Queue:
 			turn = work
-			e.awaitTurn(choice.Turn)
+			e.awaitTurn(choice.Retry)
 			continue
 		}
-		if choice.Ask && asked < mostAsked && !e.g.allServe(e.r.Context(), choice) {
+		if choice.Probe && asked < mostAsked && !e.g.allServe(e.r.Context(), choice) {
 			asked++
-			turn = dispatch.WorkID{}
-			e.g.config.Fleet.Ended(e.now(), work, dispatch.Abandoned)
+			turn = dispatch.PlacementID{}
+			e.g.config.Fleet.RecordEnd(e.now(), work, dispatch.Abandoned)
 			continue
 		}
 		now = e.now()
@@ -148,21 +148,21 @@
 const mostAsked = 4
 
 // placement is what a choice needs to know of the request now.
-func (e *exchange) placement(now time.Time, turn dispatch.WorkID) dispatch.Request {
+func (e *exchange) placement(now time.Time, turn dispatch.PlacementID) dispatch.Request {
 	waited := now.Sub(e.arrived)
 	return dispatch.Request{
-		Service:      e.service.Name,
-		PromptTokens: e.meta.PromptTokens,
-		OutputTokens: e.meta.OutputTokens,
-		Aim:          e.route.Aim - waited,
-		GapAim:       e.route.GapAim,
-		Left:         e.deadline.Sub(now),
-		Patience:     patience(e.route) - waited,
-		Rank:         e.rank(),
-		Turn:         turn,
-		Exclude:      e.machine.Excluded(),
-		Keep:         e.machine.Keep(),
-		Committed:    e.committed(),
+		Service:          e.service.Name,
+		PromptTokens:     e.meta.PromptTokens,
+		OutputTokens:     e.meta.OutputTokens,
+		FirstEventTarget: e.route.Aim - waited,
+		GapTarget:        e.route.GapAim,
+		TimeToDeadline:   e.deadline.Sub(now),
+		Patience:         patience(e.route) - waited,
+		Priority:         e.rank(),
+		QueueID:          turn,
+		Exclude:          e.machine.Excluded(),
+		PinnedTo:         e.machine.Keep(),
+		Committed:        e.committed(),
 	}
 }
 
@@ -189,7 +189,7 @@
 }
 
 // awaitTurn waits until the request's turn may have come, or its caller is gone.
-func (e *exchange) awaitTurn(turn dispatch.Turn) {
+func (e *exchange) awaitTurn(turn dispatch.Retry) {
 	timer := time.NewTimer(min(turn.After, e.deadline.Sub(e.now())))
 	defer timer.Stop()
 	select {
@@ -212,7 +212,7 @@
 		Exclude: append(slices.Clone(e.machine.Excluded()), e.choice.Upstream.Incarnation()),
 	}
 	return func(now time.Time) bool {
-		return e.g.config.Fleet.Elsewhere(now, request) && e.retries.Take(now)
+		return e.g.config.Fleet.HasAlternative(now, request) && e.retries.Take(now)
 	}
 }
 
@@ -221,14 +221,14 @@
 	now := e.now()
 	e.sends++
 	e.sentAt = now
-	e.g.config.Metrics.sent(e.choice.Why.AgainstProof)
+	e.g.config.Metrics.sent(e.choice.Explanation.KnownDown)
 	if action := e.machine.Accepted(now, e.attempt()); action.Kind != attempt.None {
 		e.end(now, dispatch.Abandoned)
 		return action
 	}
 	ctx, cancel := context.WithTimeout(e.r.Context(), e.deadline.Sub(now))
 	defer cancel()
-	if e.choice.Tickets() {
+	if e.choice.NeedsReservations() {
 		reservation, refuser, err := e.g.reserve(ctx, e.choice)
 		if err != nil {
 			return e.notReserved(refuser, err)
@@ -238,7 +238,7 @@
 	upstream := e.g.config.Clients.of(e.choice.Upstream)
 	defer context.AfterFunc(upstream.life, cancel)()
 	e.watch = &watch{client: upstream, after: e.stallAfter(), may: e.elsewhere(), cancel: cancel, now: e.now}
-	e.watch.start(stallExpected * e.choice.Why.First)
+	e.watch.start(stallExpected * e.choice.Explanation.FirstEvent)
 	defer e.watch.stop()
 	answer, err := upstream.http.Do(ctx, e.call(now))
 	if err != nil {
@@ -285,12 +285,12 @@
 	return service.ReuseNever
 }
 
-func tooBusy(why dispatch.Why) *result.Error {
+func tooBusy(why dispatch.Explanation) *result.Error {
 	err := result.New(result.CannotStartInTime, result.NotRun,
 		"engines are too busy for a prompt that takes %d ms to read: they have %d ms to read each on the mean, "+
 			"and it would cost others %.2f of worth",
-		why.Read.Milliseconds(), why.Load.Milliseconds(), why.Cost)
-	err.RetryAfter = max(why.Clear, busyRetryAfter)
+		why.Read.Milliseconds(), why.MeanBacklog.Milliseconds(), why.ExpectedLoss)
+	err.RetryAfter = max(why.ClearTime, busyRetryAfter)
 	return err
 }
 
--- a/entry/gateway/judge.go
+++ b/entry/gateway/judge.go
@@ -48,7 +48,7 @@
 	case outcome != dispatch.Abandoned:
 		e.g.config.Fleet.Observe(now, refuser, outcome, e.sentAt)
 	case errors.As(err, &refused):
-		e.g.config.Fleet.Full(now, refuser)
+		e.g.config.Fleet.MarkFull(now, refuser)
 	default:
 		e.g.config.Fleet.Observe(now, refuser, dispatch.Lost, e.sentAt)
 	}
@@ -79,7 +79,7 @@
 }
 
 func (e *exchange) end(now time.Time, outcome dispatch.Outcome) {
-	e.g.config.Fleet.Ended(now, e.work, outcome)
+	e.g.config.Fleet.RecordEnd(now, e.work, outcome)
 }
 
 // judge decides what an answer's head means.
@@ -137,7 +137,7 @@
 	switch {
 	case e.helperAtFault(answer, meta):
 		helper := e.helperAt(meta.Fault).Upstream
-		e.g.config.Fleet.AtFault(now, helper, e.sentAt)
+		e.g.config.Fleet.RecordFault(now, helper, e.sentAt)
 		return e.leave(now, dispatch.Abandoned, attempt.Word{Code: result.GroupUnavailable, Execution: result.NotRun,
 			Detail:     fmt.Sprintf("a part of the prompt can't be read at %s (%s)", meta.Fault, helper.ID),
 			RetryAfter: refusedRetryAfter, Again: true}), true
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -185,7 +185,7 @@
 		return float64(n.Fleet.Waiting())
 	})
 	metrics.Gauge("acaciacleat_upstreams_left_out", "Upstreams that are left out for what this entry or others have seen.", func() float64 {
-		return float64(n.Fleet.LeftOut(time.Now()))
+		return float64(n.Fleet.Excluded(time.Now()))
 	})
 	metrics.Gauge("acaciacleat_requests_held_back", "Requests, by their content, that are held back because upstreams crash under them.", func() float64 {
 		held, _ := n.Quarantine.Counts()
@@ -197,7 +197,7 @@
 	})
 	metrics.Counter("acaciacleat_quarantine_reports_dropped_total", "Reports of other entries on requests that were not taken up, by reason.",
 		"reason", "malformed", func() float64 { return float64(n.Quarantine.Dropped()) })
-	for _, why := range evidence.Reasons() {
+	for _, why := range evidence.DropReasons() {
 		metrics.Counter("acaciacleat_reports_dropped_total", "Reports of other entries on upstreams that were not taken up, by reason.",
 			"reason", why.String(), func() float64 { return float64(n.Fleet.DroppedReports(why)) })
 	}
@@ -276,7 +276,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			n.Fleet.Forget(now)
+			n.Fleet.RemoveExpired(now)
 			n.logVerdicts(now)
 		}
 	}
@@ -284,17 +284,17 @@
 
 // logVerdicts tells which upstreams were left out or taken back, and why.
 func (n *Node) logVerdicts(now time.Time) {
-	for _, v := range n.Fleet.Verdicts() {
+	for _, v := range n.Fleet.TakeVerdicts() {
 		line := n.log.Info().Str("upstream", v.Name).Stringer("evidence", v.Kind).
 			Int64("age_ms", (v.Age + now.Sub(v.At)).Milliseconds())
-		if v.By != 0 {
-			line = line.Uint64("said_by", v.By)
+		if v.Origin != 0 {
+			line = line.Uint64("said_by", v.Origin)
 		}
-		if v.For == 0 {
+		if v.Duration == 0 {
 			line.Msg("upstream is taken back")
 			continue
 		}
-		line.Int64("for_ms", v.For.Milliseconds()).Msg("upstream is left out")
+		line.Int64("for_ms", v.Duration.Milliseconds()).Msg("upstream is left out")
 	}
 }
 
--- a/entry/gateway/relay.go
+++ b/entry/gateway/relay.go
@@ -113,7 +113,7 @@
 			e.lastAt = now
 			if delivered == 0 {
 				e.tries[len(e.tries)-1].first = now.Sub(e.arrived)
-				e.g.config.Fleet.Begun(now, e.work)
+				e.g.config.Fleet.RecordFirstEvent(now, e.work)
 			}
 			e.sendHead(answer)
 			delivered++
--- a/entry/gateway/reserve.go
+++ b/entry/gateway/reserve.go
@@ -167,7 +167,7 @@
 			}
 			call := r.g.config.Reserver.Reserve(helper.Upstream, helper, holdFor)
 			if err := r.g.order(context.Background(), helper.Upstream, call); err != nil {
-				r.g.config.Log.Warn().Err(err).Str("upstream", helper.Upstream.ID).Str("ticket", helper.Ticket).
+				r.g.config.Log.Warn().Err(err).Str("upstream", helper.Upstream.ID).Str("ticket", helper.Reservation).
 					Msg("reserved memory was not renewed; the next renewal may still come in time")
 			}
 		}
@@ -195,13 +195,13 @@
 func (g *Gateway) releaseTicket(helper dispatch.Helper) {
 	var err error
 	for range releaseTries {
-		err = g.order(context.Background(), helper.Upstream, g.config.Reserver.Release(helper.Upstream, helper.Ticket))
+		err = g.order(context.Background(), helper.Upstream, g.config.Reserver.Release(helper.Upstream, helper.Reservation))
 		var refused *orderRefused
 		if err == nil || errors.As(err, &refused) {
 			return // Released, or not known there any more.
 		}
 	}
-	g.config.Log.Warn().Err(err).Str("upstream", helper.Upstream.ID).Str("ticket", helper.Ticket).
+	g.config.Log.Warn().Err(err).Str("upstream", helper.Upstream.ID).Str("ticket", helper.Reservation).
 		Msg("reserved memory was not released; it expires by itself")
 }
 
--- a/entry/gateway/trail.go
+++ b/entry/gateway/trail.go
@@ -27,20 +27,20 @@
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (t *try) MarshalZerologObject(e *zerolog.Event) {
-	why := t.choice.Why
+	why := t.choice.Explanation
 	e.Str("upstream", t.choice.Upstream.ID).Int64("at_ms", t.at.Milliseconds()).
 		Int("candidates", why.Candidates).Int64("backlog_ms", why.Backlog.Milliseconds()).
-		Int("streams", why.Streams).Int("memory", why.Memory).Float64("cost", why.Cost)
+		Int("streams", why.Streams).Int("memory", why.MemoryTokens).Float64("cost", why.ExpectedLoss)
 	if t.held > 0 {
 		e.Int64("held_ms", t.held.Milliseconds())
 	}
-	if why.First > 0 {
-		e.Int64("expected_ms", (t.at + why.First).Milliseconds())
+	if why.FirstEvent > 0 {
+		e.Int64("expected_ms", (t.at + why.FirstEvent).Milliseconds())
 	}
 	if t.first > 0 {
 		e.Int64("first_ms", t.first.Milliseconds())
 	}
-	if why.AgainstProof {
+	if why.KnownDown {
 		e.Bool("against_proof", true)
 	}
 	if n := len(t.choice.Helpers); n > 0 {
--- a/entry/gateway/upstreams.go
+++ b/entry/gateway/upstreams.go
@@ -19,8 +19,8 @@
 
 // Apply implements directory.Upstreams.
 func (u Upstreams) Apply(now time.Time, changes []dispatch.Change, whole bool) {
-	for _, ended := range u.Fleet.Apply(now, changes, whole) {
-		u.Log.Info().Str("upstream", ended.ID).Int64("born_ms", ended.Born).
+	for _, ended := range u.Fleet.ApplyChanges(now, changes, whole) {
+		u.Log.Info().Str("upstream", ended.ID).Int64("born_ms", ended.StartedAtMs).
 			Msg("upstream has started again under its id; what it had in hand is over")
 		u.Clients.End(ended)
 		u.Crashes.ended(ended, restarted)
@@ -28,5 +28,5 @@
 	u.Crashes.registryChanged()
 }
 
-// SourceLost implements directory.Upstreams.
-func (u Upstreams) SourceLost(now time.Time) { u.Fleet.SourceLost(now) }
+// RegistryUnavailable implements directory.Upstreams.
+func (u Upstreams) SourceLost(now time.Time) { u.Fleet.RegistryUnavailable(now) }
--- a/entry/share/share.go
+++ b/entry/share/share.go
@@ -196,10 +196,10 @@
 	p.config.Log.Info().Str("entry", vm).Uint64("origin", uint64(c.Peer().Incarnation)).Msg("entry linked")
 	now := time.Now()
 	if old != 0 && old != c.Peer().Incarnation {
-		p.config.Fleet.ForgetOrigin(now, uint64(old))
+		p.config.Fleet.RemoveOrigin(now, uint64(old))
 	}
 	p.sendOne(c, &link.Works{
-		Origin: p.config.Self.Incarnation, Events: p.config.Fleet.Current(now), Quarantine: p.config.Quarantine.Current(),
+		Origin: p.config.Self.Incarnation, Events: p.config.Fleet.Snapshot(now), Quarantine: p.config.Quarantine.Current(),
 	})
 	if value, version := p.config.Routes(); value != nil {
 		p.sendOne(c, &link.Routes{Version: version})
@@ -242,8 +242,8 @@
 	switch m := message.(type) {
 	case *link.Works:
 		now := time.Now()
-		p.config.Fleet.Heard(now, uint64(m.Origin), m.Events)
-		p.config.Fleet.HeardReports(now, uint64(m.Origin), m.Reports)
+		p.config.Fleet.ApplyEvents(now, uint64(m.Origin), m.Events)
+		p.config.Fleet.ApplyReports(now, uint64(m.Origin), m.Reports)
 		p.config.Quarantine.Heard(c.Peer().VM, m.Quarantine)
 		if m.Pass {
 			p.pass(m)
@@ -297,6 +297,6 @@
 	}
 	p.mu.Unlock()
 	if gone {
-		p.config.Fleet.ForgetOrigin(time.Now(), uint64(origin))
+		p.config.Fleet.RemoveOrigin(time.Now(), uint64(origin))
 	}
 }
--- a/entry/share/spread.go
+++ b/entry/share/spread.go
@@ -15,14 +15,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.config.Fleet.Told():
+		case <-p.config.Fleet.Pending():
 		case <-p.config.Quarantine.Told():
 		}
 		pause.For(ctx, batchFor)
 		works := link.Works{
 			Origin:     p.config.Self.Incarnation,
-			Events:     p.config.Fleet.News(),
-			Reports:    p.config.Fleet.Reports(time.Now()),
+			Events:     p.config.Fleet.TakeEvents(),
+			Reports:    p.config.Fleet.TakeReports(time.Now()),
 			Quarantine: p.config.Quarantine.Reports(),
 		}
 		if len(works.Events)+len(works.Reports)+len(works.Quarantine) > 0 {
--- a/peers/link/link_test.go
+++ b/peers/link/link_test.go
@@ -270,7 +270,7 @@
 	}
 	short := placed
 	short.Helpers, short.Tickets = nil, nil
-	rest := []dispatch.Event{{Kind: dispatch.Begun, Number: 100_000}, {Kind: dispatch.Ended, Number: 100_000}}
+	rest := []dispatch.Event{{Kind: dispatch.FirstEvent, Number: 100_000}, {Kind: dispatch.Ended, Number: 100_000}}
 	for name, event := range map[string]dispatch.Event{"alone": short, "with seven helpers": placed} {
 		w := newFrameWriter()
 		require.NoError(t, w.append(&Works{Origin: 1 << 63, Events: append([]dispatch.Event{event}, rest...)}))
@@ -325,7 +325,7 @@
 	require.Equal(t, events, read.Events[:1], "it skips the kinds behind that it doesn't know")
 	require.Len(t, read.Events, 6)
 	fleet := dispatch.NewFleet(dispatch.Settings{})
-	fleet.Heard(time.Now(), 3, read.Events)
+	fleet.ApplyEvents(time.Now(), 3, read.Events)
 	require.Zero(t, fleet.Outstanding()+fleet.Waiting())
 }
 
