--- /dev/null
+++ b/core/evidence/reporter.go
@@ -0,0 +1,193 @@
+package evidence
+
+import (
+	"time"
+
+	"acaciacleat.example/core/decay"
+)
+
+const (
+	// suspicionQuorum is the number of other entries that must suspect an incarnation to
+	// exclude it. A single one may be partitioned from it.
+	suspicionQuorum = 2
+	// suspicionTTL is how long a suspicion counts: the time of several requests to a busy
+	// upstream.
+	suspicionTTL = time.Second
+	// maxSuspectShare and maxProofShare bound the share of a service's upstreams that one entry
+	// can exclude by suspicions and by proof. An entry that accuses more is most likely
+	// partitioned itself.
+	maxSuspectShare = 0.25
+	maxProofShare   = 0.5
+	// accusationTTL is how long an accusation counts towards these shares.
+	accusationTTL = 2 * time.Second
+	// contradictionWindow is the time within which an answer contradicts a proof. A restart
+	// under the same ID takes longer.
+	contradictionWindow = 1500 * time.Millisecond
+	// contradictionDecay and maxContradictions bound the contradicted proofs before an entry is
+	// distrusted. A few are tolerated, because a process may have restarted in the meantime.
+	contradictionDecay = 30 * time.Second
+	maxContradictions  = 2.5
+	// maxReporters bounds the entries that are tracked: several times the intended deployment
+	// size.
+	maxReporters = 2000
+)
+
+// reporter is another entry with its recent accusations.
+type reporter struct {
+	accused      map[uint32]time.Time
+	contradicted decay.Sum
+	lastReport   time.Time
+}
+
+func (t *Tracker) reporter(now time.Time, origin uint64) *reporter {
+	rep := t.reporters[origin]
+	if rep == nil {
+		t.evictReporters(now)
+		rep = &reporter{accused: make(map[uint32]time.Time)}
+		t.reporters[origin] = rep
+	}
+	rep.lastReport = now
+	return rep
+}
+
+// evictReporters makes room if too many reporters are tracked.
+func (t *Tracker) evictReporters(now time.Time) {
+	if len(t.reporters) < maxReporters {
+		return
+	}
+	for origin, rep := range t.reporters {
+		if now.Sub(rep.lastReport) > contradictionDecay {
+			delete(t.reporters, origin)
+		}
+	}
+	if len(t.reporters) >= maxReporters {
+		clear(t.reporters)
+	}
+}
+
+func (rep *reporter) contradict(now time.Time) { rep.contradicted.Add(now, 1, contradictionDecay) }
+
+// mayAccuse reports whether the entry may accuse one more of the known upstreams.
+func (rep *reporter) mayAccuse(now time.Time, tag uint32, kind Kind, known int) bool {
+	if rep.contradicted.Value(now, contradictionDecay) > maxContradictions {
+		return false
+	}
+	for other, at := range rep.accused {
+		if now.Sub(at) > accusationTTL {
+			delete(rep.accused, other)
+		}
+	}
+	share := maxSuspectShare
+	if kind.proof() {
+		share = maxProofShare
+	}
+	if _, repeated := rep.accused[tag]; !repeated && len(rep.accused) >= max(int(share*float64(known)), 1) {
+		return false
+	}
+	rep.accused[tag] = now
+	return true
+}
+
+// Check counts and drops the reports that no correct entry would send.
+func (t *Tracker) Check(reports []Report) []Report {
+	if len(reports) > MaxReports {
+		t.CountDropped(Excess, len(reports)-MaxReports)
+		reports = reports[:MaxReports]
+	}
+	kept := make([]Report, 0, len(reports))
+	for _, r := range reports {
+		valid := r.Kind == Answered || r.Kind >= Silent && r.Kind <= Replaced
+		if !valid || r.AgeMs < 0 || r.AgeMs > maxReportAge.Milliseconds() {
+			t.CountDropped(Malformed, 1)
+			continue
+		}
+		kept = append(kept, r)
+	}
+	return kept
+}
+
+// ApplyReport applies a checked report from the entry origin on one of a service's known
+// upstreams.
+func (t *Tracker) ApplyReport(now time.Time, origin uint64, subject Subject, r *Record, report Report, known int) {
+	at := now.Add(-time.Duration(report.AgeMs) * time.Millisecond)
+	if report.Kind == Answered {
+		if r.hasEvidence() && at.After(r.evidenceAt) {
+			t.readmit(now, at, subject, r, origin)
+		}
+		return
+	}
+	if r.answeredSentAt.After(at) {
+		t.CountDropped(Overruled, 1)
+		return
+	}
+	if !t.reporter(now, origin).mayAccuse(now, report.Tag, report.Kind, known) {
+		t.CountDropped(Distrusted, 1)
+		return
+	}
+	r.shared = true
+	if report.Kind.proof() {
+		t.applyProof(now, at, origin, subject, r, report.Kind)
+		return
+	}
+	if r.addSuspicion(origin, at) && !r.Excluded(now) {
+		t.exclude(now, at, subject, r, Silent, origin, r.exclusionTime(Silent))
+	}
+}
+
+// applyProof excludes an incarnation for unconfirmedTime on the first entry's proof, and for as
+// long as this entry's own proof would once a second entry confirms it.
+func (t *Tracker) applyProof(now, at time.Time, origin uint64, subject Subject, r *Record, kind Kind) {
+	if r.firstProofAt.IsZero() {
+		r.firstProofAt = now
+	}
+	excluded := r.Excluded(now) && r.kind.proof()
+	switch {
+	case r.accuser == origin:
+		r.lastProofAt = now // Repeated proof counts once; then this entry tries the incarnation itself.
+	case excluded && r.accuser == 0:
+		return
+	case r.accuser != 0:
+		// Confirmed. The jitter makes entries retry at different times; the first one reports
+		// its result to the others.
+		duration := r.exclusionTime(kind)
+		r.accuser = 0
+		t.exclude(now, at, subject, r, kind, origin, duration+t.jitter(duration))
+	default:
+		r.accuser, r.lastProofAt = origin, now
+		t.exclude(now, at, subject, r, kind, origin, unconfirmedTime+t.jitter(unconfirmedTime))
+	}
+}
+
+// jitter returns a random extra delay before this entry retries, so that one entry retries
+// first and tells the others.
+func (t *Tracker) jitter(duration time.Duration) time.Duration {
+	return time.Duration(t.random.Int64N(int64(duration)))
+}
+
+// addSuspicion records the suspicion of an entry; it reports whether enough entries suspect the
+// incarnation.
+func (r *Record) addSuspicion(origin uint64, at time.Time) bool {
+	oldest := 0
+	for i, s := range r.suspects {
+		if s.origin == origin {
+			r.suspects[i].at = latest(s.at, at)
+			return r.suspectedByQuorum(at)
+		}
+		if s.at.Before(r.suspects[oldest].at) {
+			oldest = i
+		}
+	}
+	r.suspects[oldest] = suspicion{origin: origin, at: at}
+	return r.suspectedByQuorum(at)
+}
+
+// suspectedByQuorum reports whether enough entries suspect the incarnation at the given time.
+func (r *Record) suspectedByQuorum(at time.Time) bool {
+	n := 0
+	for _, s := range r.suspects {
+		if s.origin != 0 && at.Sub(s.at) < suspicionTTL {
+			n++
+		}
+	}
+	return n >= suspicionQuorum
+}
