--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -1,4 +1,5 @@
-// Package node runs a gateway as a process: its listeners, what it follows, and its stop.
+// Package node runs a gateway as a process: its listeners, its background tasks and its
+// shutdown.
 package node
 
 import (
@@ -26,34 +27,37 @@
 	"github.com/rs/zerolog"
 )
 
-// Peer is what a node needs of a platform.
+// Peer holds the parts of a platform that a node uses.
 type Peer struct {
 	Source  directory.Source
 	Dialect gateway.Dialect
-	// Reserver may be nil where no upstream is an engine.
+	// Reserver may be nil if no upstream is an engine.
 	Reserver gateway.Reserver
-	// Store and Tables are what entries find each other by; without a Store there are no
+	// Store and Tables are used by entries to discover each other. Without a Store there are no
 	// links between them.
 	Store  table.Feed
 	Tables share.Tables
-	// Quarantine is the table of requests that are held back.
+	// Quarantine is the name of the quarantine's table.
 	Quarantine string
 }
 
 const (
-	// headerTimeout bounds the time in which a caller sends a request's headers, and
-	// headerBytes their size; callers stay well within both.
+	// headerTimeout and headerBytes bound the time that a caller takes to send a request's
+	// headers and their size. Callers stay well within both.
 	headerTimeout = 10 * time.Second
 	headerBytes   = 64 << 10
-	// idleTimeout is longer than callers keep an idle connection for reuse (12 s), so that
-	// the end of one never meets a request on its way.
+	// idleTimeout is longer than callers keep an idle connection for reuse (12 s), so that the
+	// server never closes a connection on which a request is being sent.
 	idleTimeout = 30 * time.Second
-	// forgetEvery is how often work is looked over whose end nobody has told.
-	forgetEvery = 500 * time.Millisecond
-	// stopReserve is left of a stop's time for the process to end by itself.
+	// forgetInterval is the interval at which placements whose end was never reported are
+	// checked.
+	forgetInterval = 500 * time.Millisecond
+	// stopReserve is the part of the time limit for stopping that is left for the process to
+	// exit.
 	stopReserve = 150 * time.Millisecond
-	// memoryShare is the part of the memory bound at which garbage is collected harder.
-	memoryShare = 0.7
+	// memoryLimitShare is the fraction of the memory bound that is set as Go's soft memory
+	// limit.
+	memoryLimitShare = 0.7
 )
 
 // Node is a running gateway.
@@ -81,9 +85,9 @@
 func Start(s *settings.Gateway, peer Peer, log zerolog.Logger) (*Node, error) {
 	log = log.With().Str("vm", s.VM.ID).Logger()
 	if s.Limits.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(s.Limits.MemoryMb * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(s.Limits.MemoryMb * memoryLimitShare * (1 << 20)))
 	}
-	debug.SetGCPercent(collectorPercent)
+	debug.SetGCPercent(gcPercent)
 	incarnation := link.NewIncarnation()
 	fleet := dispatch.NewFleet(dispatch.Settings{
 		Rule:   dispatch.Rule(s.Routing.Rule),
@@ -101,17 +105,17 @@
 		Log:      log,
 	})
 	n.Peers = share.New(share.Config{
-		Self:    link.Identity{VM: s.VM.ID, Role: "entry", Zone: s.VM.Zone, Incarnation: incarnation},
-		Listen:  s.Link.Listen,
-		Store:   peer.Store,
-		Tables:  peer.Tables,
-		Fleet:   fleet,
-		Routes:  n.routes,
-		Offer:   func(value []byte) bool { return n.Keeper.Offer(value) },
-		Heard:   func(vm string, news *link.News) { n.Keeper.Heard(vm, news) },
-		Gone:    func(vm string) { n.Keeper.Gone(vm) },
-		Entries: budgets.SetEntries,
-		Log:     log,
+		Self:         link.Identity{VM: s.VM.ID, Role: "entry", Zone: s.VM.Zone, Incarnation: incarnation},
+		Listen:       s.Link.Listen,
+		Store:        peer.Store,
+		Tables:       peer.Tables,
+		Fleet:        fleet,
+		Routes:       n.routes,
+		Offer:        func(value []byte) bool { return n.Keeper.Offer(value) },
+		OnFeedUpdate: func(vm string, news *link.News) { n.Keeper.Heard(vm, news) },
+		OnLinkLost:   func(vm string) { n.Keeper.Gone(vm) },
+		OnEntryCount: budgets.SetEntries,
+		Log:          log,
 
 		Quarantine: n.Quarantine,
 	})
@@ -121,9 +125,9 @@
 		Source:    peer.Source,
 		Wait:      shared.Milliseconds(s.Store.WaitMs),
 		Upstreams: gateway.Upstreams{Fleet: fleet, Clients: clients, Crashes: crashes, Log: log},
-		Changed:   n.Peers.TellRoutes,
+		Changed:   n.Peers.AnnounceRoutes,
 		Role:      n.Peers.Role,
-		Tell:      n.Peers.TellNews,
+		Tell:      n.Peers.ForwardFeedUpdate,
 		Log:       log,
 	})
 	n.Gateway = gateway.New(gateway.Config{
@@ -139,35 +143,36 @@
 		MaxBodyBytes: int64(s.Limits.BodyBytes),
 		Log:          log,
 	})
-	n.gauges(metrics)
+	n.registerMetrics(metrics)
 	if err := n.listen(s, metrics); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	go n.Keeper.Run(ctx)
-	go n.forget(ctx)
+	go n.runForget(ctx)
 	if peer.Store != nil {
 		n.running.Go(func() { n.Peers.Run(ctx) })
 		n.running.Go(func() { n.Quarantine.Run(ctx) })
 	}
-	// Written at every level: with port 0 nothing else tells where the gateway listens.
+	// This line is written at every level: with port 0, nothing else shows which port was
+	// assigned.
 	log.Log().Str("callers", n.addrs.callers).Str("ready", n.addrs.ready).Str("metrics", n.addrs.metrics).
 		Str("rule", s.Routing.Rule).Msg("gateway started")
 	return n, nil
 }
 
-// gauges adds what the node knows at the moment to its metrics.
-func (n *Node) gauges(metrics *gateway.Metrics) {
+// registerMetrics registers the metrics that are read from the node's state.
+func (n *Node) registerMetrics(metrics *gateway.Metrics) {
 	metrics.Gauge("acaciacleat_routes_version", "Version of the routes in force; 0 for none.", func() float64 {
 		_, version := n.routes()
 		return float64(version)
 	})
 	metrics.Gauge("acaciacleat_routes_behind_seconds", "For how long a version of the routes that another entry has announced is not in force; 0 if none is missing.", func() float64 {
-		return n.Peers.Behind().Seconds()
+		return n.Peers.RoutesLag().Seconds()
 	})
-	metrics.Counter("acaciacleat_routes_asked_total", "Parts of routes that other entries were asked for.", "by", "entry", func() float64 { return float64(n.Peers.RoutesAsked()) })
-	metrics.Counter("acaciacleat_routes_sent_bytes_total", "Bytes of routes sent to other entries.", "by", "entry", func() float64 { return float64(n.Peers.RoutesSent()) })
+	metrics.Counter("acaciacleat_routes_asked_total", "Parts of routes that other entries were asked for.", "by", "entry", func() float64 { return float64(n.Peers.RoutePartsRequested()) })
+	metrics.Counter("acaciacleat_routes_sent_bytes_total", "Bytes of routes sent to other entries.", "by", "entry", func() float64 { return float64(n.Peers.RouteBytesSent()) })
 	for _, feed := range []link.Feed{link.FeedRoutes, link.FeedUpstreams} {
 		metrics.Counter("acaciacleat_feed_reads_failed_total", "Reads of the store's feeds that have failed.", "feed", feed.String(),
 			func() float64 { return float64(n.Keeper.ReadsFailed(feed)) })
@@ -203,15 +208,16 @@
 	}
 }
 
-// collectorPercent is how far the heap grows between two collections. An entry's live heap is
-// a few megabytes: with Go's own 100 the peak memory of a day was 29 MB at 60 requests a second,
-// with 25 it is 22 MB, and the processor time the same (0.0109 of a core).
-const collectorPercent = 25
+// gcPercent is the garbage collector's target percentage. An entry's live heap is a few
+// megabytes. With Go's default of 100, peak memory is 29 MB at 60 requests a second instead of
+// 22 MB, with the same CPU time (0.0109 of a core).
+const gcPercent = 25
 
-// assumedEntries splits the retry budget while the other entries are not known.
+// assumedEntries is the number of entries that share the retry budget until the other entries
+// are known.
 const assumedEntries = 6
 
-// routes returns the encoded routes in force with their version.
+// routes returns the encoded routes in force and their version.
 func (n *Node) routes() ([]byte, uint64) {
 	if table := n.Keeper.Table(); table != nil {
 		return n.Keeper.Value(), table.Version()
@@ -243,8 +249,8 @@
 	}
 }
 
-// The probes of callers' connections: a caller behind a cut is given up after about five
-// seconds of silence.
+// callerKeepAlive closes connections to callers that have been silent for about five seconds,
+// such as partitioned ones.
 var callerKeepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
 func (n *Node) serve(name string, server *http.Server, address string) (string, error) {
@@ -267,9 +273,9 @@
 	}
 }
 
-// forget ends work of which nobody tells the end.
-func (n *Node) forget(ctx context.Context) {
-	ticker := time.NewTicker(forgetEvery)
+// runForget periodically drops placements whose end was never reported.
+func (n *Node) runForget(ctx context.Context) {
+	ticker := time.NewTicker(forgetInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -282,7 +288,7 @@
 	}
 }
 
-// logVerdicts tells which upstreams were left out or taken back, and why.
+// logVerdicts logs which upstreams were excluded or readmitted, and why.
 func (n *Node) logVerdicts(now time.Time) {
 	for _, v := range n.Fleet.Verdicts() {
 		line := n.log.Info().Str("upstream", v.Name).Stringer("evidence", v.Kind).
@@ -298,19 +304,19 @@
 	}
 }
 
-// CallersAddr returns the address for callers, ReadyAddr that for the balancer and
-// MetricsAddr that of the metrics.
+// CallersAddr returns the address that serves callers.
 func (n *Node) CallersAddr() string { return n.addrs.callers }
 
-// ReadyAddr returns the address of /readyz.
+// ReadyAddr returns the address that serves /readyz.
 func (n *Node) ReadyAddr() string { return n.addrs.ready }
 
-// MetricsAddr returns the address of the metrics.
+// MetricsAddr returns the address that serves the metrics.
 func (n *Node) MetricsAddr() string { return n.addrs.metrics }
 
-// Drain implements commandline.Drainer. First the balancer is told to look away while
-// callers are still served, since a process that refused at once would fail all requests
-// that come until it has looked. Then the listener ends and requests in flight finish.
+// Drain implements commandline.Drainer. It first reports the gateway as not ready while callers
+// are still served: refusing connections at once would fail all requests that arrive before the
+// load balancer's next check. Then it closes the callers' listener and waits for in-flight
+// requests.
 func (n *Node) Drain(ctx context.Context) {
 	n.Gateway.Drain()
 	pause.For(ctx, shared.Milliseconds(n.drain.ReadyOffMs))
@@ -321,13 +327,13 @@
 	n.Stop()
 }
 
-// Stop ends the gateway at once.
+// Stop ends the gateway immediately.
 func (n *Node) Stop() {
 	n.stop()
 	n.running.Wait()
 	for _, server := range []*http.Server{n.callers, n.ready, n.metrics} {
 		if err := server.Close(); err != nil {
-			n.log.Debug().Err(err).Msg("close listener")
+			n.log.Debug().Err(err).Msg("listener could not be closed")
 		}
 	}
 }
--- a/entry/gateway/node/run.go
+++ b/entry/gateway/node/run.go
@@ -13,61 +13,62 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// Platform makes a platform's Peer from the settings of its store.
+// Platform creates a platform's Peer from the store settings.
 type Platform func(store settings.Store) Peer
 
-// Surroundings is what a process is given besides its settings.
+// Surroundings is the environment of a process besides its settings.
 type Surroundings struct {
-	// Log takes the log's lines.
+	// Log receives the log lines.
 	Log io.Writer
 	// Signals stop the process: the first gracefully, the second at once.
 	Signals <-chan os.Signal
-	// Reload tells that the settings file was written anew.
+	// Reload signals that the settings file was rewritten.
 	Reload <-chan os.Signal
-	// Started, if not nil, is told once the gateway listens.
+	// Started, if not nil, is called once the gateway listens.
 	Started func(*Node)
 }
 
-// Run runs a gateway from a settings file until it is told to stop.
-func Run(file string, platform Platform, around Surroundings) error {
+// Run runs a gateway from a settings file until it is signalled to stop.
+func Run(file string, platform Platform, env Surroundings) error {
 	s, err := shared.ReadFile(file, settings.ParseGateway)
 	if err != nil {
 		return err
 	}
-	writer := nonBlocking(around.Log)
+	writer := nonBlocking(env.Log)
 	defer writer.Close()
 	log := zerolog.New(writer).Level(s.Log.ZerologLevel()).With().Timestamp().Logger()
 	n, err := Start(s, platform(s.Store), log)
 	if err != nil {
 		return err
 	}
-	go n.reload(file, s, around.Reload)
-	if around.Started != nil {
-		around.Started(n)
+	go n.reload(file, s, env.Reload)
+	if env.Started != nil {
+		env.Started(n)
 	}
 	limit := max(s.Drain.Limit()-stopReserve, 0)
-	commandline.DrainOnSignal(around.Signals, n, limit, log)
+	commandline.DrainOnSignal(env.Signals, n, limit, log)
 	return nil
 }
 
-// queuedLines is the number of log lines that wait for the writer: about 2 MB at the most.
-const queuedLines = 4096
+// maxQueuedLines is the number of log lines that may wait for the writer, about 2 MB in total.
+const maxQueuedLines = 4096
 
-// nonBlocking returns a writer that never makes a request wait for whoever reads the log: a
-// full pipe loses lines, and a line tells how many.
+// nonBlocking returns a writer that never blocks a request on the reader of the log. If the
+// pipe is full, lines are dropped and a line reports their number.
 func nonBlocking(w io.Writer) diode.Writer {
-	return diode.NewWriter(w, queuedLines, 0, func(missed int) {
+	return diode.NewWriter(w, maxQueuedLines, 0, func(missed int) {
 		fmt.Fprintf(w, `{"level":"warn","lines":%d,"message":"log lines lost: nobody read them"}`+"\n", missed)
 	})
 }
 
-// reloadEvery is how often the settings file is looked at: it may change without a signal.
-const reloadEvery = time.Second
+// reloadInterval is the interval at which the settings file is checked for changes without a
+// signal.
+const reloadInterval = time.Second
 
 // reload reads the settings again on a signal and when the file has changed.
 func (n *Node) reload(file string, s *settings.Gateway, signals <-chan os.Signal) {
 	current := *s
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	var last time.Time
 	for {
@@ -77,7 +78,7 @@
 			signalled = true
 		case <-ticker.C:
 		}
-		written := modified(file)
+		written := modTime(file)
 		if !signalled && (last.IsZero() || written.Equal(last)) {
 			last = written
 			continue
@@ -93,8 +94,8 @@
 	}
 }
 
-// modified returns when a file was written; zero where that can't be told.
-func modified(file string) time.Time {
+// modTime returns a file's modification time, or zero if it can't be determined.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -102,10 +103,10 @@
 	return info.ModTime()
 }
 
-// apply puts into force what may change while the process runs.
+// apply logs whether the settings have changed. Changes take effect at the next start.
 func (n *Node) apply(old, next *settings.Gateway) {
 	if *old == *next {
-		n.log.Info().Msg("settings read again: nothing changed")
+		n.log.Info().Msg("settings read again: no change")
 		return
 	}
 	n.log.Info().Msg("settings read again: changed fields take effect at the next start")
--- a/entry/quarantine/cluster_test.go
+++ b/entry/quarantine/cluster_test.go
@@ -15,22 +15,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cluster is a model of entries with links that are cut and mended, a store that all reach, and
-// processes that end and start again.
+// cluster simulates entries whose links are partitioned and healed, a store that all of them
+// reach, and processes that restart.
 type cluster struct {
 	t      *testing.T
 	random *rand.Rand
-	store  *store
+	store  *fakeStore
 	keeper []*Keeper
 	stop   []context.CancelFunc
-	// group is the part of the network that an entry is in, and begun when its process began.
-	group []int
-	begun []time.Time
-	cut   atomic.Bool
-	// crashes are the times at which the fatal request ended an upstream, and strays the number of
-	// those that count against the bound.
-	crashes []time.Time
-	strays  int
+	// group is the network partition of each entry, startedAt the start time of its process.
+	group     []int
+	startedAt []time.Time
+	cut       atomic.Bool
+	// crashes are the times at which the fatal request crashed an upstream. lateSends is the
+	// number of sends that count against the bound.
+	crashes   []time.Time
+	lateSends int
 }
 
 const clusterEntries = 5
@@ -38,7 +38,7 @@
 func newCluster(t *testing.T, seed uint64) *cluster {
 	c := &cluster{
 		t: t, random: rand.New(rand.NewPCG(seed, 0)), store: newStore(), keeper: make([]*Keeper, clusterEntries),
-		stop: make([]context.CancelFunc, clusterEntries), group: make([]int, clusterEntries), begun: make([]time.Time, clusterEntries),
+		stop: make([]context.CancelFunc, clusterEntries), group: make([]int, clusterEntries), startedAt: make([]time.Time, clusterEntries),
 	}
 	for i := range clusterEntries {
 		c.start(i)
@@ -46,7 +46,7 @@
 	return c
 }
 
-// start starts an entry, again if it runs.
+// start starts an entry, or restarts it if it is running.
 func (c *cluster) start(i int) {
 	if c.stop[i] != nil {
 		c.stop[i]()
@@ -58,36 +58,36 @@
 	var ctx context.Context
 	ctx, c.stop[i] = context.WithCancel(c.t.Context())
 	go c.keeper[i].Run(ctx)
-	c.begun[i] = time.Now()
+	c.startedAt[i] = time.Now()
 	for j, other := range c.keeper {
 		if j != i && other != nil && c.group[i] == c.group[j] {
-			c.keeper[i].Heard("peer", other.Current())
+			c.keeper[i].Receive("peer", other.Current())
 		}
 	}
 }
 
-// tell passes on what entries tell each other, within each part of the network.
-func (c *cluster) tell() {
+// exchangeReports delivers the entries' reports within each partition.
+func (c *cluster) exchangeReports() {
 	for i, from := range c.keeper {
 		reports := from.Reports()
 		for j, to := range c.keeper {
 			if j != i && c.group[i] == c.group[j] {
-				to.Heard("peer", reports)
+				to.Receive("peer", reports)
 			}
 		}
 	}
 }
 
-// pass lets time pass in which entries tell each other.
-func (c *cluster) pass(d time.Duration) {
+// advance advances time by d while entries exchange reports.
+func (c *cluster) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 		synctest.Wait()
-		c.tell()
+		c.exchangeReports()
 	}
 }
 
-// partition splits the network or mends it.
+// partition splits the network into up to three random parts, or heals it.
 func (c *cluster) partition() {
 	parts := 1 + c.random.IntN(3)
 	c.cut.Store(parts > 1)
@@ -97,52 +97,52 @@
 	for i, k := range c.keeper {
 		for j, other := range c.keeper {
 			if i != j && c.group[i] == c.group[j] {
-				k.Heard("peer", other.Current())
+				k.Receive("peer", other.Current())
 			}
 		}
 	}
 }
 
-// arrive plays one arrival of the fatal request at an entry, which may send it twice.
-func (c *cluster) arrive(i int) {
+// sendFatal simulates one arrival of the fatal request at an entry, which may send it twice.
+func (c *cluster) sendFatal(i int) {
 	k := c.keeper[i]
 	if !k.Ready() {
 		return
 	}
 	for try := range 2 {
-		if try > 0 && k.Doubtful(content("fatal")) {
-			c.pass(170 * time.Millisecond)
+		if try > 0 && k.Doubtful(printOf("fatal")) {
+			c.advance(170 * time.Millisecond)
 		}
-		if _, held := k.Held(func() fingerprint.Print { return content("fatal") }); held {
+		if _, held := k.Held(func() fingerprint.Print { return printOf("fatal") }); held {
 			return
 		}
-		c.count(i)
-		c.pass(40 * time.Millisecond)
-		k.Ended(upstream(len(c.crashes)), []Suspect{{Print: content("fatal"), Again: try > 0}})
+		c.countSend(i)
+		c.advance(40 * time.Millisecond)
+		k.Ended(upstream(len(c.crashes)), []Suspect{{Print: printOf("fatal"), Again: try > 0}})
 	}
 }
 
-// inTouch is how long an entry must have run, and known that a request is fatal, for its sends to
-// count.
-const inTouch = 3 * time.Second
+// settleTime is how long an entry must have run, and how long three crashes must be known,
+// before a send counts as late.
+const settleTime = 3 * time.Second
 
-func (c *cluster) count(i int) {
+func (c *cluster) countSend(i int) {
 	now := time.Now()
-	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > inTouch && now.Sub(c.begun[i]) > inTouch {
-		c.strays++
+	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > settleTime && now.Sub(c.startedAt[i]) > settleTime {
+		c.lateSends++
 	}
 	c.crashes = append(c.crashes, now)
 }
 
-// However links are cut and processes end, a request that has crashed three upstreams reaches at
-// most three more once the time to know it has passed.
+// Whatever partitions and restarts happen, a request that has crashed three upstreams reaches
+// at most three more after settleTime.
 func TestCutsAndRestartsLetNoFatalRequestThrough(t *testing.T) {
 	const seeds = 60
 	worst := 0
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t, seed)
-			c.pass(100 * time.Millisecond)
+			c.advance(100 * time.Millisecond)
 			for range 60 {
 				switch c.random.IntN(8) {
 				case 0:
@@ -154,16 +154,16 @@
 						c.start(i)
 					}
 				default:
-					c.arrive(c.random.IntN(clusterEntries))
+					c.sendFatal(c.random.IntN(clusterEntries))
 				}
-				c.pass(time.Duration(c.random.IntN(1500)) * time.Millisecond)
+				c.advance(time.Duration(c.random.IntN(1500)) * time.Millisecond)
 			}
 			for _, stop := range c.stop {
 				stop()
 			}
-			worst = max(worst, c.strays)
-			require.LessOrEqual(t, c.strays, 3, "seed %d: %d crashes", seed, len(c.crashes))
+			worst = max(worst, c.lateSends)
+			require.LessOrEqual(t, c.lateSends, 3, "seed %d: %d crashes", seed, len(c.crashes))
 		})
 	}
-	t.Logf("at the most %d sends too late in %d runs", worst, seeds)
+	t.Logf("at most %d late sends in %d runs", worst, seeds)
 }
--- a/entry/quarantine/keeper.go
+++ b/entry/quarantine/keeper.go
@@ -1,6 +1,7 @@
-// Package quarantine keeps, for one entry, which requests are held back because upstreams crash
-// under them: it tells the other entries what this one sees, hears what they see, and writes it to
-// the store, where it outlasts all entries and reaches those that have no link.
+// Package quarantine manages one entry's quarantine: the requests that are held back because
+// upstreams crash under them. The entry exchanges crash reports with the other entries and
+// writes them to the store, where they survive a restart of all entries and reach entries
+// without a link.
 package quarantine
 
 import (
@@ -18,93 +19,97 @@
 	"github.com/rs/zerolog"
 )
 
-// Suspect is a request that was in hand at an upstream that has crashed.
+// Suspect is a request that was in flight at an upstream that crashed.
 type Suspect struct {
 	Print fingerprint.Print
-	// Request, Route and Organisation say which one it was, for those who read about it.
+	// Request, Route and Organisation identify the request to operators.
 	Request      string
 	Route        string
 	Organisation string
-	// Again says that it had come there from another upstream that had crashed.
+	// Again reports whether the request was retried after another upstream had crashed under
+	// it.
 	Again bool
 }
 
-// Store is what a Keeper needs of the platform's store; table.Feed has it.
+// Store is the part of the platform's store that a Keeper uses. table.Feed implements it.
 type Store interface {
 	// All returns all rows of a table.
 	All(ctx context.Context, table string) ([]table.Row, uint64, error)
-	// Put writes a row, whatever stood there.
+	// Put writes a row, replacing any previous value.
 	Put(ctx context.Context, key table.Key, value []byte) error
-	// Remove deletes a row; that it is not there is no failure.
+	// Remove deletes a row. Removing a row that doesn't exist is not an error.
 	Remove(ctx context.Context, key table.Key) error
 }
 
 // Config configures a Keeper.
 type Config struct {
-	// VM names this entry.
+	// VM identifies this entry.
 	VM       string
 	Settings corequarantine.Settings
-	// Store and Table are where it is written down; a nil Store is for an entry that has none.
+	// Store and Table locate the quarantine's rows. Store is nil for an entry without a store.
 	Store Store
 	Table string
-	// Reread is how often the store is read anyway; zero means every 30 s.
+	// Reread is the interval at which the store is read even if nothing has changed; zero means
+	// 30 s.
 	Reread time.Duration
-	// Unlinked tells whether there may be entries that only the store connects with this one.
+	// Unlinked reports whether there may be entries that share reports with this one only
+	// through the store.
 	Unlinked func() bool
 	Log      zerolog.Logger
 }
 
-// Keeper keeps one entry's quarantine. It is safe for concurrent use.
+// Keeper manages the quarantine of one entry. It is safe for concurrent use.
 type Keeper struct {
 	config  Config
 	started time.Time
-	// held is replaced whole when it changes, and watched says that anything is suspected or
-	// held back: requests look at them on their way.
-	held    atomic.Pointer[map[fingerprint.Print]time.Time]
-	watched atomic.Bool
-	// loaded says that the store was read once.
+	// held is replaced as a whole when it changes. active reports whether any request is
+	// suspected or held back. Both are read on the path of every request without taking mu.
+	held   atomic.Pointer[map[fingerprint.Print]time.Time]
+	active atomic.Bool
+	// loaded reports whether the store has been read at least once.
 	loaded atomic.Bool
-	// told and woken have a value when there is something to tell, and to write or read.
-	told  chan struct{}
-	woken chan struct{}
+	// pending has a value when there are reports to send, wakeup when there are rows to write
+	// or read.
+	pending chan struct{}
+	wakeup  chan struct{}
 
 	mu     sync.Mutex
 	ledger *corequarantine.Ledger
-	// seen are the requests under which this entry saw upstreams crash.
-	seen    map[fingerprint.Print]Suspect
-	reports []report
-	dropped uint64
-	timer   *time.Timer
-	rows    rows
+	// suspects are the requests under which this entry has seen upstreams crash.
+	suspects map[fingerprint.Print]Suspect
+	reports  []queuedReport
+	dropped  uint64
+	timer    *time.Timer
+	rows     rows
 }
 
-// New returns a Keeper; Run makes it use the store.
+// New returns a Keeper. Run synchronises it with the store.
 func New(config Config) *Keeper {
 	if config.Reread == 0 {
-		config.Reread = rereadEvery
+		config.Reread = defaultRereadInterval
 	}
 	return &Keeper{
-		config:  config,
-		started: time.Now(),
-		told:    make(chan struct{}, 1),
-		woken:   make(chan struct{}, 1),
-		ledger:  corequarantine.NewLedger(config.Settings),
-		seen:    make(map[fingerprint.Print]Suspect),
-		rows:    newRows(),
+		config:   config,
+		started:  time.Now(),
+		pending:  make(chan struct{}, 1),
+		wakeup:   make(chan struct{}, 1),
+		ledger:   corequarantine.NewLedger(config.Settings),
+		suspects: make(map[fingerprint.Print]Suspect),
+		rows:     newRows(),
 	}
 }
 
-// loadWithin is how long an entry waits at its start to learn what is held back. Serving goes
-// before that: a store that doesn't answer must not keep it from its callers.
-const loadWithin = 2 * time.Second
+// maxLoadWait is how long an entry waits at startup for the store's rows. Serving takes
+// precedence: a store that doesn't respond must not keep the entry from its callers.
+const maxLoadWait = 2 * time.Second
 
-// Ready reports whether it is known what is held back, or was waited for long enough.
+// Ready reports whether the store's rows have been loaded or maxLoadWait has passed.
 func (k *Keeper) Ready() bool {
-	return k.config.Store == nil || k.loaded.Load() || time.Since(k.started) > loadWithin
+	return k.config.Store == nil || k.loaded.Load() || time.Since(k.started) > maxLoadWait
 }
 
-// Held returns for how much longer a request is held back; print computes its fingerprint where
-// that is needed.
+// Held returns for how much longer a request is held back. It calls print for the request's
+// fingerprint only if any request is held back.
 func (k *Keeper) Held(print func() fingerprint.Print) (left time.Duration, held bool) {
 	all := k.held.Load()
 	if all == nil || len(*all) == 0 {
@@ -114,47 +119,47 @@
 	return left, left > 0
 }
 
-// Refusal is the answer to a request that is held back for so much longer.
+// Refusal returns the error for a request that is held back for the given time.
 func Refusal(left time.Duration) *result.Error {
 	err := result.New(result.RequestHeldBack, result.NotRun, "upstreams have crashed under it")
 	err.RetryAfter = left
 	return err
 }
 
-// Doubtful reports whether one more crash would have a request held back.
+// Doubtful reports whether one more crash would cause the request to be held back.
 func (k *Keeper) Doubtful(print fingerprint.Print) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.ledger.Crashes(print)) >= k.config.Settings.Crashes-1
 }
 
-// Ended takes the requests that this entry had at an upstream that has crashed.
-func (k *Keeper) Ended(upstream dispatch.Upstream, under []Suspect) {
+// Ended records the requests that this entry had in flight at an upstream that crashed.
+func (k *Keeper) Ended(upstream dispatch.Upstream, affected []Suspect) {
 	now := time.Now()
 	tag := uint32(dispatch.TagOf(upstream.Incarnation()))
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, s := range under {
+	for _, s := range affected {
 		if !k.ledger.Strike(now, corequarantine.Crash{Upstream: tag, At: now, Again: s.Again}, s.Print) {
 			continue
 		}
-		k.seen[s.Print] = s
+		k.suspects[s.Print] = s
 		kind := corequarantine.Struck
 		if s.Again {
 			kind = corequarantine.StruckAgain
 		}
-		k.report(corequarantine.Report{Kind: kind, Print: s.Print, Upstream: tag})
-		k.record(now, s.Print)
+		k.queueReport(corequarantine.Report{Kind: kind, Print: s.Print, Upstream: tag})
+		k.queueRecord(now, s.Print)
 	}
-	// Entries without a link may have seen the same request crash others.
+	// Entries without a link may have seen other upstreams crash under the same request.
 	k.rows.reread = true
 	k.wake()
 	k.decide(now)
 }
 
-// Answered notes that an upstream has answered a request whole.
+// Answered records that an upstream has answered a request in full.
 func (k *Keeper) Answered(print func() fingerprint.Print) {
-	if !k.watched.Load() {
+	if !k.active.Load() {
 		return
 	}
 	now, p := time.Now(), print()
@@ -164,17 +169,17 @@
 	if !k.ledger.Clear(now, p) {
 		return
 	}
-	k.report(corequarantine.Report{Kind: corequarantine.Answered, Print: p})
-	k.dismiss(p, k.rows.listed[p]...)
+	k.queueReport(corequarantine.Report{Kind: corequarantine.Answered, Print: p})
+	k.clearRequest(p, k.rows.listed[p]...)
 	if wasHeld {
 		k.config.Log.Warn().Stringer("fingerprint", p).Msg("request is no longer held back: an upstream has answered it")
 	}
 }
 
-// dismiss drops what was seen of a request and has its rows of the given names removed, and this
-// entry's own. It is called with mu held.
-func (k *Keeper) dismiss(print fingerprint.Print, names ...string) {
-	delete(k.seen, print)
+// clearRequest drops the request's crashes at this entry and queues the removal of the named
+// rows and this entry's own row. It is called with mu held.
+func (k *Keeper) clearRequest(print fingerprint.Print, names ...string) {
+	delete(k.suspects, print)
 	if _, own := k.rows.own[print]; own {
 		names = append(names[:len(names):len(names)], rowName(print, k.config.VM))
 	}
@@ -184,7 +189,8 @@
 	k.publish()
 }
 
-// decide holds back what is due, and comes back when more may be. It is called with mu held.
+// decide holds back the requests that are due and schedules the next decision. It is called
+// with mu held.
 func (k *Keeper) decide(now time.Time) {
 	verdicts, next := k.ledger.Decide(now)
 	for _, v := range verdicts {
@@ -204,27 +210,28 @@
 	})
 }
 
-// holdBack tells of a request that is held back from now on. Entries that saw no crash under it
-// leave it to the others to tell: all decide alike. It is called with mu held.
+// holdBack logs a request that is held back from now on and reports it to the other entries. An
+// entry that saw no crash under the request doesn't report it: all entries decide alike, so
+// those that saw a crash do. It is called with mu held.
 func (k *Keeper) holdBack(now time.Time, v corequarantine.Verdict) {
-	s, seen := k.seen[v.Print]
+	s, seen := k.suspects[v.Print]
 	k.config.Log.Warn().Stringer("fingerprint", v.Print).Int("crashes", v.Crashes).Bool("shared", v.Shared).
 		Int64("for_ms", v.Hold.Until.Sub(now).Milliseconds()).Int("times", v.Hold.Times).
 		Str("request", s.Request).Str("route", s.Route).Str("organisation", s.Organisation).
 		Msg("request is held back: upstreams crash under it")
 	if seen {
-		k.report(held(now, v.Print, v.Hold))
-		k.record(now, v.Print)
+		k.queueReport(holdReport(now, v.Print, v.Hold))
+		k.queueRecord(now, v.Print)
 	}
 }
 
-func held(now time.Time, print fingerprint.Print, h corequarantine.Hold) corequarantine.Report {
+func holdReport(now time.Time, print fingerprint.Print, h corequarantine.Hold) corequarantine.Report {
 	return corequarantine.Report{
 		Kind: corequarantine.Held, Print: print, LeftMs: h.Until.Sub(now).Milliseconds(), Times: h.Times,
 	}
 }
 
-// publish lets requests see what is held back. It is called with mu held.
+// publish makes the current holds visible to requests. It is called with mu held.
 func (k *Keeper) publish() {
 	all := make(map[fingerprint.Print]time.Time)
 	for print, h := range k.ledger.Holds(time.Now()) {
@@ -233,10 +240,10 @@
 	if old := k.held.Load(); old == nil || !maps.Equal(*old, all) {
 		k.held.Store(&all)
 	}
-	k.watched.Store(len(all) > 0 || k.ledger.Suspects() > 0)
+	k.active.Store(len(all) > 0 || k.ledger.Suspects() > 0)
 }
 
-// Counts returns how many requests are held back and how many are suspected.
+// Counts returns the number of requests that are held back and of those that are suspected.
 func (k *Keeper) Counts() (heldBack, suspected int) {
 	if all := k.held.Load(); all != nil {
 		heldBack = len(*all)
--- a/entry/quarantine/keeper_test.go
+++ b/entry/quarantine/keeper_test.go
@@ -20,26 +20,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// store is a table in memory that can be away.
-type store struct {
+// fakeStore is an in-memory table that can be made unavailable.
+type fakeStore struct {
 	table.Feed
-	mu    sync.Mutex
-	rows  map[string][]byte
-	away  bool
-	calls map[string]int
+	mu          sync.Mutex
+	rows        map[string][]byte
+	unavailable bool
+	calls       map[string]int
 }
 
-func newStore() *store { return &store{rows: make(map[string][]byte), calls: make(map[string]int)} }
+func newStore() *fakeStore {
+	return &fakeStore{rows: make(map[string][]byte), calls: make(map[string]int)}
+}
 
-func (s *store) call(name string) error {
+func (s *fakeStore) call(name string) error {
 	s.calls[name]++
-	if s.away {
+	if s.unavailable {
 		return table.ErrUnavailable
 	}
 	return nil
 }
 
-func (s *store) All(context.Context, string) ([]table.Row, uint64, error) {
+func (s *fakeStore) All(context.Context, string) ([]table.Row, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []table.Row
@@ -49,7 +51,7 @@
 	return all, 1, s.call("all")
 }
 
-func (s *store) Put(_ context.Context, key table.Key, value []byte) error {
+func (s *fakeStore) Put(_ context.Context, key table.Key, value []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.call("put"); err != nil {
@@ -59,7 +61,7 @@
 	return nil
 }
 
-func (s *store) Remove(_ context.Context, key table.Key) error {
+func (s *fakeStore) Remove(_ context.Context, key table.Key) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.call("remove"); err != nil {
@@ -69,43 +71,43 @@
 	return nil
 }
 
-func (s *store) set(away bool) {
+func (s *fakeStore) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
-func (s *store) names() []string {
+func (s *fakeStore) names() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.rows))
 }
 
-// entry is a Keeper at a store, with its log.
+// entry is a Keeper with its captured log.
 type entry struct {
 	*Keeper
-	log log
+	log logBuffer
 }
 
-// log is a buffer that is safe for concurrent use.
-type log struct {
+// logBuffer is a buffer that is safe for concurrent use.
+type logBuffer struct {
 	mu    sync.Mutex
 	lines bytes.Buffer
 }
 
-func (l *log) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lines.Write(p)
 }
 
-func (l *log) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lines.String()
 }
 
-func start(t *testing.T, s *store, vm string) *entry {
+func startEntry(t *testing.T, s *fakeStore, vm string) *entry {
 	e := &entry{}
 	e.Keeper = New(Config{
 		VM: vm, Settings: corequarantine.DefaultSettings, Store: s, Table: "quarantine",
@@ -118,160 +120,160 @@
 		e.Run(ctx)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	settle()
+	waitOneSecond()
 	return e
 }
 
-// settle lets all that is due within a second happen.
-func settle() {
+// waitOneSecond advances virtual time by one second and waits for all that is due by then.
+func waitOneSecond() {
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
-func content(name string) fingerprint.Print {
+func printOf(name string) fingerprint.Print {
 	return fingerprint.Of(fingerprint.Request{Body: []byte(name)})
 }
 
 func upstream(i int) dispatch.Upstream { return dispatch.Upstream{ID: fmt.Sprint("engine-", i)} }
 
-// crash tells an entry that an upstream has crashed under some requests.
-func (e *entry) crash(i int, under ...string) {
+// crash reports to an entry that an upstream has crashed under some requests.
+func (e *entry) crash(i int, affected ...string) {
 	var all []Suspect
-	for _, name := range under {
-		all = append(all, Suspect{Print: content(name), Request: "id-" + name})
+	for _, name := range affected {
+		all = append(all, Suspect{Print: printOf(name), Request: "id-" + name})
 	}
 	e.Ended(upstream(i), all)
-	settle()
+	waitOneSecond()
 }
 
 func (e *entry) holds(name string) bool {
-	_, held := e.Held(func() fingerprint.Print { return content(name) })
+	_, held := e.Held(func() fingerprint.Print { return printOf(name) })
 	return held
 }
 
 func (e *entry) answered(name string) {
-	e.Answered(func() fingerprint.Print { return content(name) })
-	settle()
+	e.Answered(func() fingerprint.Print { return printOf(name) })
+	waitOneSecond()
 }
 
-// link passes what one entry tells to another.
-func link(from, to *entry) { to.Heard("other", from.Reports()) }
+// sendReports delivers one entry's reports to another.
+func sendReports(from, to *entry) { to.Receive("other", from.Reports()) }
 
-// play runs a test in virtual time.
-func play(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
+// inVirtualTime runs a test in virtual time.
+func inVirtualTime(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
 
-// A request is held back for good although all entries start again.
+// A hold survives a restart of all entries.
 func TestHoldOutlastsAllEntries(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		first := start(t, s, "entry-1")
+		first := startEntry(t, s, "entry-1")
 		for i := range 3 {
 			first.crash(i, "fatal", fmt.Sprint("other-", i))
 		}
 		require.True(t, first.holds("fatal"))
 		require.Contains(t, first.log.String(), "request is held back: upstreams crash under it")
-		require.Len(t, s.names(), 1, "what was in hand once isn't written down")
+		require.Len(t, s.names(), 1, "a request with a single crash is not written")
 
-		next := start(t, s, "entry-1")
+		next := startEntry(t, s, "entry-1")
 		require.True(t, next.Ready())
 		require.True(t, next.holds("fatal"))
-		left, _ := next.Held(func() fingerprint.Print { return content("fatal") })
+		left, _ := next.Held(func() fingerprint.Print { return printOf("fatal") })
 		require.InDelta(t, time.Hour, left, float64(time.Minute))
 	})
 }
 
-// Entries that no link connects each see too little of a request; the store adds it up.
+// Unlinked entries each see too few crashes to hold back a request; the store combines them.
 func TestEntriesWithoutLinksAddUpWhatTheySee(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		one, other, third := start(t, s, "entry-1"), start(t, s, "entry-2"), start(t, s, "entry-3")
+		one, other, third := startEntry(t, s, "entry-1"), startEntry(t, s, "entry-2"), startEntry(t, s, "entry-3")
 		one.crash(1, "fatal")
 		one.crash(2, "fatal")
 		require.False(t, one.holds("fatal"))
 		other.crash(3, "fatal")
 		require.True(t, other.holds("fatal"))
-		time.Sleep(rereadEvery + time.Second)
+		time.Sleep(defaultRereadInterval + time.Second)
 		require.True(t, one.holds("fatal"))
-		require.True(t, third.holds("fatal"), "also one that never saw it")
+		require.True(t, third.holds("fatal"), "an entry that saw no crash holds it back too")
 	})
 }
 
-// A linked entry learns at once, without the store.
-func TestLinkedEntriesTellEachOther(t *testing.T) {
-	play(t, func(t *testing.T) {
+// Linked entries share crash reports at once, also while the store is unavailable.
+func TestLinkedEntriesShareReportsWithoutTheStore(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		one, other := start(t, s, "entry-1"), start(t, s, "entry-2")
-		s.set(true)
+		one, other := startEntry(t, s, "entry-1"), startEntry(t, s, "entry-2")
+		s.setUnavailable(true)
 		one.crash(1, "fatal", "bystander")
 		one.crash(2, "fatal")
-		link(one, other)
+		sendReports(one, other)
 		other.crash(3, "fatal")
 		require.True(t, other.holds("fatal"))
-		link(other, one)
+		sendReports(other, one)
 		require.True(t, one.holds("fatal"))
 
-		third := start(t, s, "entry-3")
-		third.Heard("entry-1", one.Current())
-		require.True(t, third.holds("fatal"), "one that comes later is told what is held back")
-		s.set(false)
-		time.Sleep(rereadEvery)
-		settle()
-		require.NotEmpty(t, s.names(), "it is written once the store is back")
+		third := startEntry(t, s, "entry-3")
+		third.Receive("entry-1", one.Current())
+		require.True(t, third.holds("fatal"), "an entry that links later learns the holds")
+		s.setUnavailable(false)
+		time.Sleep(defaultRereadInterval)
+		waitOneSecond()
+		require.NotEmpty(t, s.names(), "the row is written once the store is available")
 	})
 }
 
-// What an upstream answers is not suspected any more, at any entry, and its rows go.
+// An answer from an upstream clears the suspicion at all entries and removes the rows.
 func TestAnswerClearsARequestEverywhere(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		one, other := start(t, s, "entry-1"), start(t, s, "entry-2")
+		one, other := startEntry(t, s, "entry-1"), startEntry(t, s, "entry-2")
 		one.crash(1, "popular")
 		one.crash(2, "popular")
-		link(one, other)
+		sendReports(one, other)
 		require.Len(t, s.names(), 1)
 		other.crash(3, "popular")
-		require.True(t, other.holds("popular"), "none has answered it yet")
+		require.True(t, other.holds("popular"), "no upstream has answered it yet")
 		require.Len(t, s.names(), 2)
 		one.answered("popular")
-		link(one, other)
-		settle()
+		sendReports(one, other)
+		waitOneSecond()
 		require.False(t, other.holds("popular"))
 		require.Empty(t, s.names())
 		other.crash(4, "popular")
-		require.False(t, other.holds("popular"), "it begins anew")
+		require.False(t, other.holds("popular"), "crashes are counted from zero")
 	})
 }
 
-// An operator's release ends a hold at all entries, and later crashes count anew.
-func TestOperatorReleasesARequest(t *testing.T) {
-	play(t, func(t *testing.T) {
+// An operator's release ends a hold at all entries. Later crashes are counted from zero.
+func TestOperatorReleaseEndsTheHold(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		one := start(t, s, "entry-1")
+		one := startEntry(t, s, "entry-1")
 		for i := range 3 {
 			one.crash(i, "fatal")
 		}
 		released, err := json.Marshal(Record{ReleasedMs: time.Now().UnixMilli(), WrittenMs: time.Now().UnixMilli()})
 		require.NoError(t, err)
-		require.NoError(t, s.Put(t.Context(), table.Key{Row: rowName(content("fatal"), "operator")}, released))
-		time.Sleep(rereadEvery + time.Second)
+		require.NoError(t, s.Put(t.Context(), table.Key{Row: rowName(printOf("fatal"), "operator")}, released))
+		time.Sleep(defaultRereadInterval + time.Second)
 		require.False(t, one.holds("fatal"))
 		require.Contains(t, one.log.String(), "an operator has released it")
-		require.Equal(t, []string{rowName(content("fatal"), "operator")}, s.names(), "older rows would count again once it is gone")
+		require.Equal(t, []string{rowName(printOf("fatal"), "operator")}, s.names(), "older rows would count again once the release is gone")
 		for i := range 3 {
 			one.crash(10+i, "fatal")
 		}
 		require.True(t, one.holds("fatal"))
-		time.Sleep(2 * rereadEvery)
-		require.True(t, one.holds("fatal"), "the old release is no longer in force")
-		require.True(t, start(t, s, "entry-2").holds("fatal"))
+		time.Sleep(2 * defaultRereadInterval)
+		require.True(t, one.holds("fatal"), "the old release no longer applies")
+		require.True(t, startEntry(t, s, "entry-2").holds("fatal"))
 	})
 }
 
-// A store that comes back without what was written gets it again.
+// Rows that the store has lost are written again.
 func TestLostRowsAreWrittenAgain(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		one := start(t, s, "entry-1")
+		one := startEntry(t, s, "entry-1")
 		for i := range 3 {
 			one.crash(i, "fatal")
 		}
@@ -279,34 +281,34 @@
 		s.mu.Lock()
 		clear(s.rows)
 		s.mu.Unlock()
-		time.Sleep(rereadEvery + time.Second)
-		settle()
+		time.Sleep(defaultRereadInterval + time.Second)
+		waitOneSecond()
 		require.Equal(t, before, s.names())
 	})
 }
 
-// An entry waits for what is held back before it takes requests, but not for ever.
-func TestStoreThatIsAwayKeepsAnEntryBackForABoundedTime(t *testing.T) {
-	play(t, func(t *testing.T) {
+// An entry waits for the store's rows before it is ready, but only for a bounded time.
+func TestUnavailableStoreDelaysReadinessForABoundedTime(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		s.set(true)
-		one := start(t, s, "entry-1")
+		s.setUnavailable(true)
+		one := startEntry(t, s, "entry-1")
 		require.False(t, one.Ready())
-		time.Sleep(loadWithin)
+		time.Sleep(maxLoadWait)
 		require.True(t, one.Ready())
-		s.set(false)
-		settle()
+		s.setUnavailable(false)
+		waitOneSecond()
 		require.True(t, one.loaded.Load())
 	})
 }
 
-// Rows of other writers, and of another time, are left out, each kind of fault by name.
-func TestRowsThatCantBeReadAreLeftOut(t *testing.T) {
-	name := rowName(content("x"), "entry-9")
+// Rows of other writers or with invalid values are skipped, with an error that names the fault.
+func TestUnreadableRowsAreSkipped(t *testing.T) {
+	name := rowName(printOf("x"), "entry-9")
 	for want, row := range map[string]table.Row{
 		"names no request": {Key: table.Key{Row: "foreign"}},
 		"names no request and writer": {
-			Key: table.Key{Row: content("x").String()}, Value: []byte(`{}`),
+			Key: table.Key{Row: printOf("x").String()}, Value: []byte(`{}`),
 		},
 		"can't be read":            {Key: table.Key{Row: name}, Value: []byte(`17`)},
 		"is no Unix millisecond":   {Key: table.Key{Row: name}, Value: []byte(`{"heldUntilMs":99999999999999}`)},
@@ -315,50 +317,51 @@
 		_, err := Decode(row)
 		require.ErrorContains(t, err, want)
 	}
-	play(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
 		s.rows["foreign"] = []byte("x")
-		s.rows[rowName(content("x"), "operator")] = []byte(`{"releasedMs":9999999999999}`)
-		one := start(t, s, "entry-1")
+		s.rows[rowName(printOf("x"), "operator")] = []byte(`{"releasedMs":9999999999999}`)
+		one := startEntry(t, s, "entry-1")
 		require.True(t, one.Ready())
 		require.Contains(t, one.log.String(), "could not be decoded")
 		for i := range 3 {
 			one.crash(i, "x")
 		}
-		time.Sleep(rereadEvery + time.Second)
+		time.Sleep(defaultRereadInterval + time.Second)
 		require.True(t, one.holds("x"), "a release from the future doesn't count")
 	})
 }
 
 // Rows that no longer count are removed.
-func TestOldRowsGo(t *testing.T) {
-	play(t, func(t *testing.T) {
+func TestExpiredRowsAreRemoved(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		one := start(t, s, "entry-1")
+		one := startEntry(t, s, "entry-1")
 		one.crash(1, "rare")
 		one.crash(2, "rare")
 		require.Len(t, s.names(), 1)
-		time.Sleep(corequarantine.Memory + 2*rereadEvery)
+		time.Sleep(corequarantine.Memory + 2*defaultRereadInterval)
 		require.Empty(t, s.names())
 		_, suspected := one.Counts()
 		require.Zero(t, suspected)
 	})
 }
 
-// A rack that fails takes thousands of requests along: the store gets none of it.
-func TestManyCrashesAtOnceDontFloodTheStore(t *testing.T) {
-	play(t, func(t *testing.T) {
+// A failing rack takes down upstreams with thousands of requests in flight. None of these
+// requests is written to the store.
+func TestManyCrashesAtOnceDoNotFloodTheStore(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		one := start(t, s, "entry-1")
+		one := startEntry(t, s, "entry-1")
 		clear(s.calls)
 		for i := range 20 {
-			var under []Suspect
+			var affected []Suspect
 			for j := range 100 {
-				under = append(under, Suspect{Print: content(fmt.Sprint(i, "-", j))})
+				affected = append(affected, Suspect{Print: printOf(fmt.Sprint(i, "-", j))})
 			}
-			one.Ended(upstream(i), under)
+			one.Ended(upstream(i), affected)
 		}
-		settle()
+		waitOneSecond()
 		require.Zero(t, s.calls["put"])
 		require.LessOrEqual(t, s.calls["all"], 2)
 		require.LessOrEqual(t, len(one.Reports()), corequarantine.MostReports)
@@ -366,30 +369,30 @@
 }
 
 func TestKeeperIsSafeForConcurrentUse(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newStore()
-		one, other := start(t, s, "entry-1"), start(t, s, "entry-2")
+		one, other := startEntry(t, s, "entry-1"), startEntry(t, s, "entry-2")
 		var all sync.WaitGroup
 		for i := range 8 {
 			all.Go(func() {
 				for j := range 50 {
 					name := fmt.Sprint((i + j) % 5)
-					one.Ended(upstream(i*50+j), []Suspect{{Print: content(name)}})
-					link(one, other)
-					other.Answered(func() fingerprint.Print { return content(name) })
-					link(other, one)
+					one.Ended(upstream(i*50+j), []Suspect{{Print: printOf(name)}})
+					sendReports(one, other)
+					other.Answered(func() fingerprint.Print { return printOf(name) })
+					sendReports(other, one)
 					one.Counts()
 					one.holds(name)
-					one.Doubtful(content(name))
+					one.Doubtful(printOf(name))
 				}
 			})
 		}
 		all.Wait()
-		settle()
+		waitOneSecond()
 	})
 }
 
-func BenchmarkHeldWhileNothingIs(b *testing.B) {
+func BenchmarkHeldWithoutHolds(b *testing.B) {
 	k := New(Config{Settings: corequarantine.DefaultSettings})
 	b.ReportAllocs()
 	for b.Loop() {
--- a/entry/quarantine/operate.go
+++ b/entry/quarantine/operator.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// operatorRow is the writer of rows that release requests.
-const operatorRow = "operator"
+// operatorWriter is the writer's name in rows that release requests.
+const operatorWriter = "operator"
 
-// List returns the rows of the quarantine that can be read, and the faults of the others.
+// List returns the rows of the quarantine that can be decoded, and the errors of the others.
 func List(ctx context.Context, store Store, name string) (rows []Row, faults []error, err error) {
 	stored, _, err := store.All(ctx, name)
 	if err != nil {
@@ -29,11 +29,11 @@
 	return rows, faults, nil
 }
 
-// ErrNotListed means that nothing is written of a request.
+// ErrNotListed means that the quarantine has no row for the request.
 var ErrNotListed = errors.New("nothing is held against this request")
 
-// Release ends what is held against a request, at all entries: they take the row that it writes up
-// when they next read the table, and void older ones.
+// Release ends the hold and the suspicion of a request at all entries. It writes a row that the
+// entries apply when they next read the table and that voids older rows.
 func Release(ctx context.Context, store Store, name string, print fingerprint.Print) error {
 	rows, _, err := List(ctx, store, name)
 	if err != nil {
@@ -51,5 +51,5 @@
 	if err != nil {
 		return errors.Wrap(err, "encode a release")
 	}
-	return store.Put(ctx, table.Key{Table: name, Row: rowName(print, operatorRow)}, value)
+	return store.Put(ctx, table.Key{Table: name, Row: rowName(print, operatorWriter)}, value)
 }
--- a/entry/quarantine/record.go
+++ b/entry/quarantine/record.go
@@ -12,14 +12,14 @@
 	"github.com/pkg/errors"
 )
 
-// Record is what one entry has written of a request. Each entry writes rows of its own, so that no
-// two write the same one; who reads them adds them up. Times are Unix milliseconds of the writer's
-// clock.
+// Record is one entry's record of a request. Each entry writes only its own rows, so that no
+// two entries write the same row; readers combine them. Times are Unix milliseconds of the
+// writer's clock.
 type Record struct {
 	Crashes     []RecordedCrash `json:"crashes,omitempty"`
 	HeldUntilMs int64           `json:"heldUntilMs,omitempty"`
 	Times       int             `json:"times,omitempty"`
-	// ReleasedMs is set in an operator's row: what was written before no longer counts.
+	// ReleasedMs is set in an operator's row. Rows written before this time no longer count.
 	ReleasedMs   int64  `json:"releasedMs,omitempty"`
 	WrittenMs    int64  `json:"writtenMs"`
 	Request      string `json:"request,omitempty"`
@@ -27,14 +27,14 @@
 	Organisation string `json:"organisation,omitempty"`
 }
 
-// RecordedCrash is the crash of one incarnation of an upstream.
+// RecordedCrash is a crash of one incarnation of an upstream.
 type RecordedCrash struct {
 	Upstream uint32 `json:"upstream"`
 	AtMs     int64  `json:"atMs"`
 	Again    bool   `json:"again,omitempty"`
 }
 
-// Row is a Record with its place in the store.
+// Row is a Record with its fingerprint, its writer and its name in the store.
 type Row struct {
 	Print  fingerprint.Print
 	Writer string
@@ -42,11 +42,11 @@
 	name string
 }
 
-// separator stands between the fingerprint and the writer in a row's name.
+// separator separates the fingerprint from the writer in a row's name.
 const separator = "."
 
-// latestMs is the latest time that a row may hold, in the year 2286.
-const latestMs = 9_999_999_999_999
+// maxTimeMs is the latest valid time in a row, in the year 2286.
+const maxTimeMs = 9_999_999_999_999
 
 // rowName returns the name of a writer's row for a request.
 func rowName(print fingerprint.Print, writer string) string {
@@ -64,7 +64,7 @@
 	if r.Damaged || json.Unmarshal(r.Value, &row.Record) != nil {
 		return Row{}, errors.Errorf("row %.80q can't be read", r.Key.Row)
 	}
-	if latest := max(row.HeldUntilMs, row.ReleasedMs, row.WrittenMs); latest > latestMs {
+	if latest := max(row.HeldUntilMs, row.ReleasedMs, row.WrittenMs); latest > maxTimeMs {
 		return Row{}, errors.Errorf("row %.80q: the time %d is no Unix millisecond", r.Key.Row, latest)
 	}
 	if row.Times < 0 || row.Times > corequarantine.MostTimes {
@@ -73,8 +73,8 @@
 	return row, nil
 }
 
-// over reports whether a row no longer counts.
-func (r *Row) over(now time.Time, settings corequarantine.Settings) bool {
+// expired reports whether a row no longer counts.
+func (r *Row) expired(now time.Time, settings corequarantine.Settings) bool {
 	last := time.UnixMilli(max(r.WrittenMs, r.ReleasedMs))
 	for _, c := range r.Crashes {
 		if at := time.UnixMilli(c.AtMs); at.After(last) {
@@ -89,14 +89,15 @@
 	return now.After(over)
 }
 
-// clockSlack is how far the clocks of two VMs may differ.
-const clockSlack = time.Minute
+// maxClockSkew bounds the difference between the clocks of two VMs.
+const maxClockSkew = time.Minute
 
-// releases returns when operators last released requests, as far as nothing newer holds them back.
-// A release from the future would never end.
-func releases(now time.Time, all []Row) map[fingerprint.Print]int64 {
+// activeReleases returns the time of each request's last release by an operator, unless a newer
+// row holds the request back again. Releases from the future are ignored, as they would void
+// all rows until then.
+func activeReleases(now time.Time, all []Row) map[fingerprint.Print]int64 {
 	released := make(map[fingerprint.Print]int64)
-	latest := now.Add(clockSlack).UnixMilli()
+	latest := now.Add(maxClockSkew).UnixMilli()
 	for _, r := range all {
 		if r.ReleasedMs > 0 && r.ReleasedMs <= latest {
 			released[r.Print] = max(released[r.Print], r.ReleasedMs)
--- a/entry/quarantine/share.go
+++ b/entry/quarantine/reports.go
@@ -7,63 +7,63 @@
 	corequarantine "acaciacleat.example/core/quarantine"
 )
 
-// mostReports bounds the reports that wait to be told. Beyond them the oldest are dropped: what
-// counts stands in the store as well.
-const mostReports = corequarantine.MostReports
+// maxPendingReports bounds the reports that wait to be sent. Beyond it the oldest are dropped;
+// the relevant crashes are in the store as well.
+const maxPendingReports = corequarantine.MostReports
 
-// report is a Report that waits to be told, with its time.
-type report struct {
+// queuedReport is a report that waits to be sent, with the time at which it was queued.
+type queuedReport struct {
 	corequarantine.Report
 	at time.Time
 }
 
-// report queues what the other entries are to be told. It is called with mu held.
-func (k *Keeper) report(r corequarantine.Report) {
-	if len(k.reports) >= mostReports {
+// queueReport queues a report for the other entries. It is called with mu held.
+func (k *Keeper) queueReport(r corequarantine.Report) {
+	if len(k.reports) >= maxPendingReports {
 		k.reports = k.reports[1:]
 	}
-	k.reports = append(k.reports, report{r, time.Now()})
+	k.reports = append(k.reports, queuedReport{r, time.Now()})
 	select {
-	case k.told <- struct{}{}:
-	default: // Whoever takes the reports has been told already.
+	case k.pending <- struct{}{}:
+	default: // The receiver has been notified already.
 	}
 }
 
-// Told has a value when there may be reports.
-func (k *Keeper) Told() <-chan struct{} { return k.told }
+// Pending returns a channel that has a value when there may be reports.
+func (k *Keeper) Pending() <-chan struct{} { return k.pending }
 
-// Reports returns what the other entries are to be told since the last call.
+// Reports returns the reports queued since the last call.
 func (k *Keeper) Reports() []corequarantine.Report {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	told := make([]corequarantine.Report, len(k.reports))
+	reports := make([]corequarantine.Report, len(k.reports))
 	for i, r := range k.reports {
-		told[i] = r.Report
+		reports[i] = r.Report
 		if r.Kind == corequarantine.Struck || r.Kind == corequarantine.StruckAgain {
-			told[i].AgeMs = time.Since(r.at).Milliseconds()
+			reports[i].AgeMs = time.Since(r.at).Milliseconds()
 		}
 	}
 	k.reports = nil
-	return told
+	return reports
 }
 
-// Current returns what is held back, for an entry that has just come into touch.
+// Current returns the current holds, for an entry whose link has just opened.
 func (k *Keeper) Current() []corequarantine.Report {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var reports []corequarantine.Report
 	for print, h := range k.ledger.Holds(now) {
-		if len(reports) >= mostReports {
+		if len(reports) >= maxPendingReports {
 			break
 		}
-		reports = append(reports, held(now, print, h))
+		reports = append(reports, holdReport(now, print, h))
 	}
 	return reports
 }
 
-// Heard takes the reports of another entry.
-func (k *Keeper) Heard(vm string, reports []corequarantine.Report) {
+// Receive applies the reports of another entry.
+func (k *Keeper) Receive(vm string, reports []corequarantine.Report) {
 	if len(reports) == 0 {
 		return
 	}
@@ -78,11 +78,11 @@
 		}
 		switch r.Kind {
 		case corequarantine.Struck, corequarantine.StruckAgain:
-			k.record(now, r.Print)
+			k.queueRecord(now, r.Print)
 		case corequarantine.Held:
 			k.logHeld(vm, r.Print, r.LeftMs)
 		case corequarantine.Answered:
-			k.dismiss(r.Print)
+			k.clearRequest(r.Print)
 			k.config.Log.Info().Stringer("fingerprint", r.Print).Str("said_by", vm).
 				Msg("nothing is held against a request any more: an upstream has answered it")
 		}
@@ -95,7 +95,7 @@
 		Msg("request is held back: another entry says so")
 }
 
-// Dropped returns the number of reports that no entry should have sent.
+// Dropped returns the number of malformed reports that other entries have sent.
 func (k *Keeper) Dropped() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/entry/quarantine/store.go
+++ b/entry/quarantine/store.go
@@ -14,33 +14,36 @@
 )
 
 const (
-	// recordFrom is the number of crashes from which a request is written down. One crash takes
-	// many requests along, and a rack that fails thousands, each entry's own: the store would be
-	// flooded.
-	recordFrom = 2
-	// batchFor is how long a wake waits for others.
-	batchFor = 5 * time.Millisecond
-	// restFor is the least time between two passes over the store.
-	restFor = 100 * time.Millisecond
-	// retryEvery is the pause after a failed pass.
-	retryEvery = 500 * time.Millisecond
-	// rereadEvery is how often the store is read anyway where links tell the same, and
-	// unlinkedEvery while there are entries that only it connects with this one.
-	rereadEvery   = 30 * time.Second
-	unlinkedEvery = 2 * time.Second
-	// mostRows bounds the rows that are taken up.
-	mostRows = 10_000
+	// minRecordedCrashes is the number of crashes from which a request is written to the store.
+	// A single crash affects every request in flight, and a failing rack affects thousands,
+	// each known to one entry only; writing all of them would flood the store.
+	minRecordedCrashes = 2
+	// batchDelay is how long a wakeup waits for further changes.
+	batchDelay = 5 * time.Millisecond
+	// minPassInterval is the minimum interval between two passes over the store.
+	minPassInterval = 100 * time.Millisecond
+	// retryInterval is the pause after a failed pass.
+	retryInterval = 500 * time.Millisecond
+	// defaultRereadInterval is the interval at which the store is read while links deliver the
+	// same reports. unlinkedRereadInterval applies while some entries share reports with this
+	// one only through the store.
+	defaultRereadInterval  = 30 * time.Second
+	unlinkedRereadInterval = 2 * time.Second
+	// maxRows bounds the number of rows that are applied.
+	maxRows = 10_000
 )
 
-// rows is what is to be done at the store. The Keeper's lock guards it.
+// rows tracks the pending reads and writes of the store. The Keeper's lock guards it.
 type rows struct {
-	// own are this entry's rows as they should stand, and dirty those that may not.
+	// own are this entry's rows as they should be in the store; dirty are those still to be
+	// written.
 	own   map[fingerprint.Print]Record
 	dirty map[fingerprint.Print]bool
-	// listed are the names of the rows of each request as last read, and remove those to remove.
+	// listed are the names of each request's rows as last read; remove are the names of rows to
+	// remove.
 	listed map[fingerprint.Print][]string
 	remove map[string]bool
-	// reread says that others may have written.
+	// reread is set when other entries may have written rows.
 	reread bool
 }
 
@@ -53,7 +56,8 @@
 	}
 }
 
-// drop has a request's rows removed that are among the names. It reports whether there are any.
+// drop discards this entry's row of a request and queues the removal of the named rows. It
+// reports whether there are any to remove.
 func (r *rows) drop(print fingerprint.Print, names ...string) bool {
 	delete(r.own, print)
 	delete(r.dirty, print)
@@ -63,20 +67,21 @@
 	return len(names) > 0
 }
 
-// wake has the store written or read soon.
+// wake schedules a pass over the store.
 func (k *Keeper) wake() {
 	select {
-	case k.woken <- struct{}{}:
-	default: // It will be.
+	case k.wakeup <- struct{}{}:
+	default: // A pass is already scheduled.
 	}
 }
 
-// record has this entry's row of a request written, where it has seen an upstream crash under it and
-// there is enough against it. It is called with mu held.
-func (k *Keeper) record(now time.Time, print fingerprint.Print) {
-	s, seen := k.seen[print]
+// queueRecord queues this entry's row of a request for writing, if the entry has seen an
+// upstream crash under the request and there are at least minRecordedCrashes crashes in all. It
+// is called with mu held.
+func (k *Keeper) queueRecord(now time.Time, print fingerprint.Print) {
+	s, seen := k.suspects[print]
 	crashes := k.ledger.Crashes(print)
-	if !seen || len(crashes) < recordFrom || k.config.Store == nil {
+	if !seen || len(crashes) < minRecordedCrashes || k.config.Store == nil {
 		return
 	}
 	record := Record{WrittenMs: now.UnixMilli(), Request: s.Request, Route: s.Route, Organisation: s.Organisation}
@@ -91,7 +96,7 @@
 	k.wake()
 }
 
-// Run writes to the store and reads it until ctx ends.
+// Run synchronises with the store until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	if k.config.Store == nil {
 		return
@@ -101,48 +106,49 @@
 	k.mu.Unlock()
 	for ctx.Err() == nil {
 		wait := k.config.Reread
-		switch err := k.pass(ctx); {
+		switch err := k.syncStore(ctx); {
 		case err != nil:
-			k.config.Log.Info().Err(err).Msg("the quarantine could not be written or read yet")
-			wait = retryEvery
+			k.config.Log.Info().Err(err).Msg("the quarantine could not be written or read; trying again")
+			wait = retryInterval
 		case k.config.Unlinked():
-			wait = unlinkedEvery
+			wait = unlinkedRereadInterval
 		}
-		pause.For(ctx, restFor)
-		k.rest(ctx, wait)
+		pause.For(ctx, minPassInterval)
+		k.waitForWork(ctx, wait)
 	}
 }
 
-// rest waits until there is something to do at the store, at the longest for wait.
-func (k *Keeper) rest(ctx context.Context, wait time.Duration) {
+// waitForWork waits until a pass over the store is requested, or until wait has passed and a
+// reread is due.
+func (k *Keeper) waitForWork(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-k.woken:
-		pause.For(ctx, batchFor)
+	case <-k.wakeup:
+		pause.For(ctx, batchDelay)
 	case now := <-timer.C:
 		k.mu.Lock()
-		k.forget(now)
+		k.expire(now)
 		k.rows.reread = true
 		k.mu.Unlock()
 	}
 }
 
-// forget drops what is too old to count. It is called with mu held.
-func (k *Keeper) forget(now time.Time) {
+// expire drops crashes and holds that are too old to count. It is called with mu held.
+func (k *Keeper) expire(now time.Time) {
 	k.ledger.Forget(now)
-	for print := range k.seen {
+	for print := range k.suspects {
 		if !k.ledger.Suspected(print) && k.ledger.Held(now, print).IsZero() {
-			delete(k.seen, print)
+			delete(k.suspects, print)
 			k.rows.drop(print)
 		}
 	}
 	k.publish()
 }
 
-// pass does what is to be done at the store.
-func (k *Keeper) pass(ctx context.Context) error {
+// syncStore writes the pending changes to the store and reads its rows if needed.
+func (k *Keeper) syncStore(ctx context.Context) error {
 	if err := k.write(ctx); err != nil {
 		return err
 	}
@@ -155,8 +161,7 @@
 	return k.read(ctx)
 }
 
-// write writes the rows that may not stand as they should, and removes those of requests against
-// which nothing is held any more.
+// write writes the dirty rows and removes the rows queued for removal.
 func (k *Keeper) write(ctx context.Context) error {
 	k.mu.Lock()
 	writes := make(map[fingerprint.Print]Record, len(k.rows.dirty))
@@ -198,8 +203,8 @@
 	return k.config.Store.Put(ctx, k.key(rowName(print, k.config.VM)), value)
 }
 
-// read reads all rows and takes up what other entries, and this one in an earlier life, have
-// written.
+// read reads all rows and applies what other entries, and earlier incarnations of this one,
+// have written.
 func (k *Keeper) read(ctx context.Context) error {
 	stored, _, err := k.config.Store.All(ctx, k.config.Table)
 	if err != nil {
@@ -210,18 +215,18 @@
 	defer k.mu.Unlock()
 	k.rows.reread = false
 	all := k.decode(stored)
-	released := releases(now, all)
+	released := activeReleases(now, all)
 	clear(k.rows.listed)
 	for _, r := range all {
 		k.rows.listed[r.Print] = append(k.rows.listed[r.Print], r.name)
 	}
 	for print, at := range released {
-		k.release(now, print, at)
+		k.applyRelease(now, print, at)
 	}
 	for _, r := range all {
-		k.take(now, r, released[r.Print])
+		k.applyRow(now, r, released[r.Print])
 	}
-	k.rewrite()
+	k.rewriteMissing()
 	k.decide(now)
 	k.loaded.Store(true)
 	return nil
@@ -233,8 +238,8 @@
 	faults := 0
 	for i, s := range stored {
 		r, err := Decode(s)
-		if err == nil && i >= mostRows {
-			err = errors.Errorf("row %.80q: more than %d rows", s.Key.Row, mostRows)
+		if err == nil && i >= maxRows {
+			err = errors.Errorf("row %.80q: more than %d rows", s.Key.Row, maxRows)
 		}
 		if err == nil {
 			all = append(all, r)
@@ -251,9 +256,9 @@
 	return all
 }
 
-// release ends a hold that an operator has released at a time, in Unix milliseconds, unless there
-// were crashes since.
-func (k *Keeper) release(now time.Time, print fingerprint.Print, at int64) {
+// applyRelease ends a hold that an operator released at the given time, in Unix milliseconds,
+// unless the request has caused crashes since.
+func (k *Keeper) applyRelease(now time.Time, print fingerprint.Print, at int64) {
 	for _, c := range k.ledger.Crashes(print) {
 		if c.At.UnixMilli() > at {
 			return
@@ -262,15 +267,15 @@
 	if !k.ledger.Clear(now, print) {
 		return
 	}
-	delete(k.seen, print)
+	delete(k.suspects, print)
 	k.rows.drop(print)
 	k.config.Log.Warn().Stringer("fingerprint", print).Msg("request is no longer held back: an operator has released it")
 }
 
-// take takes up one row, and has it removed where it no longer counts: one that is older than a
-// release would count again once the release's own row is gone.
-func (k *Keeper) take(now time.Time, r Row, released int64) {
-	if r.over(now, k.config.Settings) || r.ReleasedMs == 0 && r.WrittenMs <= released {
+// applyRow applies one row, or queues its removal if it no longer counts. A row older than a
+// release is removed because it would count again once the release's own row is gone.
+func (k *Keeper) applyRow(now time.Time, r Row, released int64) {
+	if r.expired(now, k.config.Settings) || r.ReleasedMs == 0 && r.WrittenMs <= released {
 		k.rows.remove[r.name] = true
 		k.wake()
 		return
@@ -286,8 +291,8 @@
 	}
 }
 
-// rewrite has this entry's rows written again that the store should have and doesn't.
-func (k *Keeper) rewrite() {
+// rewriteMissing queues this entry's rows that are missing from the store for writing.
+func (k *Keeper) rewriteMissing() {
 	for print := range k.rows.own {
 		found := slices.Contains(k.rows.listed[print], rowName(print, k.config.VM))
 		if !found && !k.rows.dirty[print] {
--- a/entry/quarantine/tablestore.go
+++ b/entry/quarantine/tablestore.go
@@ -7,7 +7,7 @@
 	"acaciacleat.example/peers/table"
 )
 
-// TableStore is a Store over the table service of the product's own deployments.
+// TableStore implements Store on the table service of the product's own deployments.
 type TableStore struct{ Table table.Store }
 
 var _ Store = TableStore{}
@@ -15,7 +15,7 @@
 // pageRows is the number of rows that one scan reads.
 const pageRows = 500
 
-// All implements Store. The version is not known.
+// All implements Store. It returns zero as the version, which is not known.
 func (s TableStore) All(ctx context.Context, name string) ([]table.Row, uint64, error) {
 	var all []table.Row
 	after := ""
--- a/entry/share/spread.go
+++ b/entry/share/broadcast.go
@@ -9,16 +9,17 @@
 	"acaciacleat.example/peers/pause"
 )
 
-// tell sends what this entry has placed, and has seen of upstreams, to all others, in batches.
-func (p *Peers) tell(ctx context.Context) {
+// runBroadcasts sends this entry's placements and its observations of upstreams to all other
+// entries, in batches.
+func (p *Peers) runBroadcasts(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.config.Fleet.Told():
-		case <-p.config.Quarantine.Told():
+		case <-p.config.Quarantine.Pending():
 		}
-		pause.For(ctx, batchFor)
+		pause.For(ctx, batchDelay)
 		works := link.Works{
 			Origin:     p.config.Self.Incarnation,
 			Events:     p.config.Fleet.News(),
@@ -26,15 +27,15 @@
 			Quarantine: p.config.Quarantine.Reports(),
 		}
 		if len(works.Events)+len(works.Reports)+len(works.Quarantine) > 0 {
-			p.spread(works)
+			p.broadcast(works)
 		}
 	}
 }
 
-// spread sends works to the entries of the own availability zone and to one of each other
-// zone, which passes them on there. What crosses zones then doesn't grow with the number
-// of entries.
-func (p *Peers) spread(works link.Works) {
+// broadcast sends works to the entries of this availability zone and to one entry of each other
+// zone, which forwards it there. Traffic between zones then doesn't grow with the number of
+// entries.
+func (p *Peers) broadcast(works link.Works) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for zone, members := range p.zones() {
@@ -49,7 +50,7 @@
 	}
 }
 
-// zones returns the linked entries by availability zone. It is called with mu held.
+// zones groups the linked entries by availability zone. It is called with mu held.
 func (p *Peers) zones() map[string][]string {
 	zones := make(map[string][]string)
 	for vm, known := range p.known {
@@ -65,13 +66,13 @@
 func (p *Peers) send(vms []string, message link.Message) {
 	for _, vm := range vms {
 		if err := p.known[vm].conn.Send(message); err != nil {
-			p.notTold(err, vm)
+			p.logSendFailure(err, vm)
 		}
 	}
 }
 
-// pass hands a message of another zone's entry on to the entries of this zone.
-func (p *Peers) pass(works *link.Works) {
+// forwardInZone forwards a message from an entry of another zone to the entries of this zone.
+func (p *Peers) forwardInZone(works *link.Works) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	passed := *works
--- a/entry/share/news.go
+++ b/entry/share/feeds.go
@@ -5,16 +5,16 @@
 	"acaciacleat.example/peers/link"
 )
 
-// Role returns what this entry does for the others' knowledge of the platform's feeds.
+// Role returns this entry's role in following the platform's feeds for its zone.
 func (p *Peers) Role() follow.Role {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return follow.RoleOf(p.config.Self.VM, p.config.Self.Zone, p.zones()[p.config.Self.Zone])
 }
 
-// TellNews passes what this entry has read of a feed on to the entries of its zone.
-func (p *Peers) TellNews(news *link.News) {
+// ForwardFeedUpdate sends what this entry has read from a feed to the entries of its zone.
+func (p *Peers) ForwardFeedUpdate(update *link.News) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.send(p.zones()[p.config.Self.Zone], news)
+	p.send(p.zones()[p.config.Self.Zone], update)
 }
--- a/entry/share/routes.go
+++ b/entry/share/routes.go
@@ -12,13 +12,15 @@
 	"github.com/pkg/errors"
 )
 
-// Entries that have read routes from the store announce the version to all others; those that
-// have fetched them, to their availability zone. An entry that lacks what was announced fetches
-// it in compressed parts, at its own pace: sent whole, and by whoever is asked, tables of a
-// megabyte fill the links of those that are behind, until these are lost and all begins anew.
-
-// TellRoutes announces the routes in force to the entries of this zone, and with far set to all.
-func (p *Peers) TellRoutes(far bool) {
+// An entry that has read routes from the store announces their version to all other entries;
+// one that has fetched them from another entry announces it to its own availability zone. An
+// entry that lacks an announced version fetches it in compressed parts and at its own pace.
+// Sending whole tables of a megabyte at once would fill the links of the entries that are
+// behind until these links are lost and the transfer starts over.
+
+// AnnounceRoutes announces the version of the routes in force to the entries of this zone, or
+// to those of all zones.
+func (p *Peers) AnnounceRoutes(allZones bool) {
 	value, version := p.config.Routes()
 	if value == nil {
 		return
@@ -26,39 +28,39 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for zone, members := range p.zones() {
-		if far || zone == p.config.Self.Zone {
+		if allZones || zone == p.config.Self.Zone {
 			p.send(members, &link.Routes{Version: version})
 		}
 	}
 }
 
-// hearRoutes takes another entry's announcement.
-func (p *Peers) hearRoutes(c *link.Conn, routes *link.Routes) {
+// onRoutesAnnounced handles another entry's announcement of a version.
+func (p *Peers) onRoutesAnnounced(c *link.Conn, routes *link.Routes) {
 	inForce, peer := p.version(), c.Peer()
 	p.mu.Lock()
 	p.fetch.Announced(time.Now(), inForce, peer.VM, peer.Zone == p.config.Self.Zone, routes.Version)
 	p.mu.Unlock()
-	p.pursue()
+	p.fetchNext()
 }
 
-// pursue asks for the next part of routes that are missing, if it is time to.
-func (p *Peers) pursue() {
+// fetchNext requests the next part of the missing routes if a request is due.
+func (p *Peers) fetchNext() {
 	now, inForce := time.Now(), p.version()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ask, vm, again := p.fetch.Next(now, inForce)
-	for vm != "" && !p.askPart(vm, ask, now, inForce) {
+	for vm != "" && !p.requestPart(vm, ask, now, inForce) {
 		p.fetch.Gone(vm)
 		ask, vm, again = p.fetch.Next(now, inForce)
 	}
 	if !again.IsZero() {
-		p.pursuit.Reset(again.Sub(now))
+		p.fetchTimer.Reset(again.Sub(now))
 	}
 }
 
-// askPart asks an entry for a part; it reports false where there is no link. It is called with mu
-// held.
-func (p *Peers) askPart(vm string, ask fetch.Ask, now time.Time, inForce uint64) bool {
+// requestPart requests a part from an entry. It reports false if there is no link to the entry
+// or the request can't be sent. It is called with mu held.
+func (p *Peers) requestPart(vm string, ask fetch.Ask, now time.Time, inForce uint64) bool {
 	known := p.known[vm]
 	if known == nil || known.conn == nil {
 		return false
@@ -68,24 +70,24 @@
 		p.config.Log.Info().Str("entry", vm).Uint64("version", version).
 			Int64("behind_ms", now.Sub(since).Milliseconds()).Msg("asking an entry for routes")
 	}
-	p.asked.Add(1)
+	p.partsRequested.Add(1)
 	return known.conn.Send(&link.Works{Origin: p.config.Self.Incarnation, Ask: &ask}) == nil
 }
 
-// hearPart takes a part of routes.
-func (p *Peers) hearPart(c *link.Conn, part *link.RoutesPart) {
+// onRoutesPart handles a received part of the routes.
+func (p *Peers) onRoutesPart(c *link.Conn, part *link.RoutesPart) {
 	inForce := p.version()
 	p.mu.Lock()
 	packed, version := p.fetch.Received(time.Now(), inForce, c.Peer().VM, (*fetch.Part)(part))
 	p.mu.Unlock()
 	if packed != nil {
-		// Not on the link's event loop: a large table takes long to unpack.
-		go p.takeUp(c.Peer().VM, packed, version)
+		// Unpacking a large table takes too long for the link's event loop.
+		go p.applyRoutes(c.Peer().VM, packed, version)
 	}
-	p.pursue()
+	p.fetchNext()
 }
 
-func (p *Peers) takeUp(vm string, packed []byte, version uint64) {
+func (p *Peers) applyRoutes(vm string, packed []byte, version uint64) {
 	value, err := unpack(packed)
 	if err != nil {
 		p.config.Log.Error().Err(err).Str("entry", vm).Uint64("version", version).Msg("routes of an entry could not be unpacked")
@@ -97,16 +99,16 @@
 	p.mu.Lock()
 	p.fetch.Dropped(time.Now(), version)
 	p.mu.Unlock()
-	p.pursue()
+	p.fetchNext()
 }
 
-// sendPart answers an entry that has asked for a part of the routes in force.
+// sendPart sends the part of the routes in force that an entry has requested.
 func (p *Peers) sendPart(c *link.Conn, ask fetch.Ask) {
 	value, version := p.config.Routes()
 	if value == nil {
 		return
 	}
-	part, err := p.shelf.get(c.Peer().VM, ask, value, version)
+	part, err := p.packed.part(c.Peer().VM, ask, value, version)
 	if err != nil {
 		p.config.Log.Error().Err(err).Uint64("version", version).Msg("routes could not be packed")
 		return
@@ -115,25 +117,26 @@
 		p.config.Log.Info().Str("entry", c.Peer().VM).Uint64("version", part.Version).
 			Int("bytes", len(value)).Int("parts", part.Parts).Msg("sending routes to an entry")
 	}
-	p.sent.Add(uint64(len(part.Data)))
-	p.sendOne(c, (*link.RoutesPart)(part))
+	p.bytesSent.Add(uint64(len(part.Data)))
+	p.sendTo(c, (*link.RoutesPart)(part))
 }
 
-// sendWhole answers an entry of an earlier version, which knows no parts.
+// sendWhole sends the routes in one message to an entry of an earlier version, which doesn't
+// support parts.
 func (p *Peers) sendWhole(c *link.Conn) {
 	if value, version := p.config.Routes(); value != nil {
-		p.sent.Add(uint64(len(value)))
-		p.sendOne(c, &link.Routes{Version: version, Value: value})
+		p.bytesSent.Add(uint64(len(value)))
+		p.sendTo(c, &link.Routes{Version: version, Value: value})
 	}
 }
 
-// shelf packs each version once, when it is first asked for.
-type shelf struct {
+// packedRoutes compresses each version of the routes once, when it is first requested.
+type packedRoutes struct {
 	mu sync.Mutex
 	*fetch.Shelf
 }
 
-func (s *shelf) get(vm string, ask fetch.Ask, value []byte, version uint64) (*fetch.Part, error) {
+func (s *packedRoutes) part(vm string, ask fetch.Ask, value []byte, version uint64) (*fetch.Part, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.Newest() {
@@ -161,29 +164,29 @@
 	return packed.Bytes(), nil
 }
 
-// mostUnpacked bounds what a packed table may become, in bytes.
-const mostUnpacked = 64 << 20
+// maxUnpackedBytes bounds the size of an unpacked table.
+const maxUnpackedBytes = 64 << 20
 
 func unpack(packed []byte) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), mostUnpacked+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack routes")
 	}
-	if len(value) > mostUnpacked {
-		return nil, errors.Errorf("unpack routes: more than %d bytes", mostUnpacked)
+	if len(value) > maxUnpackedBytes {
+		return nil, errors.Errorf("unpack routes: more than %d bytes", maxUnpackedBytes)
 	}
 	return value, nil
 }
 
-// version returns that of the routes in force; zero for none.
+// version returns the version of the routes in force, or zero if there are none.
 func (p *Peers) version() uint64 {
 	_, version := p.config.Routes()
 	return version
 }
 
-// Behind returns for how long a version of the routes that another entry has announced has not been
-// in force here; zero if none is missing.
-func (p *Peers) Behind() time.Duration {
+// RoutesLag returns how long ago another entry announced a version of the routes that is not
+// yet in force here, or zero if none is missing.
+func (p *Peers) RoutesLag() time.Duration {
 	inForce := p.version()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,8 +196,9 @@
 	return 0
 }
 
-// RoutesAsked returns how many parts of routes this entry has asked others for.
-func (p *Peers) RoutesAsked() uint64 { return p.asked.Load() }
+// RoutePartsRequested returns the number of parts of routes that this entry has requested from
+// others.
+func (p *Peers) RoutePartsRequested() uint64 { return p.partsRequested.Load() }
 
-// RoutesSent returns how many bytes of routes this entry has sent to others.
-func (p *Peers) RoutesSent() uint64 { return p.sent.Load() }
+// RouteBytesSent returns the number of bytes of routes that this entry has sent to others.
+func (p *Peers) RouteBytesSent() uint64 { return p.bytesSent.Load() }
--- a/entry/share/routes_test.go
+++ b/entry/share/routes_test.go
@@ -20,22 +20,22 @@
 	require.Error(t, err)
 }
 
-// Guards against a small message that becomes more than an entry's memory.
+// Guards against a small message that unpacks to more than an entry's memory.
 func TestUnpackedRoutesAreBounded(t *testing.T) {
-	packed, err := pack(make([]byte, mostUnpacked+1))
+	packed, err := pack(make([]byte, maxUnpackedBytes+1))
 	require.NoError(t, err)
 	_, err = unpack(packed)
 	require.ErrorContains(t, err, "more than")
 }
 
 func TestRoutesArePackedOncePerVersion(t *testing.T) {
-	s := shelf{Shelf: fetch.NewShelf()}
-	first, err := s.get("a", fetch.Ask{}, []byte("one"), 1)
+	s := packedRoutes{Shelf: fetch.NewShelf()}
+	first, err := s.part("a", fetch.Ask{}, []byte("one"), 1)
 	require.NoError(t, err)
-	again, err := s.get("b", fetch.Ask{}, []byte("not packed"), 1)
+	again, err := s.part("b", fetch.Ask{}, []byte("not packed"), 1)
 	require.NoError(t, err)
 	require.Equal(t, first, again)
-	newer, err := s.get("a", fetch.Ask{}, []byte("two"), 2)
+	newer, err := s.part("a", fetch.Ask{}, []byte("two"), 2)
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), newer.Version)
 }
--- a/entry/share/rows.go
+++ b/entry/share/rows.go
@@ -13,13 +13,13 @@
 	"github.com/pkg/errors"
 )
 
-// secret returns the key of all entries. The first entry that finds none makes it.
+// secret returns the key that all entries share. The first entry that finds none creates it.
 func (p *Peers) secret(ctx context.Context) ([]byte, error) {
 	for ctx.Err() == nil {
 		rows, _, err := p.config.Store.All(ctx, p.config.Tables.Secrets)
 		if err != nil {
 			p.config.Log.Info().Err(err).Msg("the key of links could not be read yet")
-			pause.For(ctx, retryEvery)
+			pause.For(ctx, storeRetryInterval)
 			continue
 		}
 		i := slices.IndexFunc(rows, func(r table.Row) bool { return r.Key.Row == secretRow })
@@ -28,7 +28,8 @@
 		}
 		key := table.Key{Table: p.config.Tables.Secrets, Row: secretRow}
 		if i >= 0 {
-			// Another writer's: links on an empty or short key would take in anybody.
+			// An empty or short key was written by something else. Links keyed with it would
+			// accept anyone.
 			p.config.Log.Error().Int("bytes", len(rows[i].Value)).Msg("the key of links is damaged; writing a new one")
 			err = p.config.Store.Put(ctx, key, newSecret())
 		} else {
@@ -36,19 +37,19 @@
 		}
 		failed := err != nil && !errors.Is(err, table.ErrConflict)
 		if failed {
-			p.config.Log.Info().Err(err).Msg("the key of links could not be written yet")
+			p.config.Log.Info().Err(err).Msg("the key of links could not be written; trying again")
 		}
 		if failed || i >= 0 {
-			pause.For(ctx, retryEvery) // Others may write at the same moment; the last one counts.
+			pause.For(ctx, storeRetryInterval) // Other entries may write at the same time; the last write wins.
 		}
-		// What stands in the row now counts, whoever wrote it.
+		// Whichever entry wrote the row, the key that it now holds is the one to use.
 	}
 	return nil, ctx.Err()
 }
 
 // register writes this entry's row and reads those of the others.
 func (p *Peers) register(ctx context.Context) error {
-	value, err := json.Marshal(row{VM: p.config.Self.VM, Link: p.node.Addr()})
+	value, err := json.Marshal(entryRow{VM: p.config.Self.VM, Link: p.node.Addr()})
 	if err != nil {
 		return errors.Wrap(err, "encode row")
 	}
@@ -59,25 +60,26 @@
 	if err != nil {
 		return err
 	}
-	p.meetAll(rows)
+	p.addEntries(rows)
 	return nil
 }
 
-// mostEntries bounds the entries that are dialled: some times the size designed for.
-const mostEntries = 2000
+// maxEntries bounds the number of entries that are dialled, at several times the size that the
+// system is designed for.
+const maxEntries = 2000
 
-// meetAll takes up the entries whose rows can be read, and tells of the others in one line.
-func (p *Peers) meetAll(rows []table.Row) {
+// addEntries adds the entries whose rows can be decoded, and logs the other rows in one line.
+func (p *Peers) addEntries(rows []table.Row) {
 	var faults int
 	var first error
 	for i, r := range rows {
 		other, err := decodeEntry(r)
-		if err == nil && i >= mostEntries {
-			err = errors.Errorf("row %.50q: more than %d entries", r.Key.Row, mostEntries)
+		if err == nil && i >= maxEntries {
+			err = errors.Errorf("row %.50q: more than %d entries", r.Key.Row, maxEntries)
 		}
 		switch {
 		case err == nil:
-			p.meet(other)
+			p.addEntry(other)
 		case first == nil:
 			first = err
 			fallthrough
@@ -90,18 +92,18 @@
 	}
 }
 
-// decodeEntry decodes an entry's row. One whose key is not its VM, or whose link has no
-// address, is another writer's.
-func decodeEntry(r table.Row) (row, error) {
-	var other row
+// decodeEntry decodes an entry's row. A row whose key is not its VM, or whose link has no
+// address, was not written by an entry.
+func decodeEntry(r table.Row) (entryRow, error) {
+	var other entryRow
 	if r.Damaged || json.Unmarshal(r.Value, &other) != nil {
-		return row{}, errors.Errorf("row %.50q can't be read", r.Key.Row)
+		return entryRow{}, errors.Errorf("row %.50q can't be read", r.Key.Row)
 	}
 	if other.VM == "" || other.VM != r.Key.Row {
-		return row{}, errors.Errorf("row %.50q is that of another VM, %.50q", r.Key.Row, other.VM)
+		return entryRow{}, errors.Errorf("row %.50q is that of another VM, %.50q", r.Key.Row, other.VM)
 	}
 	if at, err := netip.ParseAddrPort(other.Link); err != nil || at.Port() == 0 {
-		return row{}, errors.Errorf("row %.50q: the link's address is %.50q", r.Key.Row, other.Link)
+		return entryRow{}, errors.Errorf("row %.50q: the link's address is %.50q", r.Key.Row, other.Link)
 	}
 	return other, nil
 }
@@ -110,49 +112,50 @@
 	return table.Key{Table: p.config.Tables.Entries, Row: vm}
 }
 
-// meet takes up another entry, or its new address.
-func (p *Peers) meet(other row) {
+// addEntry adds another entry or updates its address.
+func (p *Peers) addEntry(other entryRow) {
 	if other.VM == p.config.Self.VM {
 		return
 	}
 	p.mu.Lock()
 	known := p.known[other.VM]
 	if known == nil {
-		known = &peer{unreachable: time.Now()}
+		known = &peer{unreachableSince: time.Now()}
 		p.known[other.VM] = known
 	}
 	known.row = other
 	n := len(p.known) + 1
 	p.mu.Unlock()
-	p.config.Entries(n)
+	p.config.OnEntryCount(n)
 }
 
-// look registers and dials, again and again.
-func (p *Peers) look(ctx context.Context) {
+// maintainLinks registers this entry and dials the others periodically until ctx ends.
+func (p *Peers) maintainLinks(ctx context.Context) {
 	var registered time.Time
 	for ctx.Err() == nil {
-		if now := time.Now(); now.Sub(registered) > rowsEvery {
+		if now := time.Now(); now.Sub(registered) > registerInterval {
 			if err := p.register(ctx); err != nil {
-				p.config.Log.Info().Err(err).Msg("entries' rows could not be read or written yet")
+				p.config.Log.Info().Err(err).Msg("rows of entries could not be read or written; trying again")
 			} else {
 				registered = now
 			}
 		}
 		p.dial(ctx)
-		pause.For(ctx, lookEvery)
+		pause.For(ctx, dialInterval)
 	}
 }
 
-// dial dials the entries without a link and gives up those that are gone for long.
+// dial dials the entries without a link and removes those that have been unreachable for
+// removeAfter.
 func (p *Peers) dial(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for vm, known := range p.known {
 		switch {
 		case known.conn != nil, known.dialling:
-		case time.Since(known.unreachable) > giveUpAfter:
+		case time.Since(known.unreachableSince) > removeAfter:
 			delete(p.known, vm)
-			go p.remove(ctx, vm)
+			go p.removeRow(ctx, vm)
 		default:
 			known.dialling = true
 			go p.connect(ctx, vm, known.row.Link)
@@ -168,23 +171,23 @@
 		known.dialling = false
 	}
 	if err != nil {
-		p.config.Log.Debug().Err(err).Str("entry", vm).Msg("entry not reached")
+		p.config.Log.Debug().Err(err).Str("entry", vm).Msg("entry could not be dialled")
 	}
 }
 
-func (p *Peers) remove(ctx context.Context, vm string) {
+func (p *Peers) removeRow(ctx context.Context, vm string) {
 	if err := p.config.Store.Remove(ctx, p.key(vm)); err != nil {
-		p.config.Log.Info().Err(err).Str("entry", vm).Msg("row of an entry that is gone could not be removed")
+		p.config.Log.Info().Err(err).Str("entry", vm).Msg("row of an entry could not be removed")
 	}
 }
 
-// leaveTime bounds the removal of this entry's own row at its stop.
-const leaveTime = 300 * time.Millisecond
+// deregisterTimeout bounds the removal of this entry's own row on shutdown.
+const deregisterTimeout = 300 * time.Millisecond
 
-func (p *Peers) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+func (p *Peers) deregister() {
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	p.remove(ctx, p.config.Self.VM)
+	p.removeRow(ctx, p.config.Self.VM)
 }
 
 func newSecret() []byte {
--- a/entry/share/share.go
+++ b/entry/share/share.go
@@ -1,10 +1,10 @@
-// Package share keeps links between the entries of a deployment, over which they tell each
-// other what they have placed on upstreams, which routes are in force, and what few of them read
-// of the platform's feeds.
+// Package share maintains links between the entries of a deployment. Over them, entries
+// exchange their placements on upstreams, the routes in force, and the updates that a few of
+// them read from the platform's feeds.
 //
-// An entry alone sees a fraction of the requests. Choosing by that, all entries would send
-// to the same upstreams in the same moment. Nothing safe hangs on these links: an entry
-// that is cut off goes on with what it knows.
+// A single entry sees only a fraction of the requests. If each entry placed requests by its own
+// view, all of them would choose the same upstreams at the same moment. Correctness doesn't
+// depend on the links: a partitioned entry continues with what it knows.
 package share
 
 import (
@@ -25,9 +25,10 @@
 	"github.com/rs/zerolog"
 )
 
-// Tables names the tables of the store that belong to this package.
+// Tables names the tables of the store that this package uses.
 type Tables struct {
-	// Entries has a row for each entry, Secrets the key that entries prove to each other.
+	// Entries has a row for each entry. Secrets holds the key by which entries authenticate to
+	// each other.
 	Entries string
 	Secrets string
 }
@@ -39,96 +40,98 @@
 	Store  table.Feed
 	Tables Tables
 	Fleet  *dispatch.Fleet
-	// Routes returns the encoded routes in force and their version; nil where none are.
+	// Routes returns the encoded routes in force and their version; value is nil if there are
+	// none.
 	Routes func() (value []byte, version uint64)
-	// Offer takes routes that another entry has in force; it reports false where they are dropped.
+	// Offer receives routes that are in force at another entry. It reports false if they are
+	// dropped.
 	Offer func(value []byte) bool
-	// Heard takes what another entry has read of the platform's feeds, and Gone is told of an
-	// entry whose link has ended.
-	Heard func(vm string, news *link.News)
-	Gone  func(vm string)
-	// Quarantine is what entries tell each other of requests under which upstreams crash.
+	// OnFeedUpdate receives what another entry has read from the platform's feeds. OnLinkLost
+	// is called when the link to an entry has ended.
+	OnFeedUpdate func(vm string, news *link.News)
+	OnLinkLost   func(vm string)
+	// Quarantine exchanges reports on requests under which upstreams crash.
 	Quarantine Quarantine
-	// Entries is told how many entries are known, this one included.
-	Entries func(n int)
-	Log     zerolog.Logger
+	// OnEntryCount receives the number of known entries, including this one.
+	OnEntryCount func(n int)
+	Log          zerolog.Logger
 }
 
-// Quarantine tells and hears of requests under which upstreams crash; quarantine.Keeper implements
-// it.
+// Quarantine produces and receives reports on requests under which upstreams crash.
+// quarantine.Keeper implements it.
 type Quarantine interface {
-	// Told has a value when there may be reports.
-	Told() <-chan struct{}
+	// Pending returns a channel that has a value when there may be reports.
+	Pending() <-chan struct{}
 	Reports() []quarantine.Report
-	// Current returns what an entry that has just come into touch must know.
+	// Current returns the holds that an entry must learn of when its link opens.
 	Current() []quarantine.Report
-	Heard(vm string, reports []quarantine.Report)
+	Receive(vm string, reports []quarantine.Report)
 }
 
 const (
-	// batchFor is how long events wait for others: about a message's way between zones, so
-	// that batching at most doubles their age.
-	batchFor = 2 * time.Millisecond
-	// lookEvery is how often lost links are dialled again.
-	lookEvery = time.Second
-	// rowsEvery is how often the entries' rows are read again, and this entry's own is
-	// written. A new entry dials the others itself, so this mends only what was missed.
-	rowsEvery = time.Minute
-	// retryEvery is the pause before the store is asked again at a start.
-	retryEvery = 500 * time.Millisecond
-	// giveUpAfter is how long an entry that can't be reached is dialled; its row is then
-	// removed. One that lives writes it again within rowsEvery.
-	giveUpAfter = 3 * time.Minute
-	// forgetAfter is how long an entry is out of touch before its work is forgotten: two
-	// tries to dial it.
-	forgetAfter = 2 * time.Second
-	// secretRow is the row of the key, secretBytes its length.
+	// batchDelay is how long events wait to be batched. It is about the latency of a message
+	// between zones, so that batching at most doubles their age.
+	batchDelay = 2 * time.Millisecond
+	// dialInterval is the interval between attempts to dial entries without a link.
+	dialInterval = time.Second
+	// registerInterval is the interval at which this entry writes its own row and reads those
+	// of the others. A new entry dials the others itself, so this repairs only missed links.
+	registerInterval = time.Minute
+	// storeRetryInterval is the pause between attempts to reach the store at startup.
+	storeRetryInterval = 500 * time.Millisecond
+	// removeAfter is how long an unreachable entry is dialled before its row is removed. An
+	// entry that is alive writes its row again within registerInterval.
+	removeAfter = 3 * time.Minute
+	// forgetDelay is how long an entry must be without a link before its placements are
+	// dropped. It allows two attempts to dial the entry.
+	forgetDelay = 2 * time.Second
+	// secretRow is the row that holds the shared key; secretBytes is the key's length.
 	secretRow   = "link"
 	secretBytes = 32
 )
 
-// row is an entry's row in the store.
-type row struct {
+// entryRow is an entry's row in the store.
+type entryRow struct {
 	VM   string `json:"vm"`
 	Link string `json:"link"`
 }
 
-// Peers are the other entries. It is a link.Handler.
+// Peers maintains the links to the other entries. It implements link.Handler.
 type Peers struct {
 	config Config
 	node   *link.Node
 
 	mu    sync.Mutex
 	known map[string]*peer
-	// fetch is what is missing of the routes that others have announced.
+	// fetch tracks the announced routes that are still missing here.
 	fetch *fetch.Fetch
 
-	// pursuit calls pursue when something is due.
-	pursuit *time.Timer
-	shelf   shelf
-	// asked counts the parts of routes asked for, sent the bytes of routes sent.
-	asked, sent atomic.Uint64
+	// fetchTimer calls fetchNext when the next request is due.
+	fetchTimer *time.Timer
+	packed     packedRoutes
+	// partsRequested counts the parts of routes requested, bytesSent the bytes of routes sent.
+	partsRequested, bytesSent atomic.Uint64
 }
 
 type peer struct {
-	row  row
+	row  entryRow
 	conn *link.Conn
-	// unreachable is since when no link could be had.
-	unreachable time.Time
-	dialling    bool
-	// incarnation is that of the last link.
+	// unreachableSince is when the last link was lost, or when the entry was first known.
+	unreachableSince time.Time
+	dialling         bool
+	// incarnation is the entry's incarnation at the last link.
 	incarnation call.Incarnation
 }
 
-// New returns Peers; Run starts them.
+// New returns Peers. Run starts them.
 func New(config Config) *Peers {
-	p := &Peers{config: config, known: make(map[string]*peer), shelf: shelf{Shelf: fetch.NewShelf()}}
+	p := &Peers{config: config, known: make(map[string]*peer), packed: packedRoutes{Shelf: fetch.NewShelf()}}
 	p.fetch = fetch.New(rand.New(rand.NewPCG(uint64(config.Self.Incarnation), 0)))
-	p.pursuit = time.AfterFunc(never, p.pursue)
+	p.fetchTimer = time.AfterFunc(never, p.fetchNext)
 	return p
 }
 
-// never is the time until a timer that nothing has set.
+// never is the duration of a timer that is not yet set.
 const never = math.MaxInt64
 
 // Linked returns the number of entries to which there is a link.
@@ -144,33 +147,35 @@
 	return n
 }
 
-// unlinkedFor is how long an entry without a link may still serve callers, as far as is known here:
-// behind a cut it does, while one that is gone does not.
-const unlinkedFor = 30 * time.Second
+// maxUnlinkedServing is how long after its link was lost an entry is assumed to still serve
+// callers. A partitioned entry does; a stopped one doesn't, and the two look the same from
+// here.
+const maxUnlinkedServing = 30 * time.Second
 
-// Unlinked reports whether there may be entries that serve and to which there is no link.
+// Unlinked reports whether there may be entries that serve callers and to which there is no
+// link.
 func (p *Peers) Unlinked() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, known := range p.known {
-		if known.conn == nil && time.Since(known.unreachable) < unlinkedFor {
+		if known.conn == nil && time.Since(known.unreachableSince) < maxUnlinkedServing {
 			return true
 		}
 	}
 	return false
 }
 
-// Run keeps links until ctx ends.
+// Run maintains the links until ctx ends.
 func (p *Peers) Run(ctx context.Context) {
 	if err := p.start(ctx); err != nil {
 		p.config.Log.Error().Err(err).Msg("no links to other entries; choosing by this entry's own work")
 		return
 	}
 	defer p.node.Close()
-	defer p.pursuit.Stop()
-	go p.look(ctx)
-	p.tell(ctx)
-	p.leave()
+	defer p.fetchTimer.Stop()
+	go p.maintainLinks(ctx)
+	p.runBroadcasts(ctx)
+	p.deregister()
 }
 
 func (p *Peers) start(ctx context.Context) error {
@@ -190,25 +195,25 @@
 // OnOpen implements link.Handler.
 func (p *Peers) OnOpen(c *link.Conn) {
 	vm := c.Peer().VM
-	c.Retain() // Heartbeats run, so that a silent link is found.
-	n, old := p.linked(c)
-	p.config.Entries(n)
+	c.Retain() // Keeps heartbeats running, so that a silent link is detected.
+	n, old := p.addLink(c)
+	p.config.OnEntryCount(n)
 	p.config.Log.Info().Str("entry", vm).Uint64("origin", uint64(c.Peer().Incarnation)).Msg("entry linked")
 	now := time.Now()
 	if old != 0 && old != c.Peer().Incarnation {
 		p.config.Fleet.ForgetOrigin(now, uint64(old))
 	}
-	p.sendOne(c, &link.Works{
+	p.sendTo(c, &link.Works{
 		Origin: p.config.Self.Incarnation, Events: p.config.Fleet.Current(now), Quarantine: p.config.Quarantine.Current(),
 	})
 	if value, version := p.config.Routes(); value != nil {
-		p.sendOne(c, &link.Routes{Version: version})
+		p.sendTo(c, &link.Routes{Version: version})
 	}
 }
 
-// linked takes up a link; it returns the number of entries and the incarnation that the
-// entry had before.
-func (p *Peers) linked(c *link.Conn) (n int, old call.Incarnation) {
+// addLink records an open link. It returns the number of known entries and the entry's previous
+// incarnation.
+func (p *Peers) addLink(c *link.Conn) (n int, old call.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[c.Peer().VM]
@@ -221,15 +226,15 @@
 	return len(p.known) + 1, old
 }
 
-func (p *Peers) sendOne(c *link.Conn, message link.Message) {
+func (p *Peers) sendTo(c *link.Conn, message link.Message) {
 	if err := c.Send(message); err != nil {
-		p.notTold(err, c.Peer().VM)
+		p.logSendFailure(err, c.Peer().VM)
 	}
 }
 
-// notTold logs a message that could not be sent. One that is too large for a frame would be lost
-// again and again while the link looks sound.
-func (p *Peers) notTold(err error, vm string) {
+// logSendFailure logs a message that could not be sent. A message that is too large for a frame
+// is logged as a warning, as it would fail every time while the link looks healthy.
+func (p *Peers) logSendFailure(err error, vm string) {
 	level := zerolog.DebugLevel
 	if errors.Is(err, link.ErrFrame) {
 		level = zerolog.WarnLevel
@@ -244,22 +249,22 @@
 		now := time.Now()
 		p.config.Fleet.Heard(now, uint64(m.Origin), m.Events)
 		p.config.Fleet.HeardReports(now, uint64(m.Origin), m.Reports)
-		p.config.Quarantine.Heard(c.Peer().VM, m.Quarantine)
+		p.config.Quarantine.Receive(c.Peer().VM, m.Quarantine)
 		if m.Pass {
-			p.pass(m)
+			p.forwardInZone(m)
 		}
 		if m.Ask != nil {
-			// Not on the link's event loop: a large table takes long to pack.
+			// Packing a large table takes too long for the link's event loop.
 			go p.sendPart(c, *m.Ask)
 		}
 	case *link.Routes:
-		p.hearRoutes(c, m)
+		p.onRoutesAnnounced(c, m)
 	case *link.News:
-		p.config.Heard(c.Peer().VM, m)
+		p.config.OnFeedUpdate(c.Peer().VM, m)
 	case *link.RoutesAsk:
 		p.sendWhole(c)
 	case *link.RoutesPart:
-		p.hearPart(c, m)
+		p.onRoutesPart(c, m)
 	default:
 		p.config.Log.Warn().Str("entry", c.Peer().VM).Uint8("type", uint8(m.Type())).Msg("unexpected message from an entry")
 	}
@@ -275,19 +280,19 @@
 		return
 	}
 	known.conn = nil
-	known.unreachable = time.Now()
+	known.unreachableSince = time.Now()
 	p.fetch.Gone(vm)
 	p.mu.Unlock()
-	p.pursue()
-	p.config.Gone(vm)
-	time.AfterFunc(forgetAfter, func() { p.forget(vm) })
+	p.fetchNext()
+	p.config.OnLinkLost(vm)
+	time.AfterFunc(forgetDelay, func() { p.forgetOrigin(vm) })
 	p.config.Log.Info().Err(reason).Str("entry", vm).Msg("entry's link lost")
 }
 
-// forget ends the work of an entry that has been out of touch for a while: an entry that
-// died has left its callers, and upstreams stop work whose caller has left. Without this,
-// upstreams would look busy for as long as its requests could have taken.
-func (p *Peers) forget(vm string) {
+// forgetOrigin drops the placements of an entry that is still without a link. If the entry has
+// died, its callers' connections have closed and upstreams cancel their requests. Without this,
+// its upstreams would look busy for as long as those requests could have taken.
+func (p *Peers) forgetOrigin(vm string) {
 	p.mu.Lock()
 	known := p.known[vm]
 	gone := known != nil && known.conn == nil
