--- a/entry/gateway/admit.go
+++ b/entry/gateway/admit.go
@@ -10,18 +10,18 @@
 	"acaciacleat.example/core/routes"
 )
 
-// admit finds the route, the caller and the service, and reads the body. Nothing has been
-// sent to an upstream before it returns.
+// admit finds the route, the caller's organisation and the service, and reads the body. Nothing
+// has been sent to an upstream before it returns.
 func (e *exchange) admit() *result.Error {
 	table := e.g.config.Directory.Table()
-	if table == nil || !e.g.knows() {
-		// Without routes nobody can tell that this one doesn't exist.
-		return fault(result.NotReady, result.NotRun, "no routes are known yet, or not what is held back")
+	if table == nil || !e.g.initialized() {
+		// Without routes it is unknown whether one matches, so the answer is not "not found".
+		return newError(result.NotReady, result.NotRun, "no routes are known yet, or not what is held back")
 	}
 	e.version = table.Version()
 	e.route = table.Match(e.r.Host, pathOf(e.r))
 	if e.route == nil {
-		return fault(result.NotFound, result.NotRun, "no route has this host and path")
+		return newError(result.NotFound, result.NotRun, "no route has this host and path")
 	}
 	if err := e.authorize(table); err != nil {
 		return err
@@ -37,12 +37,13 @@
 	}
 	e.caller = table.Caller(e.meta.Key)
 	if e.caller == nil {
-		return fault(result.BadKey, result.NotRun, "the key belongs to no organisation")
+		return newError(result.BadKey, result.NotRun, "the key belongs to no organisation")
 	}
 	return nil
 }
 
-// setDeadline takes the caller's time or the route's, whichever ends first.
+// setDeadline sets the deadline from the caller's time limit or the route's, whichever is
+// shorter.
 func (e *exchange) setDeadline() {
 	allowed := e.route.Timeout
 	if e.meta.TimeLeft > 0 && (allowed == 0 || e.meta.TimeLeft < allowed) {
@@ -54,30 +55,30 @@
 	e.deadline = e.arrived.Add(allowed)
 }
 
-// defaultTimeout bounds requests for which neither the caller nor the route gives a time.
+// defaultTimeout bounds requests for which neither the caller nor the route sets a limit.
 const defaultTimeout = time.Minute
 
 func (e *exchange) readBody(limits routes.Limits) *result.Error {
-	most := e.g.config.MaxBodyBytes
+	limit := e.g.config.MaxBodyBytes
 	if limits.BodyBytes > 0 {
-		most = limits.BodyBytes
+		limit = limits.BodyBytes
 	}
-	if e.r.ContentLength > most {
-		return fault(result.BodyTooLarge, result.NotRun, "the body is larger than the routes allow")
+	if e.r.ContentLength > limit {
+		return newError(result.BodyTooLarge, result.NotRun, "the body is larger than the routes allow")
 	}
 	if e.r.ContentLength == 0 {
 		return nil
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(e.w, e.r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(e.w, e.r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
 		e.body = body
 		return nil
 	case errors.As(err, &tooLarge):
-		return fault(result.BodyTooLarge, result.NotRun, "the body is larger than the routes allow")
+		return newError(result.BodyTooLarge, result.NotRun, "the body is larger than the routes allow")
 	default:
-		// The body broke off: the caller is gone or speaks no HTTP.
-		return fault(result.CallerGone, result.NotRun, err.Error())
+		// The body is incomplete: the caller has disconnected or doesn't speak HTTP.
+		return newError(result.CallerGone, result.NotRun, err.Error())
 	}
 }
--- a/entry/gateway/budgets.go
+++ b/entry/gateway/budgets.go
@@ -11,13 +11,13 @@
 
 // Allowance bounds the retries of all entries together.
 type Allowance struct {
-	// Ratio is the number of retries for each first attempt.
+	// Ratio is the number of retries per first attempt.
 	Ratio float64
-	// Slack is the number of retries in ten seconds beyond the ratio.
+	// Slack is the number of retries per ten seconds allowed beyond the ratio.
 	Slack float64
 }
 
-// Budgets keeps the retry budget of each service. It is safe for concurrent use.
+// Budgets holds the retry budget of each service. It is safe for concurrent use.
 type Budgets struct {
 	mu        sync.Mutex
 	allowance Allowance
@@ -25,19 +25,20 @@
 	budgets   map[string]*retry.Budget
 }
 
-// cautious is the part of the whole allowance that entries use: what they count of one
-// request may fall into another window than what the upstreams count.
-const cautious = 0.7
+// budgetShare is the fraction of the allowance that entries use. An entry and an upstream may
+// count the same request in different windows, so that using all of it could exceed the
+// upstreams' count.
+const budgetShare = 0.7
 
-// noMinimum: the slack takes the place of a least rate of retries.
+// noMinimum disables the budget's minimum rate of retries, which the slack replaces.
 const noMinimum = 0
 
-// NewBudgets returns Budgets for one entry of the given number.
+// NewBudgets returns the Budgets of one of the given number of entries.
 func NewBudgets(allowance Allowance, entries int) *Budgets {
 	return &Budgets{allowance: allowance, entries: max(entries, 1), budgets: make(map[string]*retry.Budget)}
 }
 
-// SetEntries splits the slack over another number of entries.
+// SetEntries divides the slack by another number of entries.
 func (b *Budgets) SetEntries(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,61 +48,61 @@
 	}
 }
 
-func (b *Budgets) slack() float64 { return b.allowance.Slack * cautious / float64(b.entries) }
+func (b *Budgets) slack() float64 { return b.allowance.Slack * budgetShare / float64(b.entries) }
 
-func (b *Budgets) of(service string) *retry.Budget {
+func (b *Budgets) budgetFor(service string) *retry.Budget {
 	budget := b.budgets[service]
 	if budget == nil {
-		budget = retry.NewBudget(b.allowance.Ratio*cautious, noMinimum)
+		budget = retry.NewBudget(b.allowance.Ratio*budgetShare, noMinimum)
 		budget.SetSlack(b.slack())
 		b.budgets[service] = budget
 	}
 	return budget
 }
 
-// First records a first attempt at a service.
-func (b *Budgets) First(service string, now time.Time) {
+// RecordFirst records a first attempt at a service.
+func (b *Budgets) RecordFirst(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).First(now)
+	b.budgetFor(service).First(now)
 }
 
-// Of returns what a request of the service asks before it tries another upstream.
-func (b *Budgets) Of(service string) *Retries {
+// ForService returns the retry budget of a service as one request uses it.
+func (b *Budgets) ForService(service string) *Retries {
 	return &Retries{budgets: b, service: service}
 }
 
-// Retries is the budget as one request sees it. It implements attempt.Retries.
+// Retries is the retry budget as one request uses it. It implements attempt.Retries.
 type Retries struct {
 	budgets *Budgets
 	service string
-	// taken says that a retry was taken out of the budget for later.
-	taken atomic.Bool
+	// reserved reports whether a retry has been reserved for the next Allow.
+	reserved atomic.Bool
 }
 
 var _ attempt.Retries = (*Retries)(nil)
 
-// Take takes a retry out of the budget for the next Allow; it reports whether one is there.
-// Who leaves an upstream of his own will asks before: without it, an answer that its
-// upstream might have finished is broken off for a retry that nobody may make.
-func (s *Retries) Take(now time.Time) bool {
-	if s.taken.Load() {
+// Reserve reserves a retry for the next Allow and reports whether the budget has one. A request
+// must reserve a retry before it abandons an upstream that may still answer; otherwise the
+// answer could be cancelled for a retry that the budget then refuses.
+func (s *Retries) Reserve(now time.Time) bool {
+	if s.reserved.Load() {
 		return true
 	}
-	s.taken.Store(s.Allow(now))
-	return s.taken.Load()
+	s.reserved.Store(s.Allow(now))
+	return s.reserved.Load()
 }
 
 // Allow implements attempt.Retries.
 func (s *Retries) Allow(now time.Time) bool {
-	if s.taken.Swap(false) {
+	if s.reserved.Swap(false) {
 		return true
 	}
 	s.budgets.mu.Lock()
 	defer s.budgets.mu.Unlock()
-	return s.budgets.of(s.service).Allow(now)
+	return s.budgets.budgetFor(s.service).Allow(now)
 }
 
-// Delay implements attempt.Retries: another upstream is tried at once. What refused or
-// failed is left alone meanwhile, so that waiting would only lose time.
+// Delay implements attempt.Retries. Another upstream is tried at once: the upstream that
+// refused or failed is excluded, so waiting would only lose time.
 func (*Retries) Delay(int) time.Duration { return 0 }
--- a/entry/gateway/budgets_test.go
+++ b/entry/gateway/budgets_test.go
@@ -9,12 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: retries beyond the allowance, one for each service of each entry. Sequence: a
-// first retry where the budget has none. Cause: the time since the last retry, of which
-// there was none, counted as longer than any least interval.
-//
-// Whatever entries there are and whatever requests come to them, the retries of all of them
-// in any ten seconds stay under the allowance of the whole.
+// The retries of all entries in any ten seconds stay within the allowance, for any number of
+// entries and any sequence of requests. Guards against a first retry that an empty budget
+// allows because the time since the last retry, of which there is none, counts as longer than
+// any minimum interval; each entry would then exceed the allowance by one retry per service.
 func TestBudgetsOfAllEntriesStayUnderTheAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allowance := Allowance{
@@ -32,18 +30,18 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			entry := entries[rapid.IntRange(0, len(entries)-1).Draw(t, "entry")]
 			if rapid.Bool().Draw(t, "first") {
-				entry.First("model", now)
+				entry.RecordFirst("model", now)
 				firsts = append(firsts, now)
-			} else if entry.Of("model").Allow(now) {
+			} else if entry.ForService("model").Allow(now) {
 				retries = append(retries, now)
 			}
 		}
 		const window = 10 * time.Second
 		for _, end := range retries {
 			since := end.Add(-window)
-			// Requests count that were made in this window or the one before it.
-			most := allowance.Slack + allowance.Ratio*float64(within(firsts, since.Add(-window), end))
-			require.LessOrEqual(t, float64(within(retries, since, end)), most+1e-9)
+			// Requests made in this window or in the one before it count.
+			limit := allowance.Slack + allowance.Ratio*float64(within(firsts, since.Add(-window), end))
+			require.LessOrEqual(t, float64(within(retries, since, end)), limit+1e-9)
 		}
 	})
 }
@@ -62,31 +60,32 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	count := func(b *Budgets) int {
 		n := 0
-		for b.Of("model").Allow(now) {
+		for b.ForService("model").Allow(now) {
 			n++
 		}
 		return n
 	}
 	require.Equal(t, 70, count(NewBudgets(Allowance{Ratio: 0.1, Slack: 100}, 1)))
 	alone := NewBudgets(Allowance{Ratio: 0.1, Slack: 100}, 1)
-	alone.First("model", now)
+	alone.RecordFirst("model", now)
 	alone.SetEntries(10)
 	require.Equal(t, 7, count(alone))
-	require.Zero(t, count(NewBudgets(Allowance{Ratio: 0.1, Slack: 1}, 4)), "a part of a retry is none")
+	require.Zero(t, count(NewBudgets(Allowance{Ratio: 0.1, Slack: 1}, 4)), "a fraction of a retry is not a retry")
 }
 
-// Symptom: a stream breaks off because its upstream was silent for a while. Sequence: the
-// upstream is left; the budget then has no retry. Cause: the budget was asked only after.
+// Guards against a stream that is broken off because its upstream was silent for a while, and
+// that then can't continue elsewhere because the budget was only checked afterwards and has no
+// retry left.
 func TestARetryThatWasTakenIsNotRefusedLater(t *testing.T) {
 	budgets := NewBudgets(Allowance{Ratio: 0.1, Slack: 10}, 1)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	first, second := budgets.Of("model"), budgets.Of("model")
-	require.True(t, first.Take(now))
-	require.True(t, first.Take(now), "it is taken once")
+	first, second := budgets.ForService("model"), budgets.ForService("model")
+	require.True(t, first.Reserve(now))
+	require.True(t, first.Reserve(now), "it is reserved only once")
 	for n := 0; second.Allow(now); n++ {
-		require.Less(t, n, 10, "the budget has an end")
+		require.Less(t, n, 10, "the budget is finite")
 	}
-	require.False(t, second.Take(now))
+	require.False(t, second.Reserve(now))
 	require.True(t, first.Allow(now))
-	require.False(t, first.Allow(now), "it was used")
+	require.False(t, first.Allow(now), "the reservation was used")
 }
--- a/entry/gateway/clients.go
+++ b/entry/gateway/clients.go
@@ -13,41 +13,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clients keeps one HTTP client for each upstream incarnation. It is safe for concurrent
-// use.
+// Clients holds one HTTP client per upstream incarnation. It is safe for concurrent use.
 type Clients struct {
-	mu    sync.Mutex
-	known map[string]*client
-	dial  func(ctx context.Context, network, address string) (net.Conn, error)
+	mu      sync.Mutex
+	clients map[string]*client
+	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 type client struct {
-	http *service.HTTP
-	used time.Time
-	// life ends with the incarnation, and end ends it: no answer can come any more, also where
-	// the connection is behind a cut and never says so.
-	life context.Context
-	end  context.CancelFunc
-	// heard is when the upstream last sent this entry anything, in nanoseconds since the
-	// epoch.
-	heard atomic.Int64
+	http     *service.HTTP
+	lastUsed time.Time
+	// ctx is cancelled by cancel when the incarnation has ended, and cancels the calls in
+	// flight: no answer can come any more, even if a partitioned connection never reports an
+	// error.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// lastReceived is when this entry last received anything from the upstream, in nanoseconds
+	// since the Unix epoch.
+	lastReceived atomic.Int64
 }
 
 const (
-	// dialTimeout bounds a new connection: two round trips between zones and a lost packet.
+	// dialTimeout bounds the dialling of a connection: two round trips between zones and a lost
+	// packet.
 	dialTimeout = time.Second
-	// idleTimeout is under the shortest time that upstreams are known to keep an idle
-	// connection, as their Keep-Alive header states.
+	// idleTimeout is shorter than the shortest time for which upstreams keep an idle
+	// connection, as their Keep-Alive headers state.
 	idleTimeout = 1500 * time.Millisecond
-	// idleConns is the number of idle connections kept to one upstream: as many as an
-	// engine runs requests.
+	// idleConns is the number of idle connections kept per upstream, which is the number of
+	// requests that an engine runs at once.
 	idleConns = 16
-	// unusedClient is the time after which a client is given up.
-	unusedClient = time.Minute
-	// silentAfter is how long written bytes may stay unacknowledged, and about how long an
-	// idle peer may leave probes unanswered: connections can go silent for good, and only
-	// this shows it.
-	silentAfter = 1200 * time.Millisecond
+	// unusedTimeout is the time after which an unused client is discarded.
+	unusedTimeout = time.Minute
+	// silenceTimeout is how long sent data may stay unacknowledged, and about how long an idle
+	// peer may leave keep-alive probes unanswered. Nothing else detects a connection that has
+	// gone silent for good.
+	silenceTimeout = 1200 * time.Millisecond
 )
 
 // NewClients returns Clients.
@@ -56,20 +57,20 @@
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     silentAfter / 2,
-			Interval: silentAfter / 2,
+			Idle:     silenceTimeout / 2,
+			Interval: silenceTimeout / 2,
 			Count:    2,
 		},
-		Control: boundUnacknowledged,
+		Control: setUserTimeout,
 	}
-	return &Clients{known: make(map[string]*client), dial: dialer.DialContext}
+	return &Clients{clients: make(map[string]*client), dial: dialer.DialContext}
 }
 
-// boundUnacknowledged sets TCP_USER_TIMEOUT on a socket.
-func boundUnacknowledged(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -77,47 +78,48 @@
 	return failed
 }
 
-// Of returns the client of an upstream.
-func (c *Clients) Of(upstream dispatch.Upstream) *service.HTTP { return c.of(upstream).http }
+// HTTP returns the HTTP client of an upstream.
+func (c *Clients) HTTP(upstream dispatch.Upstream) *service.HTTP { return c.clientFor(upstream).http }
 
-func (c *Clients) of(upstream dispatch.Upstream) *client {
+func (c *Clients) clientFor(upstream dispatch.Upstream) *client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	name := upstream.Incarnation()
-	known := c.known[name]
-	if known == nil {
-		c.sweep(now)
-		known = &client{http: service.NewHTTPWith("http://"+upstream.Address, service.HTTPOptions{
+	cached := c.clients[name]
+	if cached == nil {
+		c.evictUnused(now)
+		cached = &client{http: service.NewHTTPWith("http://"+upstream.Address, service.HTTPOptions{
 			Dial:        c.dial,
 			IdleTimeout: idleTimeout,
 			IdleConns:   idleConns,
 		})}
-		known.life, known.end = context.WithCancel(context.Background())
-		c.known[name] = known
+		cached.ctx, cached.cancel = context.WithCancel(context.Background())
+		c.clients[name] = cached
 	}
-	known.used = now
-	return known
+	cached.lastUsed = now
+	return cached
 }
 
-// End gives up the connections to an incarnation that has ended, and the calls in hand there.
-func (c *Clients) End(upstream dispatch.Upstream) {
+// Close closes the connections to an incarnation that has ended and cancels the calls in flight
+// there.
+func (c *Clients) Close(upstream dispatch.Upstream) {
 	c.mu.Lock()
-	known := c.known[upstream.Incarnation()]
-	delete(c.known, upstream.Incarnation())
+	cached := c.clients[upstream.Incarnation()]
+	delete(c.clients, upstream.Incarnation())
 	c.mu.Unlock()
-	if known != nil {
-		known.end()
-		known.http.CloseIdle()
+	if cached != nil {
+		cached.cancel()
+		cached.http.CloseIdle()
 	}
 }
 
-// sweep gives up the clients of upstreams that are no longer used.
-func (c *Clients) sweep(now time.Time) {
-	for id, known := range c.known {
-		if now.Sub(known.used) > unusedClient {
-			known.http.CloseIdle()
-			delete(c.known, id)
+// evictUnused discards the clients that have not been used for unusedTimeout.
+func (c *Clients) evictUnused(now time.Time) {
+	for id, cached := range c.clients {
+		if now.Sub(cached.lastUsed) > unusedTimeout {
+			cached.http.CloseIdle()
+			delete(c.clients, id)
 		}
 	}
 }
--- a/entry/gateway/crashes.go
+++ b/entry/gateway/crashes.go
@@ -16,13 +16,13 @@
 // suspect is a request that was at an upstream when its answer broke off.
 type suspect struct {
 	quarantine.Suspect
-	// begun says that events of its answer had come.
-	begun bool
+	// answerBegun reports whether the first event of the answer had arrived.
+	answerBegun bool
 }
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (s suspect) MarshalZerologObject(e *zerolog.Event) {
-	e.Str("request", s.Request).Stringer("fingerprint", s.Print).Bool("begun", s.begun)
+	e.Str("request", s.Request).Stringer("fingerprint", s.Print).Bool("begun", s.answerBegun)
 }
 
 type suspects []suspect
@@ -34,62 +34,64 @@
 	}
 }
 
-// proof is what shows that an upstream's process has ended, or why that isn't shown.
+// proof is the evidence that an upstream's process has ended, or the reason why there is none.
 type proof string
 
-// The proofs.
+// The kinds of proof. The last two don't show that the process has ended.
 const (
-	// refusedDial: nobody listens at its address.
-	refusedDial proof = "refused"
-	// replaced: another incarnation has its address.
+	// dialRefused means that nothing listens at the upstream's address.
+	dialRefused proof = "refused"
+	// replaced means that another incarnation has the upstream's address.
 	replaced proof = "replaced"
-	// restarted: the registry has a later life of it.
+	// restarted means that the registry has a later incarnation of the upstream.
 	restarted proof = "restarted"
-	// listening: it took a new connection, so that only the old one broke.
+	// listening means that the address accepted a new connection, so that only the old one
+	// broke.
 	listening proof = "listening"
-	// noProof: a new connection failed in a way that says nothing.
+	// noProof means that a new connection failed without showing whether the process has ended.
 	noProof proof = "none"
 )
 
-func (p proof) ended() bool { return p == refusedDial || p == replaced || p == restarted }
+func (p proof) ended() bool { return p == dialRefused || p == replaced || p == restarted }
 
 const (
-	// confirmAfter is how long after a broken answer the upstream's address is tried: a process
-	// that ends closes its sockets one after the other.
-	confirmAfter = 20 * time.Millisecond
-	// confirmTimeout bounds that try.
+	// confirmDelay is how long after a broken answer the upstream's address is dialled: a
+	// process that exits closes its sockets one after the other.
+	confirmDelay = 20 * time.Millisecond
+	// confirmTimeout bounds the dialling.
 	confirmTimeout = 500 * time.Millisecond
-	// suspectedFor is how long requests whose answer broke off wait for proof: some times what
-	// the registry takes to tell of a restart.
-	suspectedFor = 5 * time.Second
-	// mostSuspects bounds the requests that are kept for one incarnation: some times the places
-	// of an engine.
-	mostSuspects = 128
+	// suspectTTL is how long requests whose answer broke off wait for proof. It is several
+	// times as long as the registry takes to report a restart.
+	suspectTTL = 5 * time.Second
+	// maxSuspects bounds the requests kept per incarnation, at several times the number that an
+	// engine runs at once.
+	maxSuspects = 128
 )
 
-// Crashes finds out which upstreams have ended under the requests that they had from this entry.
-// A connection that breaks proves nothing: connections are reset, and answers cut short, by
-// upstreams that live. It is safe for concurrent use.
+// Crashes detects which upstreams have ended while they had requests of this entry in flight. A
+// broken connection is no proof: live upstreams reset connections and truncate answers too. It
+// is safe for concurrent use.
 type Crashes struct {
-	dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	leaves func(upstream dispatch.Upstream) bool
-	// replaced tells whether the registry has given an upstream's address to another one.
-	replaced func(upstream dispatch.Upstream) bool
-	now      func() time.Time
-	log      zerolog.Logger
-	count    func(p proof)
-	// crashed takes requests under which an upstream has crashed.
-	crashed func(upstream dispatch.Upstream, under []quarantine.Suspect)
+	dial      func(ctx context.Context, network, address string) (net.Conn, error)
+	isLeaving func(upstream dispatch.Upstream) bool
+	// isReplaced reports whether the registry has given an upstream's address to another one.
+	isReplaced func(upstream dispatch.Upstream) bool
+	now        func() time.Time
+	log        zerolog.Logger
+	countProof func(p proof)
+	// onCrash receives the requests under which an upstream has crashed.
+	onCrash func(upstream dispatch.Upstream, affected []quarantine.Suspect)
 
 	mu     sync.Mutex
 	broken map[string]*brokenUpstream
 }
 
-// NewCrashes returns Crashes that tell a quarantine which requests upstreams have crashed under.
-func NewCrashes(clients *Clients, fleet *dispatch.Fleet, metrics *Metrics, told Quarantine, log zerolog.Logger) *Crashes {
+// NewCrashes returns Crashes that report to a quarantine under which requests upstreams have
+// crashed.
+func NewCrashes(clients *Clients, fleet *dispatch.Fleet, metrics *Metrics, keeper Quarantine, log zerolog.Logger) *Crashes {
 	return &Crashes{
-		dial: clients.dial, leaves: fleet.Leaves, replaced: fleet.Replaced, now: time.Now, log: log,
-		count: metrics.broke, crashed: told.Ended,
+		dial: clients.dial, isLeaving: fleet.Leaves, isReplaced: fleet.Replaced, now: time.Now, log: log,
+		countProof: metrics.answerBroken, onCrash: keeper.Ended,
 		broken: make(map[string]*brokenUpstream),
 	}
 }
@@ -97,54 +99,56 @@
 // brokenUpstream is an incarnation with the requests whose answers it broke off.
 type brokenUpstream struct {
 	upstream dispatch.Upstream
-	// leaving says that it was to leave as it broke off the first answer: then its end is no
-	// crash.
+	// leaving reports whether the upstream was due to leave when its first answer broke off.
+	// Its end is then no crash.
 	leaving  bool
 	last     time.Time
 	suspects suspects
-	// trying says that its address is being tried; proved is what shows that it has ended.
-	trying bool
-	proved proof
+	// probing reports whether its address is being dialled. proved is the proof of its end, if
+	// any.
+	probing bool
+	proved  proof
 }
 
-// broke takes a request whose answer broke off.
-func (c *Crashes) broke(upstream dispatch.Upstream, s suspect) {
+// answerBroken records a request whose answer broke off.
+func (c *Crashes) answerBroken(upstream dispatch.Upstream, s suspect) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := c.of(now, upstream)
-	if len(b.suspects) >= mostSuspects {
+	b := c.recordFor(now, upstream)
+	if len(b.suspects) >= maxSuspects {
 		return
 	}
 	b.suspects = append(b.suspects, s)
 	if b.proved.ended() {
-		c.tell(b, suspects{s})
+		c.reportSuspects(b, suspects{s})
 		return
 	}
-	if !b.trying {
-		b.trying = true
-		time.AfterFunc(confirmAfter, func() { c.confirm(upstream) })
+	if !b.probing {
+		b.probing = true
+		time.AfterFunc(confirmDelay, func() { c.confirm(upstream) })
 	}
 }
 
-// of returns the record of an incarnation, and forgets old ones. It is called with mu held.
-func (c *Crashes) of(now time.Time, upstream dispatch.Upstream) *brokenUpstream {
+// recordFor returns the record of an incarnation and deletes expired ones. It is called with mu
+// held.
+func (c *Crashes) recordFor(now time.Time, upstream dispatch.Upstream) *brokenUpstream {
 	for name, b := range c.broken {
-		if now.Sub(b.last) > suspectedFor && !b.trying {
+		if now.Sub(b.last) > suspectTTL && !b.probing {
 			delete(c.broken, name)
 		}
 	}
 	name := upstream.Incarnation()
 	b := c.broken[name]
 	if b == nil {
-		b = &brokenUpstream{upstream: upstream, leaving: c.leaves(upstream)}
+		b = &brokenUpstream{upstream: upstream, leaving: c.isLeaving(upstream)}
 		c.broken[name] = b
 	}
 	b.last = now
 	return b
 }
 
-// confirm tries the address of an upstream that broke off answers.
+// confirm dials the address of an upstream that broke off answers.
 func (c *Crashes) confirm(upstream dispatch.Upstream) {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
@@ -153,78 +157,79 @@
 	switch {
 	case err == nil:
 		found = listening
-		_ = conn.Close() // Nothing was sent over it.
+		_ = conn.Close() // Nothing was sent over it, so a failed close loses nothing.
 	case errors.Is(err, syscall.ECONNREFUSED), errors.Is(err, syscall.ECONNRESET):
-		found = refusedDial
+		found = dialRefused
 	}
-	c.concluded(upstream, found, err)
+	c.probed(upstream, found, err)
 }
 
-// concluded takes what a try of the address has shown.
-func (c *Crashes) concluded(upstream dispatch.Upstream, found proof, err error) {
+// probed handles the result of dialling an upstream's address.
+func (c *Crashes) probed(upstream dispatch.Upstream, found proof, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.broken[upstream.Incarnation()]
 	if b == nil || b.proved.ended() {
 		return
 	}
-	b.trying = false
-	c.count(found)
+	b.probing = false
+	c.countProof(found)
 	if found.ended() {
-		c.prove(b, found)
+		c.markEnded(b, found)
 		return
 	}
 	c.log.Info().Err(err).Str("upstream", upstream.ID).Str("proof", string(found)).Int("requests", len(b.suspects)).
 		Msg("answers broke off; nothing shows that the upstream has ended")
 }
 
-// ended takes proof from elsewhere that an incarnation has ended.
-func (c *Crashes) ended(upstream dispatch.Upstream, found proof) {
+// upstreamEnded records proof from another source that an incarnation has ended.
+func (c *Crashes) upstreamEnded(upstream dispatch.Upstream, found proof) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.broken[upstream.Incarnation()]
-	if b == nil || b.proved.ended() || now.Sub(b.last) > suspectedFor {
+	if b == nil || b.proved.ended() || now.Sub(b.last) > suspectTTL {
 		return
 	}
-	c.count(found)
-	c.prove(b, found)
+	c.countProof(found)
+	c.markEnded(b, found)
 }
 
-// registryChanged looks for upstreams that broke off answers and whose address the registry has given
-// to another incarnation.
+// registryChanged checks for upstreams that broke off answers and whose address the registry
+// has since given to another incarnation.
 func (c *Crashes) registryChanged() {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, b := range c.broken {
-		if !b.proved.ended() && now.Sub(b.last) <= suspectedFor && c.replaced(b.upstream) {
-			c.count(replaced)
-			c.prove(b, replaced)
+		if !b.proved.ended() && now.Sub(b.last) <= suspectTTL && c.isReplaced(b.upstream) {
+			c.countProof(replaced)
+			c.markEnded(b, replaced)
 		}
 	}
 }
 
-// prove notes that an incarnation has ended. It is called with mu held.
-func (c *Crashes) prove(b *brokenUpstream, found proof) {
+// markEnded records that an incarnation has ended. It is called with mu held.
+func (c *Crashes) markEnded(b *brokenUpstream, found proof) {
 	b.proved = found
-	c.tell(b, b.suspects)
+	c.reportSuspects(b, b.suspects)
 }
 
-// loggedSuspects bounds the requests that one line lists.
-const loggedSuspects = 32
+// maxLoggedSuspects bounds the number of requests that one log line lists.
+const maxLoggedSuspects = 32
 
-// tell reports requests under which an incarnation has ended. It is called with mu held.
-func (c *Crashes) tell(b *brokenUpstream, under suspects) {
+// reportSuspects logs and reports the requests under which an incarnation has ended. It is
+// called with mu held.
+func (c *Crashes) reportSuspects(b *brokenUpstream, affected suspects) {
 	c.log.Warn().Str("upstream", b.upstream.ID).Str("proof", string(b.proved)).Bool("leaving", b.leaving).
-		Int("in_hand", len(b.suspects)).Array("requests", under[:min(len(under), loggedSuspects)]).
+		Int("in_hand", len(b.suspects)).Array("requests", affected[:min(len(affected), maxLoggedSuspects)]).
 		Msg("upstream ended under requests")
 	if b.leaving {
 		return
 	}
-	all := make([]quarantine.Suspect, len(under))
-	for i, s := range under {
+	all := make([]quarantine.Suspect, len(affected))
+	for i, s := range affected {
 		all[i] = s.Suspect
 	}
-	c.crashed(b.upstream, all)
+	c.onCrash(b.upstream, all)
 }
--- a/entry/gateway/crashes_test.go
+++ b/entry/gateway/crashes_test.go
@@ -18,19 +18,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// watched is Crashes before an upstream whose address answers as dial says.
-type watched struct {
+// crashFixture holds Crashes for an upstream whose address responds with a given dial error.
+type crashFixture struct {
 	Crashes
-	log     bytes.Buffer
-	metrics *Metrics
-	dials   int
-	blamed  int
-	// replacement says that the registry has given the address to another upstream.
+	log          bytes.Buffer
+	metrics      *Metrics
+	dials        int
+	crashReports int
+	// replacement reports whether the registry has given the address to another upstream.
 	replacement bool
 }
 
-func watchCrashes(dial error) *watched {
-	w := &watched{metrics: NewMetrics()}
+func newCrashFixture(dial error) *crashFixture {
+	w := &crashFixture{metrics: NewMetrics()}
 	w.Crashes = Crashes{
 		dial: func(context.Context, string, string) (net.Conn, error) {
 			w.dials++
@@ -38,125 +38,128 @@
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", dial)}
 			}
 			conn, other := net.Pipe()
-			_ = other.Close() // Nobody reads from it.
+			_ = other.Close() // Nothing reads from it.
 			return conn, nil
 		},
-		leaves: func(upstream dispatch.Upstream) bool { return upstream.Leaving },
-		now:    time.Now, log: zerolog.New(&w.log), count: w.metrics.broke,
-		replaced: func(dispatch.Upstream) bool { return w.replacement },
-		broken:   make(map[string]*brokenUpstream),
-		crashed:  func(_ dispatch.Upstream, under []quarantine.Suspect) { w.blamed += len(under) },
+		isLeaving: func(upstream dispatch.Upstream) bool { return upstream.Leaving },
+		now:       time.Now, log: zerolog.New(&w.log), countProof: w.metrics.answerBroken,
+		isReplaced: func(dispatch.Upstream) bool { return w.replacement },
+		broken:     make(map[string]*brokenUpstream),
+		onCrash:    func(_ dispatch.Upstream, affected []quarantine.Suspect) { w.crashReports += len(affected) },
 	}
 	return w
 }
 
-// pass lets time pass, and all that is due by then happen.
-func pass(d time.Duration) {
+// advance advances virtual time and waits for all that is due by then.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 var (
-	engine   = dispatch.Upstream{ID: "engine-1", Address: "192.0.2.1:80"}
-	question = suspect{Suspect: quarantine.Suspect{Request: "r1", Print: fingerprint.Of(fingerprint.Request{Path: "/ask"})}}
+	engine         = dispatch.Upstream{ID: "engine-1", Address: "192.0.2.1:80"}
+	suspectRequest = suspect{Suspect: quarantine.Suspect{Request: "r1", Print: fingerprint.Of(fingerprint.Request{Path: "/ask"})}}
 )
 
-// A broken answer says by itself whether the upstream's process ended or only its connection.
-func TestBrokenAnswersTellCrashesFromBrokenConnections(t *testing.T) {
+// Dialling the upstream after a broken answer shows whether its process or only the connection
+// ended.
+func TestBrokenAnswersAreClassifiedByDialing(t *testing.T) {
 	cases := map[string]struct {
 		dial  error
 		proof proof
 		line  string
 	}{
-		"crashed":    {syscall.ECONNREFUSED, refusedDial, "upstream ended under requests"},
-		"connection": {nil, listening, "answers broke off; nothing shows"},
-		"cut off":    {syscall.ETIMEDOUT, noProof, "answers broke off; nothing shows"},
+		"crashed":     {syscall.ECONNREFUSED, dialRefused, "upstream ended under requests"},
+		"connection":  {nil, listening, "answers broke off; nothing shows"},
+		"unreachable": {syscall.ETIMEDOUT, noProof, "answers broke off; nothing shows"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := watchCrashes(c.dial)
-				w.broke(engine, question)
-				w.broke(engine, suspect{Suspect: quarantine.Suspect{Request: "r2"}})
-				pass(confirmAfter)
-				require.Equal(t, 1, w.dials, "one try for all requests of an upstream")
+				w := newCrashFixture(c.dial)
+				w.answerBroken(engine, suspectRequest)
+				w.answerBroken(engine, suspect{Suspect: quarantine.Suspect{Request: "r2"}})
+				advance(confirmDelay)
+				require.Equal(t, 1, w.dials, "one dial for all requests of an upstream")
 				require.Contains(t, w.log.String(), c.line)
 				require.Equal(t, 1.0, testutil.ToFloat64(w.metrics.broken.WithLabelValues(string(c.proof))))
 				if c.proof.ended() {
-					require.Contains(t, w.log.String(), question.Print.String())
+					require.Contains(t, w.log.String(), suspectRequest.Print.String())
 					require.Contains(t, w.log.String(), `"in_hand":2`)
-					require.Equal(t, 2, w.blamed)
+					require.Equal(t, 2, w.crashReports)
 				} else {
-					require.Zero(t, w.blamed)
+					require.Zero(t, w.crashReports)
 				}
 			})
 		})
 	}
 }
 
-// An upstream that is back before its address was tried shows its crash by its next life.
-func TestCrashIsProvedByTheNextLifeAtTheAddress(t *testing.T) {
+// An upstream that restarted before its address was dialled is detected as crashed by its next
+// incarnation.
+func TestCrashIsProvedByReplacementAtTheAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := watchCrashes(nil)
-		w.broke(engine, question)
-		pass(time.Second)
-		w.ended(engine, replaced)
+		w := newCrashFixture(nil)
+		w.answerBroken(engine, suspectRequest)
+		advance(time.Second)
+		w.upstreamEnded(engine, replaced)
 		require.Contains(t, w.log.String(), `"proof":"replaced"`)
-		w.ended(engine, replaced)
-		require.Equal(t, 1.0, testutil.ToFloat64(w.metrics.broken.WithLabelValues(string(replaced))), "told once")
+		w.upstreamEnded(engine, replaced)
+		require.Equal(t, 1.0, testutil.ToFloat64(w.metrics.broken.WithLabelValues(string(replaced))), "reported once")
 	})
 }
 
-// The registry tells of a crash where the address always takes connections, as a proxy's does.
+// The registry proves a crash where the address accepts connections at all times, as a proxy
+// does.
 func TestCrashIsProvedByTheRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := watchCrashes(nil)
-		w.broke(engine, question)
-		pass(time.Second)
+		w := newCrashFixture(nil)
+		w.answerBroken(engine, suspectRequest)
+		advance(time.Second)
 		w.registryChanged()
-		require.Zero(t, w.blamed)
+		require.Zero(t, w.crashReports)
 		w.replacement = true
 		w.registryChanged()
-		require.Equal(t, 1, w.blamed)
+		require.Equal(t, 1, w.crashReports)
 		w.registryChanged()
-		require.Equal(t, 1, w.blamed, "told once")
+		require.Equal(t, 1, w.crashReports, "reported once")
 	})
 }
 
-// The end of an upstream that was to leave is no crash.
-func TestEndOfALeavingUpstreamIsToldAsSuch(t *testing.T) {
+// The end of an upstream that was due to leave is no crash.
+func TestEndOfALeavingUpstreamIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := watchCrashes(syscall.ECONNREFUSED)
+		w := newCrashFixture(syscall.ECONNREFUSED)
 		leaving := engine
 		leaving.Leaving = true
-		w.broke(leaving, question)
-		pass(time.Second)
+		w.answerBroken(leaving, suspectRequest)
+		advance(time.Second)
 		require.Contains(t, w.log.String(), `"leaving":true`)
-		require.Zero(t, w.blamed)
+		require.Zero(t, w.crashReports)
 	})
 }
 
-// What broke off long before an upstream ended is not blamed for it.
-func TestOldBrokenAnswersAreNotBlamed(t *testing.T) {
+// Answers that broke off long before an upstream ended are not attributed to its end.
+func TestOldBrokenAnswersAreNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := watchCrashes(nil)
-		w.broke(engine, question)
-		pass(suspectedFor + time.Second)
-		w.ended(engine, restarted)
+		w := newCrashFixture(nil)
+		w.answerBroken(engine, suspectRequest)
+		advance(suspectTTL + time.Second)
+		w.upstreamEnded(engine, restarted)
 		require.NotContains(t, w.log.String(), "ended under")
-		w.broke(dispatch.Upstream{ID: "engine-2"}, question)
-		require.Len(t, w.broken, 1, "it is forgotten")
-		pass(time.Second)
+		w.answerBroken(dispatch.Upstream{ID: "engine-2"}, suspectRequest)
+		require.Len(t, w.broken, 1, "the old record is deleted")
+		advance(time.Second)
 	})
 }
 
 func TestSuspectsOfOneUpstreamAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := watchCrashes(syscall.ECONNREFUSED)
-		for range 2 * mostSuspects {
-			w.broke(engine, question)
+		w := newCrashFixture(syscall.ECONNREFUSED)
+		for range 2 * maxSuspects {
+			w.answerBroken(engine, suspectRequest)
 		}
-		pass(time.Second)
-		require.Len(t, w.broken[engine.ID].suspects, mostSuspects)
+		advance(time.Second)
+		require.Len(t, w.broken[engine.ID].suspects, maxSuspects)
 	})
 }
--- a/entry/gateway/events.go
+++ b/entry/gateway/events.go
@@ -5,48 +5,48 @@
 	"io"
 )
 
-// eventReader cuts an event stream into whole events, so that a stream that breaks off in
-// the middle of one can be continued behind the last whole one.
+// eventReader splits an event stream into whole events, so that a stream that breaks off within
+// an event can be resumed after the last whole one.
 type eventReader struct {
-	body io.Reader
-	held []byte
-	// seen counts the bytes of held in which no event ends.
-	seen int
-	err  error
-	page [8 << 10]byte
+	body   io.Reader
+	buffer []byte
+	// scanned is the number of bytes of buffer that are known to contain no end of an event.
+	scanned int
+	err     error
+	chunk   [8 << 10]byte
 }
 
 func newEventReader(body io.Reader) *eventReader { return &eventReader{body: body} }
 
 // next returns the next bytes that end with a whole event, and the id of the last event in
-// them. At the end of the stream it returns what is left with io.EOF. What was held of an
-// event that broke off is not returned.
+// them. At the end of the stream it returns the remaining bytes with io.EOF. An incomplete
+// event before any other error is dropped.
 func (r *eventReader) next() (piece []byte, id string, err error) {
 	for {
 		if end := r.lastEnd(); end > 0 {
-			piece = r.held[:end]
-			r.held = r.held[end:]
-			r.seen = 0
+			piece = r.buffer[:end]
+			r.buffer = r.buffer[end:]
+			r.scanned = 0
 			return piece, lastID(piece), nil
 		}
 		if r.err == io.EOF {
-			piece, r.held = r.held, nil
+			piece, r.buffer = r.buffer, nil
 			return piece, "", io.EOF
 		}
 		if r.err != nil {
 			return nil, "", r.err
 		}
-		n, err := r.body.Read(r.page[:])
-		r.held = append(r.held[:len(r.held):len(r.held)], r.page[:n]...)
+		n, err := r.body.Read(r.chunk[:])
+		r.buffer = append(r.buffer[:len(r.buffer):len(r.buffer)], r.chunk[:n]...)
 		r.err = err
 	}
 }
 
-// lastEnd returns the length of the held bytes up to the end of the last whole event.
+// lastEnd returns the length of buffer up to the end of the last whole event.
 func (r *eventReader) lastEnd() int {
-	from := max(r.seen-3, 0)
-	r.seen = len(r.held)
-	tail := r.held[from:]
+	from := max(r.scanned-3, 0)
+	r.scanned = len(r.buffer)
+	tail := r.buffer[from:]
 	end := 0
 	for _, mark := range eventEnds {
 		if i := bytes.LastIndex(tail, mark); i >= 0 {
@@ -56,10 +56,10 @@
 	return end
 }
 
-// eventEnds are the empty lines that end an event.
+// eventEnds are the blank lines that end an event.
 var eventEnds = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
-// lastID returns the value of the last line that gives an event's id, or "".
+// lastID returns the value of the last id field in events, or "".
 func lastID(events []byte) string {
 	id := ""
 	for line := range bytes.Lines(events) {
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -15,7 +15,7 @@
 	"acaciacleat.example/peers/service"
 )
 
-// exchange is one request of a caller with its answer. One goroutine uses it.
+// exchange is a caller's request with its answer. Only one goroutine uses it.
 type exchange struct {
 	g       *Gateway
 	w       http.ResponseWriter
@@ -25,43 +25,44 @@
 	route   *routes.Route
 	caller  *routes.Organisation
 	service *routes.Service
-	// version is that of the table of routes that the request is handled by.
+	// version is the version of the routing table that the request is handled by.
 	version  uint64
 	deadline time.Time
 	body     []byte
-	// print is that of the request's content, once it is needed.
-	print   fingerprint.Print
-	printed bool
-	// brokenOff counts the upstreams that may have crashed under the request.
-	brokenOff int
+	// contentPrint is the fingerprint of the request's content. It is computed when first
+	// needed; hasPrint reports whether it has been.
+	contentPrint fingerprint.Print
+	hasPrint     bool
+	// possibleCrashes counts the upstreams that may have crashed under the request.
+	possibleCrashes int
 
 	machine *attempt.Machine
 	retries *Retries
-	// choice and work are those of the attempt in hand.
-	choice dispatch.Choice
-	work   dispatch.WorkID
-	sends  int
-	// sentAt is when the attempt in hand was sent.
+	// choice and placementID belong to the current attempt.
+	choice      dispatch.Choice
+	placementID dispatch.WorkID
+	sendCount   int
+	// sentAt is when the current attempt was sent.
 	sentAt time.Time
 	tries  []try
-	watch  *watch
-	// headed says that the caller has been sent the head of an answer.
-	headed bool
-	// lastEvent is the id of the last event that the caller was sent whole.
-	lastEvent string
-	// first is when the first event was sent, lastAt when the last one was, and pause the
-	// longest time between two of one upstream.
-	first  time.Time
-	lastAt time.Time
-	pause  time.Duration
+	stall  *stallWatch
+	// headSent reports whether the head of an answer has been sent to the caller.
+	headSent bool
+	// lastEventID is the id of the last event that was sent whole to the caller.
+	lastEventID string
+	// firstEventAt and lastEventAt are when the first and the last event were received.
+	// longestGap is the longest time between two events of the same upstream.
+	firstEventAt time.Time
+	lastEventAt  time.Time
+	longestGap   time.Duration
 }
 
 func (e *exchange) now() time.Time { return e.g.config.Now() }
 
-// run sends the request until it has its final answer; a returned error is that answer.
+// run sends the request until it has its final answer. A returned error is that answer.
 func (e *exchange) run() *result.Error {
-	e.g.config.Budgets.First(e.service.Name, e.arrived)
-	e.retries = e.g.config.Budgets.Of(e.service.Name)
+	e.g.config.Budgets.RecordFirst(e.service.Name, e.arrived)
+	e.retries = e.g.config.Budgets.ForService(e.service.Name)
 	e.machine = attempt.New(attempt.Request{
 		Deadline:    e.deadline,
 		Repeatable:  e.route.Repeatable(),
@@ -87,7 +88,7 @@
 	}
 }
 
-// wait lets the time pass until the machine must act again, or the caller is gone.
+// wait waits until the machine must act again or the caller has disconnected.
 func (e *exchange) wait() attempt.Action {
 	timer := time.NewTimer(e.machine.Wake().Sub(e.now()))
 	defer timer.Stop()
@@ -99,56 +100,57 @@
 	}
 }
 
-// choose finds the upstream of the next attempt, and waits for the request's turn where the
+// choose selects the upstream of the next attempt. The request waits in the queue while the
 // engines are better used by others.
 func (e *exchange) choose() attempt.Action {
-	var turn dispatch.WorkID
-	began := e.now()
-	asked := 0
+	var queuedID dispatch.WorkID
+	startedAt := e.now()
+	probeRounds := 0
 	e.awaitVerdict()
 	for now := e.now(); ; now = e.now() {
-		if isGone(e.r.Context()) {
-			e.g.config.Fleet.Withdraw(turn)
+		if callerGone(e.r.Context()) {
+			e.g.config.Fleet.Withdraw(queuedID)
 			return e.machine.CallerGone(now)
 		}
 		if !now.Before(e.deadline) {
-			e.g.config.Fleet.Withdraw(turn)
+			e.g.config.Fleet.Withdraw(queuedID)
 			return e.machine.Timer(now)
 		}
 		if action, held := e.heldBack(now); held {
-			e.g.config.Fleet.Withdraw(turn)
+			e.g.config.Fleet.Withdraw(queuedID)
 			return action
 		}
-		request := e.placement(now, turn)
-		choice, work, verdict := e.g.config.Fleet.Choose(now, &request, e.service.Engine)
+		request := e.dispatchRequest(now, queuedID)
+		choice, id, verdict := e.g.config.Fleet.Choose(now, &request, e.service.Engine)
 		switch verdict {
 		case dispatch.NoUpstream:
-			return e.machine.NoReplica(now, fault(result.NoReplica, result.NotRun, "no upstream of the service takes requests"))
+			return e.machine.NoReplica(now, newError(result.NoReplica, result.NotRun, "no upstream of the service takes requests"))
 		case dispatch.TooBusy:
-			return e.machine.NoReplica(now, tooBusy(choice.Why))
+			return e.machine.NoReplica(now, tooBusyError(choice.Why))
 		case dispatch.Hold:
-			turn = work
-			e.awaitTurn(choice.Turn)
+			queuedID = id
+			e.awaitQueuePosition(choice.Turn)
 			continue
 		}
-		if choice.Ask && asked < mostAsked && !e.g.allServe(e.r.Context(), choice) {
-			asked++
-			turn = dispatch.WorkID{}
-			e.g.config.Fleet.Ended(e.now(), work, dispatch.Abandoned)
+		if choice.Ask && probeRounds < maxProbeRounds && !e.g.probeAll(e.r.Context(), choice) {
+			probeRounds++
+			queuedID = dispatch.WorkID{}
+			e.g.config.Fleet.Ended(e.now(), id, dispatch.Abandoned)
 			continue
 		}
 		now = e.now()
-		e.choice, e.work = choice, work
-		e.tries = append(e.tries, try{choice: choice, at: now.Sub(e.arrived), held: now.Sub(began)})
+		e.choice, e.placementID = choice, id
+		e.tries = append(e.tries, try{choice: choice, at: now.Sub(e.arrived), queued: now.Sub(startedAt)})
 		return e.machine.Chosen(now, attempt.Replica{Agent: choice.Upstream.Incarnation()})
 	}
 }
 
-// mostAsked bounds how often a request chooses anew because an upstream of its choice had gone.
-const mostAsked = 4
+// maxProbeRounds bounds how often a request chooses again because an upstream of its choice was
+// gone.
+const maxProbeRounds = 4
 
-// placement is what a choice needs to know of the request now.
-func (e *exchange) placement(now time.Time, turn dispatch.WorkID) dispatch.Request {
+// dispatchRequest returns the request's current parameters for the choice of an upstream.
+func (e *exchange) dispatchRequest(now time.Time, queuedID dispatch.WorkID) dispatch.Request {
 	waited := now.Sub(e.arrived)
 	return dispatch.Request{
 		Service:      e.service.Name,
@@ -158,38 +160,40 @@
 		GapAim:       e.route.GapAim,
 		Left:         e.deadline.Sub(now),
 		Patience:     patience(e.route) - waited,
-		Rank:         e.rank(),
-		Turn:         turn,
+		Rank:         e.priority(),
+		Turn:         queuedID,
 		Exclude:      e.machine.Excluded(),
 		Keep:         e.machine.Keep(),
-		Committed:    e.committed(),
+		Committed:    e.mayHaveRun(),
 	}
 }
 
-// rank is the request's priority: its organisation's where that has one, else its route's.
-func (e *exchange) rank() int {
+// priority returns the request's priority: the organisation's if it has one, otherwise the
+// route's.
+func (e *exchange) priority() int {
 	if e.caller != nil && e.caller.Ranked {
 		return e.caller.Priority
 	}
 	return e.route.Priority
 }
 
-// Callers leave a stream after a gap, also before its first event, of patienceLeast,
-// patienceAims times the aim or patienceGaps times the longest good pause, whichever is
-// longest.
+// Callers leave a stream after a gap, also before its first event, of minPatience,
+// patienceTargets times the target latency or patienceGaps times the target gap between events,
+// whichever is longest.
 const (
-	patienceLeast = 2 * time.Second
-	patienceAims  = 4
-	patienceGaps  = 8
+	minPatience     = 2 * time.Second
+	patienceTargets = 4
+	patienceGaps    = 8
 )
 
-// patience returns how long callers of a route wait for a first event.
+// patience returns how long callers of a route wait for the first event.
 func patience(route *routes.Route) time.Duration {
-	return max(patienceLeast, patienceAims*route.Aim, patienceGaps*route.GapAim)
+	return max(minPatience, patienceTargets*route.Aim, patienceGaps*route.GapAim)
 }
 
-// awaitTurn waits until the request's turn may have come, or its caller is gone.
-func (e *exchange) awaitTurn(turn dispatch.Turn) {
+// awaitQueuePosition waits until the request may be due or its queue position has changed, or
+// until the caller disconnects.
+func (e *exchange) awaitQueuePosition(turn dispatch.Turn) {
 	timer := time.NewTimer(min(turn.After, e.deadline.Sub(e.now())))
 	defer timer.Stop()
 	select {
@@ -199,31 +203,31 @@
 	}
 }
 
-// committed tells whether an upstream that the request has left may have worked on it.
-func (e *exchange) committed() bool {
-	return slices.ContainsFunc(e.tries, func(t try) bool { return t.word.Execution != result.NotRun })
+// mayHaveRun reports whether an upstream of an earlier attempt may have run the request.
+func (e *exchange) mayHaveRun() bool {
+	return slices.ContainsFunc(e.tries, func(t try) bool { return t.failure.Execution != result.NotRun })
 }
 
-// elsewhere returns what tells whether the request could leave the chosen upstream for
-// another one. It may be called from any goroutine.
-func (e *exchange) elsewhere() func(now time.Time) bool {
+// alternativeCheck returns a function that reports whether the request could move from the
+// chosen upstream to another one. The function may be called from any goroutine.
+func (e *exchange) alternativeCheck() func(now time.Time) bool {
 	request := &dispatch.Request{
 		Service: e.service.Name,
 		Exclude: append(slices.Clone(e.machine.Excluded()), e.choice.Upstream.Incarnation()),
 	}
 	return func(now time.Time) bool {
-		return e.g.config.Fleet.Elsewhere(now, request) && e.retries.Take(now)
+		return e.g.config.Fleet.Elsewhere(now, request) && e.retries.Reserve(now)
 	}
 }
 
 // send sends the request to the chosen upstream and handles its answer to the end.
 func (e *exchange) send() attempt.Action {
 	now := e.now()
-	e.sends++
+	e.sendCount++
 	e.sentAt = now
-	e.g.config.Metrics.sent(e.choice.Why.AgainstProof)
+	e.g.config.Metrics.sendStarted(e.choice.Why.AgainstProof)
 	if action := e.machine.Accepted(now, e.attempt()); action.Kind != attempt.None {
-		e.end(now, dispatch.Abandoned)
+		e.recordOutcome(now, dispatch.Abandoned)
 		return action
 	}
 	ctx, cancel := context.WithTimeout(e.r.Context(), e.deadline.Sub(now))
@@ -231,35 +235,35 @@
 	if e.choice.Tickets() {
 		reservation, refuser, err := e.g.reserve(ctx, e.choice)
 		if err != nil {
-			return e.notReserved(refuser, err)
+			return e.reservationFailed(refuser, err)
 		}
 		defer reservation.release()
 	}
-	upstream := e.g.config.Clients.of(e.choice.Upstream)
-	defer context.AfterFunc(upstream.life, cancel)()
-	e.watch = &watch{client: upstream, after: e.stallAfter(), may: e.elsewhere(), cancel: cancel, now: e.now}
-	e.watch.start(stallExpected * e.choice.Why.First)
-	defer e.watch.stop()
+	upstream := e.g.config.Clients.clientFor(e.choice.Upstream)
+	defer context.AfterFunc(upstream.ctx, cancel)()
+	e.stall = &stallWatch{client: upstream, timeout: e.stallAfter(), canMove: e.alternativeCheck(), cancel: cancel, now: e.now}
+	e.stall.start(stallPredictions * e.choice.Why.First)
+	defer e.stall.stop()
 	answer, err := upstream.http.Do(ctx, e.call(now))
 	if err != nil {
-		return e.sendFailed(e.watch.reason(err))
+		return e.sendFailed(e.stall.explain(err))
 	}
 	defer answer.Body.Close()
-	e.watch.heard(e.now())
-	return e.judge(answer)
+	e.stall.received(e.now())
+	return e.handleAnswer(answer)
 }
 
-// attempt numbers the send in hand, from 1.
-func (e *exchange) attempt() call.Attempt { return call.Attempt(e.sends) }
+// attempt returns the number of the current attempt, starting at 1.
+func (e *exchange) attempt() call.Attempt { return call.Attempt(e.sendCount) }
 
-// call makes the request for the upstream.
+// call returns the service call for the upstream.
 func (e *exchange) call(now time.Time) service.Call {
 	header := e.r.Header.Clone()
 	send := Send{
 		Choice:      e.choice,
 		TimeLeft:    e.deadline.Sub(now),
 		Streaming:   e.route.Kind == routes.Streaming,
-		LastEventID: e.lastEvent,
+		LastEventID: e.lastEventID,
 
 		Organisation: e.organisation(),
 	}
@@ -276,8 +280,8 @@
 	}
 }
 
-// reuse keeps requests that may not be repeated off kept connections: an upstream that
-// closes one just as a request goes out leaves open whether it ran.
+// reuse excludes requests that must not be repeated from reused connections: if an upstream
+// closes one just as a request is sent, it is unknown whether the request ran.
 func (e *exchange) reuse() service.Reuse {
 	if e.route.Repeatable() {
 		return service.ReuseAlways
@@ -285,7 +289,7 @@
 	return service.ReuseNever
 }
 
-func tooBusy(why dispatch.Why) *result.Error {
+func tooBusyError(why dispatch.Why) *result.Error {
 	err := result.New(result.CannotStartInTime, result.NotRun,
 		"engines are too busy for a prompt that takes %d ms to read: they have %d ms to read each on the mean, "+
 			"and it would cost others %.2f of worth",
@@ -294,6 +298,7 @@
 	return err
 }
 
-// busyRetryAfter is the least that is told to callers whose prompt the engines are too busy
-// for, where what is placed and waits will be read sooner: some passes of an engine.
+// busyRetryAfter is the minimum Retry-After for callers whose prompt the engines are too busy
+// for. It is some passes of an engine, and applies if the queued prompts will be read sooner
+// than that.
 const busyRetryAfter = 500 * time.Millisecond
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway answers callers by routes of host and prefix and sends their requests
-// to upstreams itself, without an agent between. Decisions are those of core/attempt,
-// core/dispatch and core/routes; this is the shell round them.
+// Package gateway serves callers by routes of host and prefix and sends their requests directly
+// to upstreams, without an agent in between. It does the I/O; the decisions are made by
+// core/attempt, core/dispatch and core/routes.
 package gateway
 
 import (
@@ -17,55 +17,55 @@
 	"github.com/rs/zerolog"
 )
 
-// Meta is what a caller says of its request beside method, path and body.
+// Meta is the metadata of a caller's request, besides method, path and body.
 type Meta struct {
 	ID  string
 	Key string
-	// TimeLeft is how long the caller waits; zero where it didn't say.
+	// TimeLeft is how long the caller waits; zero if the caller didn't state it.
 	TimeLeft time.Duration
 	// PromptTokens and OutputTokens are zero for plain services.
 	PromptTokens int
 	OutputTokens int
 }
 
-// Send is what an upstream is told about a request.
+// Send is the metadata that an upstream receives with a request.
 type Send struct {
 	Choice   dispatch.Choice
 	TimeLeft time.Duration
-	// Organisation is empty where the route needs no key.
+	// Organisation is empty if the route requires no key.
 	Organisation string
 	Streaming    bool
-	// LastEventID is set to continue a stream behind an event.
+	// LastEventID is set to resume a stream after an event.
 	LastEventID string
 }
 
-// AnswerMeta is what an upstream says of its answer.
+// AnswerMeta is the metadata of an upstream's answer.
 type AnswerMeta struct {
-	// ID is the request that the answer belongs to.
+	// ID is the ID of the request that the answer belongs to.
 	ID string
-	// Sealed answers are the upstream's own.
+	// Sealed reports whether the answer is the upstream's own.
 	Sealed bool
 	// NotRun states that the upstream has not run the request and never will.
 	NotRun bool
-	// Upstream is the id of the incarnation that refused a request meant for another.
+	// Upstream is the ID of the incarnation that refused a request meant for another.
 	Upstream string
-	// Fault is the address of the upstream for which a request was refused, where one is
-	// told: the one that refused, or one that was to read a part of the prompt.
+	// Fault is the address of the upstream that caused a refusal, if stated: the one that
+	// refused, or one that was to read a part of the prompt.
 	Fault string
 }
 
-// Dialect reads and writes the headers by which callers, the gateway and upstreams tell
-// each other about a request.
+// Dialect reads and writes the headers by which callers, the gateway and upstreams exchange a
+// request's metadata.
 type Dialect interface {
 	Request(h http.Header) Meta
 	// Forward turns a caller's headers into those for an upstream.
 	Forward(h http.Header, send Send)
 	Answer(h http.Header) AnswerMeta
-	// Failure completes the headers of an answer of the gateway's own.
+	// Failure completes the headers of an error answer that the gateway itself generates.
 	Failure(h http.Header, id string, retryAfter time.Duration)
 }
 
-// Directory tells what is in force; directory.Keeper implements it.
+// Directory provides the routes in force. directory.Keeper implements it.
 type Directory interface {
 	Table() *routes.Table
 	Ready() bool
@@ -79,11 +79,11 @@
 	Reserver  Reserver
 	Clients   *Clients
 	Budgets   *Budgets
-	// Quarantine tells which requests are held back.
+	// Quarantine holds back requests under which upstreams crash.
 	Quarantine Quarantine
 	Crashes    *Crashes
 	Metrics    *Metrics
-	// MaxBodyBytes bounds a body where the routes don't.
+	// MaxBodyBytes bounds a request's body if the routes set no limit.
 	MaxBodyBytes int64
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
@@ -94,9 +94,9 @@
 type Gateway struct {
 	config   Config
 	draining atomic.Bool
-	// releasing counts reserved memory that is being given back.
-	releasing sync.WaitGroup
-	lines     lineBudget
+	// releasing tracks the reservations that are being released.
+	releasing  sync.WaitGroup
+	logLimiter logLimiter
 }
 
 // New returns a Gateway.
@@ -107,14 +107,16 @@
 	return &Gateway{config: config}
 }
 
-// Drain makes every further answer close its connection, and Ready false.
+// Drain makes every further answer close its connection, and makes Ready return false.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Ready reports whether the balancer should send callers here.
-func (g *Gateway) Ready() bool { return g.knows() && !g.draining.Load() }
+// Ready reports whether the load balancer should send callers here.
+func (g *Gateway) Ready() bool { return g.initialized() && !g.draining.Load() }
 
-// knows reports whether enough is known to send requests.
-func (g *Gateway) knows() bool { return g.config.Directory.Ready() && g.config.Quarantine.Ready() }
+// initialized reports whether the directory and the quarantine have been loaded.
+func (g *Gateway) initialized() bool {
+	return g.config.Directory.Ready() && g.config.Quarantine.Ready()
+}
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -130,15 +132,15 @@
 	e.finish(err)
 }
 
-// pathOf returns the path as the caller wrote it, without the query.
+// pathOf returns the path as the caller sent it, without the query.
 func pathOf(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return path
 }
 
-// isGone reports whether the caller has closed its connection.
-func isGone(ctx context.Context) bool { return ctx.Err() != nil }
+// callerGone reports whether the caller has closed its connection.
+func callerGone(ctx context.Context) bool { return ctx.Err() != nil }
 
-func fault(code result.Code, execution result.Execution, detail string) *result.Error {
+func newError(code result.Code, execution result.Execution, detail string) *result.Error {
 	return result.New(code, execution, "%s", detail)
 }
--- a/entry/gateway/heldback.go
+++ b/entry/gateway/heldback.go
@@ -10,30 +10,31 @@
 	"acaciacleat.example/entry/quarantine"
 )
 
-// Quarantine tells which requests are held back because upstreams crash under them, and is told
-// of crashes and of answers; quarantine.Keeper implements it.
+// Quarantine reports which requests are held back because upstreams crash under them, and
+// records crashes and answers. quarantine.Keeper implements it.
 type Quarantine interface {
-	// Ready reports whether it is known what is held back.
+	// Ready reports whether the held-back requests are known.
 	Ready() bool
 	// Held returns for how much longer a request is held back.
 	Held(print func() fingerprint.Print) (left time.Duration, held bool)
-	// Doubtful reports whether one more crash would have the request held back.
+	// Doubtful reports whether one more crash would cause the request to be held back.
 	Doubtful(print fingerprint.Print) bool
-	Ended(upstream dispatch.Upstream, under []quarantine.Suspect)
+	Ended(upstream dispatch.Upstream, affected []quarantine.Suspect)
 	Answered(print func() fingerprint.Print)
 }
 
-// fingerprint returns that of the request's content.
+// fingerprint returns the fingerprint of the request's content.
 func (e *exchange) fingerprint() fingerprint.Print {
-	if !e.printed {
-		e.print, e.printed = fingerprint.Of(fingerprint.Request{
+	if !e.hasPrint {
+		e.contentPrint, e.hasPrint = fingerprint.Of(fingerprint.Request{
 			Host: e.r.Host, Method: e.r.Method, Path: e.r.RequestURI, Caller: e.organisation(), Body: e.body,
 		}), true
 	}
-	return e.print
+	return e.contentPrint
 }
 
-// organisation returns the name of the caller's organisation; empty where the route needs no key.
+// organisation returns the name of the caller's organisation, or "" if the route requires no
+// key.
 func (e *exchange) organisation() string {
 	if e.caller == nil {
 		return ""
@@ -41,36 +42,36 @@
 	return e.caller.Name
 }
 
-// suspected notes that the upstream may have crashed under the request.
-func (e *exchange) suspected() {
-	if e.watch.fired.Load() {
-		return // The call was given up here.
+// reportBrokenAnswer reports that the upstream may have crashed under the request.
+func (e *exchange) reportBrokenAnswer() {
+	if e.stall.fired.Load() {
+		return // This entry cancelled the call.
 	}
 	last := &e.tries[len(e.tries)-1]
-	e.g.config.Crashes.broke(e.choice.Upstream, suspect{
+	e.g.config.Crashes.answerBroken(e.choice.Upstream, suspect{
 		Suspect: quarantine.Suspect{
 			Print: e.fingerprint(), Request: e.meta.ID, Route: e.route.Name, Organisation: e.organisation(),
-			Again: e.brokenOff > 0,
+			Again: e.possibleCrashes > 0,
 		},
-		begun: last.first > 0,
+		answerBegun: last.firstEvent > 0,
 	})
-	e.brokenOff++
-	if e.watch.client.life.Err() != nil {
-		e.g.config.Crashes.ended(e.choice.Upstream, restarted)
+	e.possibleCrashes++
+	if e.stall.client.ctx.Err() != nil {
+		e.g.config.Crashes.upstreamEnded(e.choice.Upstream, restarted)
 	}
 }
 
-// verdictAfter is the time from a broken answer to a verdict on the requests that were in hand.
-const verdictAfter = confirmAfter + corequarantine.Settle + 50*time.Millisecond
+// verdictDelay is the time from a broken answer to a verdict on the requests that were in
+// flight.
+const verdictDelay = confirmDelay + corequarantine.Settle + 50*time.Millisecond
 
-// awaitVerdict waits, before a request is sent again whose answer has just broken off, until it is
-// known whether an upstream has crashed under it: if one more crash would have it held back, that
-// one may just have happened.
+// awaitVerdict delays a retry after a broken answer until it is known whether the upstream
+// crashed, if one more crash would cause the request to be held back.
 func (e *exchange) awaitVerdict() {
-	if e.brokenOff == 0 || !e.g.config.Quarantine.Doubtful(e.fingerprint()) {
+	if e.possibleCrashes == 0 || !e.g.config.Quarantine.Doubtful(e.fingerprint()) {
 		return
 	}
-	timer := time.NewTimer(min(verdictAfter, e.deadline.Sub(e.now())))
+	timer := time.NewTimer(min(verdictDelay, e.deadline.Sub(e.now())))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -78,7 +79,7 @@
 	}
 }
 
-// heldBack ends a request that is held back.
+// heldBack fails a request that is held back and reports whether it is.
 func (e *exchange) heldBack(now time.Time) (attempt.Action, bool) {
 	left, held := e.g.config.Quarantine.Held(e.fingerprint)
 	if !held {
--- a/entry/gateway/metrics.go
+++ b/entry/gateway/metrics.go
@@ -11,22 +11,22 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Metrics counts what a gateway does and serves it as text.
+// Metrics holds a gateway's metrics and serves them as text.
 type Metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	seconds  *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	sends    *prometheus.CounterVec
-	broken   *prometheus.CounterVec
+	registry   *prometheus.Registry
+	requests   *prometheus.CounterVec
+	attempts   *prometheus.CounterVec
+	duration   *prometheus.HistogramVec
+	firstEvent *prometheus.HistogramVec
+	sends      *prometheus.CounterVec
+	broken     *prometheus.CounterVec
 }
 
-// latencyBuckets are upper bounds in seconds, close together where the aims of short
-// requests lie and up to the longest time allowed to any request.
+// latencyBuckets are upper bounds in seconds. They are close together around the target
+// latencies of short requests and extend to the longest timeout.
 var latencyBuckets = []float64{.01, .03, .06, .1, .15, .2, .25, .3, .4, .6, 1, 1.5, 2, 3, 4, 6, 10, 15}
 
-// NewMetrics returns Metrics with nothing counted.
+// NewMetrics returns Metrics whose values are all zero.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -36,10 +36,10 @@
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "acaciacleat_attempts_left_total", Help: "Attempts that were given up, by result and execution.",
 		}, []string{"result", "execution"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "acaciacleat_request_seconds", Help: "Time to the final answer.", Buckets: latencyBuckets,
 		}, []string{"kind"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstEvent: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "acaciacleat_first_event_seconds", Help: "Time to a stream's first event.", Buckets: latencyBuckets,
 		}, []string{"aim_ms"}),
 		sends: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -51,16 +51,16 @@
 		Name: "acaciacleat_upstreams_broke_off_total",
 		Help: "Upstreams that broke off answers, by what shows that they have ended; listening and none: nothing does.",
 	}, []string{"proof"})
-	m.registry.MustRegister(m.requests, m.attempts, m.seconds, m.first, m.sends, m.broken)
+	m.registry.MustRegister(m.requests, m.attempts, m.duration, m.firstEvent, m.sends, m.broken)
 	return m
 }
 
-// Gauge adds a value that is read when the metrics are.
+// Gauge adds a gauge whose value is read on each scrape.
 func (m *Metrics) Gauge(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// Counter adds a count that is read when the metrics are, for one value of a label.
+// Counter adds a counter for one value of a label, whose count is read on each scrape.
 func (m *Metrics) Counter(name, help, label, value string, count func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: name, Help: help, ConstLabels: prometheus.Labels{label: value},
@@ -72,17 +72,17 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *Metrics) sent(againstProof bool) {
+func (m *Metrics) sendStarted(againstProof bool) {
 	m.sends.WithLabelValues(strconv.FormatBool(againstProof)).Inc()
 }
 
-func (m *Metrics) broke(p proof) { m.broken.WithLabelValues(string(p)).Inc() }
+func (m *Metrics) answerBroken(p proof) { m.broken.WithLabelValues(string(p)).Inc() }
 
-func (m *Metrics) left(word attempt.Word) {
-	m.attempts.WithLabelValues(result.Lookup(word.Code).Name, string(word.Execution)).Inc()
+func (m *Metrics) attemptFailed(failure attempt.Word) {
+	m.attempts.WithLabelValues(result.Lookup(failure.Code).Name, string(failure.Execution)).Inc()
 }
 
-func (m *Metrics) ended(e *exchange, err *result.Error, took time.Duration) {
+func (m *Metrics) requestEnded(e *exchange, err *result.Error, took time.Duration) {
 	code, execution := result.OK, result.Ran
 	if err != nil {
 		code, execution = err.Code, err.Execution
@@ -92,9 +92,9 @@
 		kind = e.route.Kind.String()
 	}
 	m.requests.WithLabelValues(kind, result.Lookup(code).Name, string(execution)).Inc()
-	m.seconds.WithLabelValues(kind).Observe(took.Seconds())
-	if !e.first.IsZero() {
+	m.duration.WithLabelValues(kind).Observe(took.Seconds())
+	if !e.firstEventAt.IsZero() {
 		aim := strconv.FormatInt(e.route.Aim.Milliseconds(), 10)
-		m.first.WithLabelValues(aim).Observe(e.first.Sub(e.arrived).Seconds())
+		m.firstEvent.WithLabelValues(aim).Observe(e.firstEventAt.Sub(e.arrived).Seconds())
 	}
 }
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -82,7 +82,7 @@
 type addresses struct{ callers, ready, metrics string }
 
 // Start runs a gateway until Drain or Stop.
-func Start(s *settings.Gateway, peer Peer, log zerolog.Logger) (*Node, error) {
+func Start(s *settings.Gateway, backend Peer, log zerolog.Logger) (*Node, error) {
 	log = log.With().Str("vm", s.VM.ID).Logger()
 	if s.Limits.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(s.Limits.MemoryMb * memoryLimitShare * (1 << 20)))
@@ -99,16 +99,16 @@
 	n.Quarantine = quarantine.New(quarantine.Config{
 		VM:       s.VM.ID,
 		Settings: s.Quarantine.Ledger(),
-		Store:    peer.Store,
-		Table:    peer.Quarantine,
+		Store:    backend.Store,
+		Table:    backend.Quarantine,
 		Unlinked: func() bool { return n.Peers.Unlinked() && n.Peers.Role() != follow.Listens },
 		Log:      log,
 	})
 	n.Peers = share.New(share.Config{
 		Self:         link.Identity{VM: s.VM.ID, Role: "entry", Zone: s.VM.Zone, Incarnation: incarnation},
 		Listen:       s.Link.Listen,
-		Store:        peer.Store,
-		Tables:       peer.Tables,
+		Store:        backend.Store,
+		Tables:       backend.Tables,
 		Fleet:        fleet,
 		Routes:       n.routes,
 		Offer:        func(value []byte) bool { return n.Keeper.Offer(value) },
@@ -122,7 +122,7 @@
 	clients, metrics := gateway.NewClients(), gateway.NewMetrics()
 	crashes := gateway.NewCrashes(clients, fleet, metrics, n.Quarantine, log)
 	n.Keeper = directory.New(directory.Config{
-		Source:    peer.Source,
+		Source:    backend.Source,
 		Wait:      shared.Milliseconds(s.Store.WaitMs),
 		Upstreams: gateway.Upstreams{Fleet: fleet, Clients: clients, Crashes: crashes, Log: log},
 		Changed:   n.Peers.AnnounceRoutes,
@@ -133,8 +133,8 @@
 	n.Gateway = gateway.New(gateway.Config{
 		Directory:    n.Keeper,
 		Fleet:        fleet,
-		Dialect:      peer.Dialect,
-		Reserver:     peer.Reserver,
+		Dialect:      backend.Dialect,
+		Reserver:     backend.Reserver,
 		Clients:      clients,
 		Budgets:      budgets,
 		Quarantine:   n.Quarantine,
@@ -151,7 +151,7 @@
 	n.stop = stop
 	go n.Keeper.Run(ctx)
 	go n.runForget(ctx)
-	if peer.Store != nil {
+	if backend.Store != nil {
 		n.running.Go(func() { n.Peers.Run(ctx) })
 		n.running.Go(func() { n.Quarantine.Run(ctx) })
 	}
--- a/entry/gateway/relay.go
+++ b/entry/gateway/relay.go
@@ -12,80 +12,80 @@
 	"acaciacleat.example/peers/service"
 )
 
-// wholeBytes bounds an answer that is read whole before its head goes out. A longer one is
-// relayed as it comes.
-const wholeBytes = 256 << 10
+// maxWholeBytes bounds an answer that is read whole before its head is sent. A longer answer is
+// relayed as it arrives.
+const maxWholeBytes = 256 << 10
 
-// relayWhole reads an answer to its end before the caller gets its head, so that one that
-// breaks off can still be had from another upstream or be told as a failure.
+// relayWhole reads the answer to its end before it sends the head, so that a broken answer can
+// still be retried at another upstream or reported as a failure.
 func (e *exchange) relayWhole(answer *service.Answer) attempt.Action {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeBytes))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWholeBytes))
 	now := e.now()
 	if err != nil {
 		return e.broken(now, err)
 	}
 	if action := e.machine.Head(now, e.attempt()); action.Kind != attempt.None {
-		// The deadline passed with the last byte.
-		e.end(now, dispatch.Abandoned)
+		// The deadline passed while the answer was read.
+		e.recordOutcome(now, dispatch.Abandoned)
 		return action
 	}
 	e.sendHead(answer)
 	_, writeErr := e.w.Write(body)
-	if writeErr == nil && len(body) == wholeBytes {
+	if writeErr == nil && len(body) == maxWholeBytes {
 		writeErr = e.copyRest(answer.Body)
 	}
 	now = e.now()
 	if writeErr != nil {
-		e.end(now, dispatch.Abandoned)
+		e.recordOutcome(now, dispatch.Abandoned)
 		return e.machine.CallerGone(now)
 	}
 	if answer.Status < http.StatusInternalServerError {
 		e.g.config.Quarantine.Answered(e.fingerprint)
 	}
-	e.end(now, outcomeOf(answer.Status))
+	e.recordOutcome(now, statusOutcome(answer.Status))
 	return e.machine.Ended(now, e.attempt(), attempt.Word{Code: result.OK, Execution: result.Ran})
 }
 
-// copyRest relays what follows wholeBytes. A break can't be mended any more.
+// copyRest relays the answer beyond maxWholeBytes. If it breaks off, it can't be retried.
 func (e *exchange) copyRest(body io.Reader) error {
 	_, err := io.Copy(e.w, body)
 	return err
 }
 
-func outcomeOf(status int) dispatch.Outcome {
+func statusOutcome(status int) dispatch.Outcome {
 	if status >= http.StatusInternalServerError {
 		return dispatch.Failed
 	}
 	return dispatch.Served
 }
 
-// broken reports an answer that broke off.
+// broken handles an answer that broke off.
 func (e *exchange) broken(now time.Time, err error) attempt.Action {
 	switch {
-	case isGone(e.r.Context()):
-		e.end(now, dispatch.Abandoned)
+	case callerGone(e.r.Context()):
+		e.recordOutcome(now, dispatch.Abandoned)
 		return e.machine.CallerGone(now)
 	case !now.Before(e.deadline):
-		e.end(now, dispatch.Failed)
+		e.recordOutcome(now, dispatch.Failed)
 		return e.machine.Timer(now)
 	default:
-		e.suspected()
-		return e.leave(now, dispatch.Lost, attempt.Word{Code: result.StreamBroken, Execution: result.Ran, Detail: e.watch.reason(err).Error()})
+		e.reportBrokenAnswer()
+		return e.failAttempt(now, dispatch.Lost, attempt.Word{Code: result.StreamBroken, Execution: result.Ran, Detail: e.stall.explain(err).Error()})
 	}
 }
 
 // sendHead sends the head of the upstream's answer, once.
 func (e *exchange) sendHead(answer *service.Answer) {
-	if e.headed {
+	if e.headSent {
 		return
 	}
-	e.headed = true
+	e.headSent = true
 	header := e.w.Header()
 	for name, values := range answer.Header {
 		header[name] = values
 	}
 	if _, ok := answer.Header["Content-Type"]; !ok {
-		header["Content-Type"] = nil // Keeps net/http from guessing one.
+		header["Content-Type"] = nil // Keeps net/http from detecting one.
 	}
 	if _, ok := answer.Header["Date"]; !ok {
 		header["Date"] = nil
@@ -93,7 +93,7 @@
 	e.w.WriteHeader(answer.Status)
 }
 
-// relayStream hands a stream's events on as they come, each whole.
+// relayStream relays a stream's events as they arrive, each as a whole.
 func (e *exchange) relayStream(answer *service.Answer) attempt.Action {
 	answer.Header.Del("Content-Length")
 	events := newEventReader(answer.Body)
@@ -103,30 +103,30 @@
 		piece, id, err := events.next()
 		now := e.now()
 		if len(piece) > 0 {
-			e.watch.heard(now)
-			if e.first.IsZero() {
-				e.first = now
+			e.stall.received(now)
+			if e.firstEventAt.IsZero() {
+				e.firstEventAt = now
 			}
 			if delivered > 0 {
-				e.pause = max(e.pause, now.Sub(e.lastAt))
+				e.longestGap = max(e.longestGap, now.Sub(e.lastEventAt))
 			}
-			e.lastAt = now
+			e.lastEventAt = now
 			if delivered == 0 {
-				e.tries[len(e.tries)-1].first = now.Sub(e.arrived)
-				e.g.config.Fleet.Begun(now, e.work)
+				e.tries[len(e.tries)-1].firstEvent = now.Sub(e.arrived)
+				e.g.config.Fleet.Begun(now, e.placementID)
 			}
 			e.sendHead(answer)
 			delivered++
 			if _, writeErr := e.w.Write(piece); writeErr != nil || flusher.Flush() != nil {
-				e.end(now, dispatch.Abandoned)
+				e.recordOutcome(now, dispatch.Abandoned)
 				return e.machine.CallerGone(now)
 			}
 			if id != "" {
-				e.lastEvent = id
+				e.lastEventID = id
 			}
 			if action := e.machine.Delivered(now, e.attempt(), delivered); action.Kind != attempt.None {
-				// The deadline passed while events came.
-				e.end(now, dispatch.Abandoned)
+				// The deadline passed while events arrived.
+				e.recordOutcome(now, dispatch.Abandoned)
 				return action
 			}
 		}
@@ -135,7 +135,7 @@
 		case errors.Is(err, io.EOF):
 			e.sendHead(answer)
 			e.g.config.Quarantine.Answered(e.fingerprint)
-			e.end(now, dispatch.Served)
+			e.recordOutcome(now, dispatch.Served)
 			return e.machine.Ended(now, e.attempt(), attempt.Word{Code: result.OK, Execution: result.Ran})
 		default:
 			return e.broken(now, err)
--- a/entry/gateway/requestlog.go
+++ b/entry/gateway/requestlog.go
@@ -10,20 +10,20 @@
 	"github.com/rs/zerolog"
 )
 
-// try is one upstream to which a request went, as the log tells it. Times count from the
-// request's arrival.
+// try is one attempt at an upstream as it is logged. Times are relative to the request's
+// arrival.
 type try struct {
 	choice dispatch.Choice
 	at     time.Duration
-	// held is how long of that it waited for its turn.
-	held time.Duration
-	// first is when its first event came; zero for none.
-	first time.Duration
-	word  attempt.Word
+	// queued is how much of that time the request waited to be placed.
+	queued time.Duration
+	// firstEvent is when the first event arrived; zero if none did.
+	firstEvent time.Duration
+	failure    attempt.Word
 }
 
-// left records why the try was given up.
-func (t *try) left(word attempt.Word) { t.word = word }
+// fail records why the attempt was given up.
+func (t *try) fail(failure attempt.Word) { t.failure = failure }
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (t *try) MarshalZerologObject(e *zerolog.Event) {
@@ -31,14 +31,14 @@
 	e.Str("upstream", t.choice.Upstream.ID).Int64("at_ms", t.at.Milliseconds()).
 		Int("candidates", why.Candidates).Int64("backlog_ms", why.Backlog.Milliseconds()).
 		Int("streams", why.Streams).Int("memory", why.Memory).Float64("cost", why.Cost)
-	if t.held > 0 {
-		e.Int64("held_ms", t.held.Milliseconds())
+	if t.queued > 0 {
+		e.Int64("held_ms", t.queued.Milliseconds())
 	}
 	if why.First > 0 {
 		e.Int64("expected_ms", (t.at + why.First).Milliseconds())
 	}
-	if t.first > 0 {
-		e.Int64("first_ms", t.first.Milliseconds())
+	if t.firstEvent > 0 {
+		e.Int64("first_ms", t.firstEvent.Milliseconds())
 	}
 	if why.AgainstProof {
 		e.Bool("against_proof", true)
@@ -46,12 +46,12 @@
 	if n := len(t.choice.Helpers); n > 0 {
 		e.Int("helpers", n)
 	}
-	if t.word.Code != result.OK {
-		e.Str("left", result.Lookup(t.word.Code).Name).Str("execution", string(t.word.Execution)).Str("detail", t.word.Detail)
+	if t.failure.Code != result.OK {
+		e.Str("left", result.Lookup(t.failure.Code).Name).Str("execution", string(t.failure.Execution)).Str("detail", t.failure.Detail)
 	}
 }
 
-// tries is the list of a request's tries.
+// tries are the attempts of one request.
 type tries []try
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
@@ -61,12 +61,12 @@
 	}
 }
 
-// logEnd tells how a request ended and what was decided on its way, in one line. Under
-// load, lines of requests that ended well are left out, never those of failed ones.
+// logEnd logs in one line how a request ended and which decisions were made for it. Under load,
+// lines of successful requests are left out, but never those of failed ones.
 func (e *exchange) logEnd(err *result.Error) {
 	took := e.now().Sub(e.arrived)
-	e.g.config.Metrics.ended(e, err, took)
-	line := e.g.lines.line(e.now(), &e.g.config.Log, e.ending(err, took))
+	e.g.config.Metrics.requestEnded(e, err, took)
+	line := e.g.logLimiter.line(e.now(), &e.g.config.Log, e.ending(err, took))
 	if line == nil {
 		return
 	}
@@ -81,22 +81,22 @@
 	if e.caller != nil {
 		line = line.Str("organisation", e.caller.Name)
 	}
-	if e.sends > 0 || e.printed {
+	if e.sendCount > 0 || e.hasPrint {
 		line = line.Stringer("fingerprint", e.fingerprint())
 	}
 	if e.meta.PromptTokens > 0 {
 		line = line.Int("prompt_tokens", e.meta.PromptTokens)
 	}
-	if e.pause > 0 {
-		line = line.Int64("pause_ms", e.pause.Milliseconds()).Int64("good_pause_ms", e.route.GapAim.Milliseconds())
+	if e.longestGap > 0 {
+		line = line.Int64("pause_ms", e.longestGap.Milliseconds()).Int64("good_pause_ms", e.route.GapAim.Milliseconds())
 	}
 	if len(e.tries) > 0 {
-		line = line.Array("tries", tries(e.tries)).Bool("headed", e.headed).Str("last_event", e.lastEvent)
+		line = line.Array("tries", tries(e.tries)).Bool("headed", e.headSent).Str("last_event", e.lastEventID)
 	}
 	line.Msg("request ended")
 }
 
-// ending is how a request ended, for the log.
+// ending classifies how a request ended, for the log.
 type ending uint8
 
 const (
@@ -106,38 +106,38 @@
 	endings
 )
 
-// ending tells how the request ended: late is what came after its aim, or with a pause that is
-// longer than a good one.
+// ending classifies the request. It is late if it missed its target latency or if a gap between
+// events was longer than the target.
 func (e *exchange) ending(err *result.Error, took time.Duration) ending {
 	switch {
 	case err != nil:
 		return endedBadly
 	case e.route == nil:
 		return endedWell
-	case !e.first.IsZero():
-		took = e.first.Sub(e.arrived)
+	case !e.firstEventAt.IsZero():
+		took = e.firstEventAt.Sub(e.arrived)
 	}
-	if e.route.Aim > 0 && took > e.route.Aim || e.route.GapAim > 0 && e.pause > e.route.GapAim {
+	if e.route.Aim > 0 && took > e.route.Aim || e.route.GapAim > 0 && e.longestGap > e.route.GapAim {
 		return endedLate
 	}
 	return endedWell
 }
 
-// linesPerSecond bounds the lines of requests that ended well, and of those that were late:
-// some 20 KB a second each, and more than an entry has requests of at today's size.
-const linesPerSecond = 40
+// maxLinesPerSecond bounds the lines of successful requests, and separately those of late ones,
+// to about 20 KB per second each. An entry usually serves fewer requests than that.
+const maxLinesPerSecond = 40
 
-// lineBudget leaves out lines of requests that were served beyond linesPerSecond and counts
+// logLimiter drops the log lines of successful requests beyond maxLinesPerSecond and counts
 // them. It is safe for concurrent use.
-type lineBudget struct {
+type logLimiter struct {
 	mu      sync.Mutex
 	second  time.Time
 	written [endings]int
 	omitted int
 }
 
-// line returns the line to write, or nil.
-func (b *lineBudget) line(now time.Time, log *zerolog.Logger, how ending) *zerolog.Event {
+// line returns the log line to write, or nil if it is dropped.
+func (b *logLimiter) line(now time.Time, log *zerolog.Logger, class ending) *zerolog.Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.second) >= time.Second {
@@ -146,13 +146,13 @@
 		}
 		b.second, b.written, b.omitted = now, [endings]int{}, 0
 	}
-	if how == endedBadly {
+	if class == endedBadly {
 		return log.Warn()
 	}
-	if b.written[how] >= linesPerSecond {
+	if b.written[class] >= maxLinesPerSecond {
 		b.omitted++
 		return nil
 	}
-	b.written[how]++
+	b.written[class]++
 	return log.Info()
 }
--- a/entry/gateway/stall.go
+++ b/entry/gateway/stall.go
@@ -9,29 +9,31 @@
 	"github.com/pkg/errors"
 )
 
-// errRestarted ends a call to an upstream that has started again since.
+// errRestarted is the cause of a call cancelled because its upstream has restarted.
 var errRestarted = errors.New("the upstream has started again")
 
-// errStalled ends a call to an upstream that has gone silent.
+// errStalled is the cause of a call cancelled because its upstream has gone silent.
 var errStalled = errors.New("the upstream has gone silent")
 
-// A connection can go silent for good and an upstream can take requests and answer none,
-// without TCP ever telling. The caller would wait until it leaves. A request that may be
-// repeated is taken elsewhere instead, once its upstream has sent this entry nothing at all
-// for as long as the figures below; an upstream that is only slow goes on answering others.
+// A connection can go silent for good, and an upstream can accept requests without answering
+// any, and TCP reports neither. The caller would wait until it gives up. A request that may be
+// repeated moves to another upstream instead once its upstream has sent this entry nothing at
+// all for the times below. An upstream that is merely slow still answers other requests.
 const (
-	// stallGaps is the number of longest good pauses after which a stream counts as stalled.
-	// Callers leave after eight. With three, passes that read long prompts were taken for
-	// silence, and the mean worth of Faixa Verde's standard days fell from 0.68 to 0.66.
+	// stallGaps is the number of target gaps after which a stream counts as stalled. Callers
+	// leave after eight; with three, an engine's passes over long prompts were mistaken for
+	// silence.
 	stallGaps = 6
-	// stallAims is the same for plain services, in aims of an answer.
-	stallAims = 2
-	// stallExpected is the part of a prediction that is waited for beyond it.
-	stallExpected = 2
+	// stallTargets is the number of target latencies after which an answer of a plain service
+	// counts as stalled.
+	stallTargets = 2
+	// stallPredictions is the number of predicted times to the first event after which silence
+	// begins to count.
+	stallPredictions = 2
 )
 
-// stallAfter returns how long silence is waited for before an answer or event; zero where
-// the request can't go elsewhere.
+// stallAfter returns how long an upstream may be silent before an answer or event, or zero if
+// the request can't move to another upstream.
 func (e *exchange) stallAfter() time.Duration {
 	switch {
 	case !e.route.Repeatable() || !e.mayRetry():
@@ -39,30 +41,31 @@
 	case e.route.Kind == routes.Streaming:
 		return stallGaps * e.route.GapAim
 	default:
-		return stallAims * e.route.Aim
+		return stallTargets * e.route.Aim
 	}
 }
 
-// watch cancels a call once its upstream has been silent for too long, if the request could
-// go on elsewhere: an upstream's silence alone is no reason to break off an answer that it
-// may still finish. The first event may take as long as was predicted, and more.
-type watch struct {
-	client *client
-	after  time.Duration
-	// may tells whether the request could go on elsewhere.
-	may    func(now time.Time) bool
-	cancel context.CancelFunc
-	now    func() time.Time
-	// next is when silence may begin to count, in nanoseconds since the epoch.
-	next  atomic.Int64
-	timer *time.Timer
-	// fired says that the call was cancelled.
+// stallWatch cancels a call whose upstream has been silent for too long, provided that the
+// request can move to another upstream: silence alone is no reason to break off an answer that
+// the upstream may still finish. Silence before the first event counts only after the time
+// passed to start.
+type stallWatch struct {
+	client  *client
+	timeout time.Duration
+	// canMove reports whether the request could move to another upstream.
+	canMove func(now time.Time) bool
+	cancel  context.CancelFunc
+	now     func() time.Time
+	// silentSince is the time from which silence counts, in nanoseconds since the Unix epoch.
+	silentSince atomic.Int64
+	timer       *time.Timer
+	// fired reports whether the call was cancelled.
 	fired atomic.Bool
 }
 
-// reason names the stall, or the upstream's restart, where err follows from it.
-func (w *watch) reason(err error) error {
-	if w.client.life.Err() != nil {
+// explain adds the stall or the upstream's restart to err if it was the cause.
+func (w *stallWatch) explain(err error) error {
+	if w.client.ctx.Err() != nil {
 		return errors.WithMessage(errRestarted, err.Error())
 	}
 	if w.fired.Load() {
@@ -71,42 +74,42 @@
 	return err
 }
 
-// start begins to watch; first is how long the first event may take. After zero it does
-// nothing.
-func (w *watch) start(first time.Duration) {
-	if w.after <= 0 {
+// start starts the watch. first is how long the first event may take. If timeout is zero, start
+// does nothing.
+func (w *stallWatch) start(first time.Duration) {
+	if w.timeout <= 0 {
 		return
 	}
-	w.next.Store(w.now().Add(first).UnixNano())
-	w.timer = time.AfterFunc(first+w.after, w.check)
+	w.silentSince.Store(w.now().Add(first).UnixNano())
+	w.timer = time.AfterFunc(first+w.timeout, w.check)
 }
 
-// heard records a sign of life in this call.
-func (w *watch) heard(now time.Time) {
-	w.client.heard.Store(now.UnixNano())
-	w.next.Store(now.UnixNano())
+// received records that this call has received data.
+func (w *stallWatch) received(now time.Time) {
+	w.client.lastReceived.Store(now.UnixNano())
+	w.silentSince.Store(now.UnixNano())
 }
 
-// stallAgain is how often it is looked whether a request that its upstream is silent to
-// could go elsewhere by now.
-const stallAgain = 100 * time.Millisecond
+// stallRecheckInterval is the interval at which a stalled request that can't yet move to
+// another upstream is checked again.
+const stallRecheckInterval = 100 * time.Millisecond
 
-func (w *watch) check() {
+func (w *stallWatch) check() {
 	now := w.now()
-	since := max(w.next.Load(), w.client.heard.Load())
+	since := max(w.silentSince.Load(), w.client.lastReceived.Load())
 	silent := now.Sub(time.Unix(0, since))
 	switch {
-	case silent < w.after:
-		w.timer.Reset(w.after - silent)
-	case !w.may(now):
-		w.timer.Reset(stallAgain)
+	case silent < w.timeout:
+		w.timer.Reset(w.timeout - silent)
+	case !w.canMove(now):
+		w.timer.Reset(stallRecheckInterval)
 	default:
 		w.fired.Store(true)
 		w.cancel()
 	}
 }
 
-func (w *watch) stop() {
+func (w *stallWatch) stop() {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
--- a/entry/gateway/upstreams.go
+++ b/entry/gateway/upstreams.go
@@ -7,12 +7,12 @@
 	"github.com/rs/zerolog"
 )
 
-// Upstreams takes news of upstreams for the fleet, and ends what runs at incarnations that
+// Upstreams applies changes of upstreams to the fleet and cancels calls to incarnations that
 // have ended. It implements directory.Upstreams.
 type Upstreams struct {
 	Fleet   *dispatch.Fleet
 	Clients *Clients
-	// Crashes is told of the lives that the registry tells of.
+	// Crashes is notified of incarnations that have ended according to the registry.
 	Crashes *Crashes
 	Log     zerolog.Logger
 }
@@ -22,8 +22,8 @@
 	for _, ended := range u.Fleet.Apply(now, changes, whole) {
 		u.Log.Info().Str("upstream", ended.ID).Int64("born_ms", ended.Born).
 			Msg("upstream has started again under its id; what it had in hand is over")
-		u.Clients.End(ended)
-		u.Crashes.ended(ended, restarted)
+		u.Clients.Close(ended)
+		u.Crashes.upstreamEnded(ended, restarted)
 	}
 	u.Crashes.registryChanged()
 }
