--- a/entry/command/gateway.go
+++ b/entry/command/gateway.go
@@ -34,7 +34,7 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	around := node.Surroundings{Log: c.stdout, Signals: signals, Reload: reload}
+	around := node.Environment{Log: c.stdout, Signals: signals, Reload: reload}
 	if c.StandIns {
 		standins, err := c.startStandIns()
 		if err != nil {
@@ -59,9 +59,9 @@
 	fmt.Fprint(c.stderr, standin.Greeting(n.CallersAddr(), n.MetricsAddr()))
 }
 
-func openPlatform(store settings.Store) node.Peer {
+func openPlatform(store settings.Store) node.Backend {
 	client := platform.NewStore(store.Address, shared.Milliseconds(store.TimeoutMs))
-	return node.Peer{
+	return node.Backend{
 		Source:     platform.NewSource(client),
 		Dialect:    platform.Headers{},
 		Reserver:   platform.Orders{},
--- a/entry/flight/crash.go
+++ b/entry/flight/crash.go
@@ -57,7 +57,7 @@
 		// The detail tells the lives of the upstream beside an agent apart.
 		q.Ended(dispatch.Upstream{ID: f.target.Agent + ": " + end.Detail}, []quarantine.Suspect{{
 			Print: f.spec.Print(), Request: f.spec.ID.String(), Route: f.spec.Route.Service,
-			Organisation: f.spec.Route.Organisation, Again: f.crashes > 0,
+			Organisation: f.spec.Route.Organisation, AfterCrash: f.crashes > 0,
 		}})
 		f.crashes++
 	}
--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -97,7 +97,7 @@
 			Detail: "the answer belongs to another request"})
 	case !meta.Sealed, answer.Header.Get("Content-Encoding") != "":
 		return e.failAttempt(now, dispatch.Failed, attempt.Word{Code: result.UpstreamFailed, Execution: result.Unknown,
-			Detail: fmt.Sprintf("the answer with status %d is not the upstream's own; it names %q as at fault", answer.Status, meta.Fault)})
+			Detail: fmt.Sprintf("the answer with status %d is not the upstream's own; it names %q as at fault", answer.Status, meta.FaultAddress)})
 	case e.headSent && answer.Status != http.StatusOK:
 		// The body would be appended to the events that the caller has received, and end them
 		// like a complete stream.
@@ -136,10 +136,10 @@
 func (e *exchange) handleRefusal(now time.Time, answer *service.Answer, meta AnswerMeta) (attempt.Action, bool) {
 	switch {
 	case e.helperAtFault(answer, meta):
-		helper := e.helperAt(meta.Fault).Upstream
+		helper := e.helperAt(meta.FaultAddress).Upstream
 		e.g.config.Fleet.AtFault(now, helper, e.sentAt)
 		return e.failAttempt(now, dispatch.Abandoned, attempt.Word{Code: result.GroupUnavailable, Execution: result.NotRun,
-			Detail:     fmt.Sprintf("a part of the prompt can't be read at %s (%s)", meta.Fault, helper.ID),
+			Detail:     fmt.Sprintf("a part of the prompt can't be read at %s (%s)", meta.FaultAddress, helper.ID),
 			RetryAfter: refusedRetryAfter, Again: true}), true
 	case answer.Status == http.StatusMisdirectedRequest && !meta.Sealed:
 		// The address now belongs to another upstream.
@@ -162,7 +162,7 @@
 // than the upstream that it was sent to.
 func (e *exchange) helperAtFault(answer *service.Answer, meta AnswerMeta) bool {
 	refused := meta.NotRun || answer.Status == http.StatusMisdirectedRequest && !meta.Sealed
-	return refused && impliesNotRun(answer.Status) && e.helperAt(meta.Fault) != nil
+	return refused && impliesNotRun(answer.Status) && e.helperAt(meta.FaultAddress) != nil
 }
 
 // helperAt returns the helper at an address, or nil.
--- a/entry/gateway/crashes.go
+++ b/entry/gateway/crashes.go
@@ -68,10 +68,10 @@
 	maxSuspects = 128
 )
 
-// Crashes detects which upstreams have ended while they had requests of this entry in flight. A
-// broken connection is no proof: live upstreams reset connections and truncate answers too. It
-// is safe for concurrent use.
-type Crashes struct {
+// CrashDetector detects which upstreams have ended while they had requests of this entry in
+// flight. A broken connection is no proof: live upstreams reset connections and truncate
+// answers too. It is safe for concurrent use.
+type CrashDetector struct {
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 	isLeaving func(upstream dispatch.Upstream) bool
 	// isReplaced reports whether the registry has given an upstream's address to another one.
@@ -86,10 +86,10 @@
 	broken map[string]*brokenUpstream
 }
 
-// NewCrashes returns Crashes that report to a quarantine under which requests upstreams have
-// crashed.
-func NewCrashes(clients *Clients, fleet *dispatch.Fleet, metrics *Metrics, keeper Quarantine, log zerolog.Logger) *Crashes {
-	return &Crashes{
+// NewCrashDetector returns a CrashDetector that reports to a quarantine under which requests
+// upstreams have crashed.
+func NewCrashDetector(clients *Clients, fleet *dispatch.Fleet, metrics *Metrics, keeper Quarantine, log zerolog.Logger) *CrashDetector {
+	return &CrashDetector{
 		dial: clients.dial, isLeaving: fleet.Leaves, isReplaced: fleet.Replaced, now: time.Now, log: log,
 		countProof: metrics.answerBroken, onCrash: keeper.Ended,
 		broken: make(map[string]*brokenUpstream),
@@ -111,7 +111,7 @@
 }
 
 // answerBroken records a request whose answer broke off.
-func (c *Crashes) answerBroken(upstream dispatch.Upstream, s suspect) {
+func (c *CrashDetector) answerBroken(upstream dispatch.Upstream, s suspect) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +132,7 @@
 
 // recordFor returns the record of an incarnation and deletes expired ones. It is called with mu
 // held.
-func (c *Crashes) recordFor(now time.Time, upstream dispatch.Upstream) *brokenUpstream {
+func (c *CrashDetector) recordFor(now time.Time, upstream dispatch.Upstream) *brokenUpstream {
 	for name, b := range c.broken {
 		if now.Sub(b.last) > suspectTTL && !b.probing {
 			delete(c.broken, name)
@@ -149,7 +149,7 @@
 }
 
 // confirm dials the address of an upstream that broke off answers.
-func (c *Crashes) confirm(upstream dispatch.Upstream) {
+func (c *CrashDetector) confirm(upstream dispatch.Upstream) {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, "tcp", upstream.Address)
@@ -165,7 +165,7 @@
 }
 
 // probed handles the result of dialling an upstream's address.
-func (c *Crashes) probed(upstream dispatch.Upstream, found proof, err error) {
+func (c *CrashDetector) probed(upstream dispatch.Upstream, found proof, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.broken[upstream.Incarnation()]
@@ -183,7 +183,7 @@
 }
 
 // upstreamEnded records proof from another source that an incarnation has ended.
-func (c *Crashes) upstreamEnded(upstream dispatch.Upstream, found proof) {
+func (c *CrashDetector) upstreamEnded(upstream dispatch.Upstream, found proof) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,7 +197,7 @@
 
 // registryChanged checks for upstreams that broke off answers and whose address the registry
 // has since given to another incarnation.
-func (c *Crashes) registryChanged() {
+func (c *CrashDetector) registryChanged() {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,7 +210,7 @@
 }
 
 // markEnded records that an incarnation has ended. It is called with mu held.
-func (c *Crashes) markEnded(b *brokenUpstream, found proof) {
+func (c *CrashDetector) markEnded(b *brokenUpstream, found proof) {
 	b.proved = found
 	c.reportSuspects(b, b.suspects)
 }
@@ -220,7 +220,7 @@
 
 // reportSuspects logs and reports the requests under which an incarnation has ended. It is
 // called with mu held.
-func (c *Crashes) reportSuspects(b *brokenUpstream, affected suspects) {
+func (c *CrashDetector) reportSuspects(b *brokenUpstream, affected suspects) {
 	c.log.Warn().Str("upstream", b.upstream.ID).Str("proof", string(b.proved)).Bool("leaving", b.leaving).
 		Int("in_hand", len(b.suspects)).Array("requests", affected[:min(len(affected), maxLoggedSuspects)]).
 		Msg("upstream ended under requests")
--- a/entry/gateway/crashes_test.go
+++ b/entry/gateway/crashes_test.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crashFixture holds Crashes for an upstream whose address responds with a given dial error.
+// crashFixture holds a CrashDetector for an upstream whose address responds with a given dial error.
 type crashFixture struct {
-	Crashes
+	CrashDetector
 	log          bytes.Buffer
 	metrics      *Metrics
 	dials        int
@@ -31,7 +31,7 @@
 
 func newCrashFixture(dial error) *crashFixture {
 	w := &crashFixture{metrics: NewMetrics()}
-	w.Crashes = Crashes{
+	w.CrashDetector = CrashDetector{
 		dial: func(context.Context, string, string) (net.Conn, error) {
 			w.dials++
 			if dial != nil {
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -21,7 +21,7 @@
 	w       http.ResponseWriter
 	r       *http.Request
 	arrived time.Time
-	meta    Meta
+	meta    RequestMeta
 	route   *routes.Route
 	caller  *routes.Organisation
 	service *routes.Service
@@ -259,7 +259,7 @@
 // call returns the service call for the upstream.
 func (e *exchange) call(now time.Time) service.Call {
 	header := e.r.Header.Clone()
-	send := Send{
+	send := ForwardMeta{
 		Choice:      e.choice,
 		TimeLeft:    e.deadline.Sub(now),
 		Streaming:   e.route.Kind == routes.Streaming,
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -17,8 +17,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Meta is the metadata of a caller's request, besides method, path and body.
-type Meta struct {
+// RequestMeta is the metadata of a caller's request, besides method, path and body.
+type RequestMeta struct {
 	ID  string
 	Key string
 	// TimeLeft is how long the caller waits; zero if the caller didn't state it.
@@ -28,8 +28,8 @@
 	OutputTokens int
 }
 
-// Send is the metadata that an upstream receives with a request.
-type Send struct {
+// ForwardMeta is the metadata that an upstream receives with a request.
+type ForwardMeta struct {
 	Choice   dispatch.Choice
 	TimeLeft time.Duration
 	// Organisation is empty if the route requires no key.
@@ -49,17 +49,17 @@
 	NotRun bool
 	// Upstream is the ID of the incarnation that refused a request meant for another.
 	Upstream string
-	// Fault is the address of the upstream that caused a refusal, if stated: the one that
-	// refused, or one that was to read a part of the prompt.
-	Fault string
+	// FaultAddress is the address of the upstream that caused a refusal, if stated: the one
+	// that refused, or one that was to read a part of the prompt.
+	FaultAddress string
 }
 
 // Dialect reads and writes the headers by which callers, the gateway and upstreams exchange a
 // request's metadata.
 type Dialect interface {
-	Request(h http.Header) Meta
+	Request(h http.Header) RequestMeta
 	// Forward turns a caller's headers into those for an upstream.
-	Forward(h http.Header, send Send)
+	Forward(h http.Header, send ForwardMeta)
 	Answer(h http.Header) AnswerMeta
 	// Failure completes the headers of an error answer that the gateway itself generates.
 	Failure(h http.Header, id string, retryAfter time.Duration)
@@ -81,7 +81,7 @@
 	Budgets   *Budgets
 	// Quarantine holds back requests under which upstreams crash.
 	Quarantine Quarantine
-	Crashes    *Crashes
+	Crashes    *CrashDetector
 	Metrics    *Metrics
 	// MaxBodyBytes bounds a request's body if the routes set no limit.
 	MaxBodyBytes int64
--- a/entry/gateway/heldback.go
+++ b/entry/gateway/heldback.go
@@ -51,7 +51,7 @@
 	e.g.config.Crashes.answerBroken(e.choice.Upstream, suspect{
 		Suspect: quarantine.Suspect{
 			Print: e.fingerprint(), Request: e.meta.ID, Route: e.route.Name, Organisation: e.organisation(),
-			Again: e.possibleCrashes > 0,
+			AfterCrash: e.possibleCrashes > 0,
 		},
 		answerBegun: last.firstEvent > 0,
 	})
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -27,8 +27,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Peer holds the parts of a platform that a node uses.
-type Peer struct {
+// Backend holds the parts of a platform that a node uses.
+type Backend struct {
 	Source  directory.Source
 	Dialect gateway.Dialect
 	// Reserver may be nil if no upstream is an engine.
@@ -82,7 +82,7 @@
 type addresses struct{ callers, ready, metrics string }
 
 // Start runs a gateway until Drain or Stop.
-func Start(s *settings.Gateway, backend Peer, log zerolog.Logger) (*Node, error) {
+func Start(s *settings.Gateway, backend Backend, log zerolog.Logger) (*Node, error) {
 	log = log.With().Str("vm", s.VM.ID).Logger()
 	if s.Limits.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(s.Limits.MemoryMb * memoryLimitShare * (1 << 20)))
@@ -120,7 +120,7 @@
 		Quarantine: n.Quarantine,
 	})
 	clients, metrics := gateway.NewClients(), gateway.NewMetrics()
-	crashes := gateway.NewCrashes(clients, fleet, metrics, n.Quarantine, log)
+	crashes := gateway.NewCrashDetector(clients, fleet, metrics, n.Quarantine, log)
 	n.Keeper = directory.New(directory.Config{
 		Source:    backend.Source,
 		Wait:      shared.Milliseconds(s.Store.WaitMs),
--- a/entry/gateway/node/run.go
+++ b/entry/gateway/node/run.go
@@ -13,11 +13,11 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// Platform creates a platform's Peer from the store settings.
-type Platform func(store settings.Store) Peer
+// Platform creates a platform's Backend from the store settings.
+type Platform func(store settings.Store) Backend
 
-// Surroundings is the environment of a process besides its settings.
-type Surroundings struct {
+// Environment is the environment of a process besides its settings.
+type Environment struct {
 	// Log receives the log lines.
 	Log io.Writer
 	// Signals stop the process: the first gracefully, the second at once.
@@ -29,7 +29,7 @@
 }
 
 // Run runs a gateway from a settings file until it is signalled to stop.
-func Run(file string, platform Platform, env Surroundings) error {
+func Run(file string, platform Platform, env Environment) error {
 	s, err := shared.ReadFile(file, settings.ParseGateway)
 	if err != nil {
 		return err
--- a/entry/gateway/reserve.go
+++ b/entry/gateway/reserve.go
@@ -20,8 +20,8 @@
 	// or renews the ticket.
 	Reserve(upstream dispatch.Upstream, helper dispatch.Helper, hold time.Duration) service.Call
 	Release(upstream dispatch.Upstream, ticket string) service.Call
-	// Ask creates a call that any engine answers at once and that changes nothing.
-	Ask(upstream dispatch.Upstream) service.Call
+	// Probe creates a call that any engine answers at once and that changes nothing.
+	Probe(upstream dispatch.Upstream) service.Call
 }
 
 // Reserved memory must not long outlive the request, nor the entry that reserved it. Tickets
@@ -112,7 +112,7 @@
 	var all sync.WaitGroup
 	for _, upstream := range upstreams {
 		all.Go(func() {
-			err := g.order(ctx, upstream, g.config.Reserver.Ask(upstream))
+			err := g.order(ctx, upstream, g.config.Reserver.Probe(upstream))
 			if outcome := orderOutcome(err); outcome != dispatch.Abandoned {
 				g.config.Fleet.Observe(g.config.Now(), upstream, outcome, sentAt)
 				gone.Store(true)
--- a/entry/gateway/upstreams.go
+++ b/entry/gateway/upstreams.go
@@ -13,7 +13,7 @@
 	Fleet   *dispatch.Fleet
 	Clients *Clients
 	// Crashes is notified of incarnations that have ended according to the registry.
-	Crashes *Crashes
+	Crashes *CrashDetector
 	Log     zerolog.Logger
 }
 
--- a/entry/quarantine/cluster_test.go
+++ b/entry/quarantine/cluster_test.go
@@ -118,7 +118,7 @@
 		}
 		c.countSend(i)
 		c.advance(40 * time.Millisecond)
-		k.Ended(upstream(len(c.crashes)), []Suspect{{Print: printOf("fatal"), Again: try > 0}})
+		k.Ended(upstream(len(c.crashes)), []Suspect{{Print: printOf("fatal"), AfterCrash: try > 0}})
 	}
 }
 
--- a/entry/quarantine/keeper.go
+++ b/entry/quarantine/keeper.go
@@ -26,9 +26,9 @@
 	Request      string
 	Route        string
 	Organisation string
-	// Again reports whether the request was retried after another upstream had crashed under
-	// it.
-	Again bool
+	// AfterCrash reports whether the request was retried after another upstream had crashed
+	// under it.
+	AfterCrash bool
 }
 
 // Store is the part of the platform's store that a Keeper uses. table.Feed implements it.
@@ -49,9 +49,9 @@
 	// Store and Table locate the quarantine's rows. Store is nil for an entry without a store.
 	Store Store
 	Table string
-	// Reread is the interval at which the store is read even if nothing has changed; zero means
-	// 30 s.
-	Reread time.Duration
+	// RereadInterval is the interval at which the store is read even if nothing has changed;
+	// zero means 30 s.
+	RereadInterval time.Duration
 	// Unlinked reports whether there may be entries that share reports with this one only
 	// through the store.
 	Unlinked func() bool
@@ -85,8 +85,8 @@
 
 // New returns a Keeper. Run synchronises it with the store.
 func New(config Config) *Keeper {
-	if config.Reread == 0 {
-		config.Reread = defaultRereadInterval
+	if config.RereadInterval == 0 {
+		config.RereadInterval = defaultRereadInterval
 	}
 	return &Keeper{
 		config:   config,
@@ -140,12 +140,12 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range affected {
-		if !k.ledger.Strike(now, corequarantine.Crash{Upstream: tag, At: now, Again: s.Again}, s.Print) {
+		if !k.ledger.Strike(now, corequarantine.Crash{Upstream: tag, At: now, Again: s.AfterCrash}, s.Print) {
 			continue
 		}
 		k.suspects[s.Print] = s
 		kind := corequarantine.Struck
-		if s.Again {
+		if s.AfterCrash {
 			kind = corequarantine.StruckAgain
 		}
 		k.queueReport(corequarantine.Report{Kind: kind, Print: s.Print, Upstream: tag})
--- a/entry/quarantine/record.go
+++ b/entry/quarantine/record.go
@@ -29,9 +29,9 @@
 
 // RecordedCrash is a crash of one incarnation of an upstream.
 type RecordedCrash struct {
-	Upstream uint32 `json:"upstream"`
-	AtMs     int64  `json:"atMs"`
-	Again    bool   `json:"again,omitempty"`
+	Upstream   uint32 `json:"upstream"`
+	AtMs       int64  `json:"atMs"`
+	AfterCrash bool   `json:"again,omitempty"`
 }
 
 // Row is a Record with its fingerprint, its writer and its name in the store.
--- a/entry/quarantine/store.go
+++ b/entry/quarantine/store.go
@@ -86,7 +86,7 @@
 	}
 	record := Record{WrittenMs: now.UnixMilli(), Request: s.Request, Route: s.Route, Organisation: s.Organisation}
 	for _, c := range crashes {
-		record.Crashes = append(record.Crashes, RecordedCrash{Upstream: c.Upstream, AtMs: c.At.UnixMilli(), Again: c.Again})
+		record.Crashes = append(record.Crashes, RecordedCrash{Upstream: c.Upstream, AtMs: c.At.UnixMilli(), AfterCrash: c.Again})
 	}
 	if h, ok := k.ledger.Holds(now)[print]; ok {
 		record.HeldUntilMs, record.Times = h.Until.UnixMilli(), h.Times
@@ -105,7 +105,7 @@
 	k.rows.reread = true
 	k.mu.Unlock()
 	for ctx.Err() == nil {
-		wait := k.config.Reread
+		wait := k.config.RereadInterval
 		switch err := k.syncStore(ctx); {
 		case err != nil:
 			k.config.Log.Info().Err(err).Msg("the quarantine could not be written or read; trying again")
@@ -282,7 +282,7 @@
 	}
 	for _, c := range r.Crashes {
 		if c.AtMs > released {
-			k.ledger.Recall(now, corequarantine.Crash{Upstream: c.Upstream, At: time.UnixMilli(c.AtMs), Again: c.Again}, r.Print)
+			k.ledger.Recall(now, corequarantine.Crash{Upstream: c.Upstream, At: time.UnixMilli(c.AtMs), Again: c.AfterCrash}, r.Print)
 		}
 	}
 	until := time.UnixMilli(r.HeldUntilMs)
