--- a/core/spread/node.go
+++ b/core/spread/node.go
@@ -15,75 +15,78 @@
 	poller  bool
 
 	applied document.Revision
-	// heard is the highest revision known to exist, and informant a node that has it.
-	heard       document.Revision
-	informant   NodeID
-	behindSince time.Time
+	// highestSeen is the highest revision known to exist, upToDatePeer a node that has
+	// applied it and behindSince when the node fell behind it.
+	highestSeen  document.Revision
+	upToDatePeer NodeID
+	behindSince  time.Time
 
 	lastEvent   time.Time
 	lastContact time.Time
 	lastPoll    time.Time
 	polling     bool
-	asked       question
-	// turn rotates over the peers, so that a silent one isn't asked again at once.
-	turn  int
-	nonce uint64
+	query       peerQuery
+	// peerIndex rotates over the peers, so that an unresponsive one is not queried twice in
+	// a row.
+	peerIndex int
+	nonce     uint64
 
 	confirming *confirmation
 	ready      bool
 	reason     Reason
 
 	relays   []relay
-	trackers []*InForce
+	trackers []*AckTracker
 }
 
-// question is the one outstanding question to a peer.
-type question struct {
-	open  bool
-	nonce uint64
-	at    time.Time
+// peerQuery is the outstanding query to a peer. There is at most one.
+type peerQuery struct {
+	open   bool
+	nonce  uint64
+	sentAt time.Time
 }
 
-// confirmation is the node's search for proof that its revision is the newest.
+// confirmation records which sources have confirmed that the node's revision is the newest.
 type confirmation struct {
 	reason Reason
-	// after is the last nonce from before: an answer to an older question was perhaps
-	// written before the pause and proves nothing about now.
-	after uint64
-	peers map[NodeID]bool
-	// table says that the table answered with no less than what is in force.
-	table bool
+	// lastNonce is the last nonce used before the confirmation began. An answer to an older
+	// query may have been written before the pause and does not confirm the current state.
+	lastNonce   uint64
+	confirmedBy map[NodeID]bool
+	// tableConfirmed says that the table returned at least the applied revision.
+	tableConfirmed bool
 }
 
-// New returns a node that starts with the given revision. confirmed says that the table
-// gave it; otherwise the node isn't ready until the table or enough peers confirm it.
+// New returns a node that starts with the given revision. confirmed says that the revision
+// was read from the table; otherwise the node is not ready until the table or enough peers
+// confirm it.
 func New(config Config, now time.Time, start document.Revision, confirmed bool) *Node {
-	n := &Node{config: config, applied: start, heard: start, lastEvent: now, lastContact: now, reason: ReasonStarting}
+	n := &Node{config: config, applied: start, highestSeen: start, lastEvent: now, lastContact: now, reason: ReasonStarting}
 	if !confirmed {
-		n.confirm(ReasonStarting)
+		n.startConfirmation(ReasonStarting)
 	}
 	return n
 }
 
-// Revision returns the revision in force at this node.
+// Revision returns the revision that this node has applied.
 func (n *Node) Revision() document.Revision { return n.applied }
 
-// Highest returns the highest revision that the node heard of. It rides on every message
-// of a link.
-func (n *Node) Highest() document.Revision { return n.heard }
+// Highest returns the highest revision that the node knows of. It is piggybacked on every
+// message of a link.
+func (n *Node) Highest() document.Revision { return n.highestSeen }
 
 // Ready reports whether a request may be admitted now.
 //
-// What goes wrong: a process resumes after a pause and takes a request before its next
-// tick, under a configuration that was replaced meanwhile. So the time since the last
-// event counts as well as the state that the last event left.
+// The time since the last event counts as well as the state that this event left: a process
+// that resumes after a pause must not admit a request before its next tick, under a
+// configuration that may have been replaced meanwhile.
 func (n *Node) Ready(now time.Time) bool {
 	return n.ready && now.Sub(n.lastEvent) <= n.config.PauseBound
 }
 
-// SetMembers takes the live nodes, this one among them or not.
+// SetMembers sets the live nodes. The list may or may not contain this node.
 func (n *Node) SetMembers(now time.Time, members []Member) []Action {
-	n.begin(now)
+	n.beginEvent(now)
 	n.members = slices.Clone(members)
 	n.peers = n.peers[:0]
 	for _, member := range members {
@@ -95,159 +98,160 @@
 	for _, tracker := range n.trackers {
 		tracker.setPeers(n.peers)
 	}
-	return n.settle(now, nil)
+	return n.finishEvent(now, nil)
 }
 
-// Heard takes the highest revision that a peer sent on link traffic; inForce is the one
-// that the peer has in force.
-func (n *Node) Heard(now time.Time, from NodeID, highest, inForce document.Revision) []Action {
-	n.begin(now)
+// Heard handles the highest revision that a peer knows of, as received on link traffic.
+// applied is the revision that the peer has applied.
+func (n *Node) Heard(now time.Time, from NodeID, highest, applied document.Revision) []Action {
+	n.beginEvent(now)
 	n.lastContact = now
-	n.hear(now, from, highest, inForce)
-	return n.settle(now, nil)
+	n.observeRevision(now, from, highest, applied)
+	return n.finishEvent(now, nil)
 }
 
-// hear notes that a revision exists; from may be empty.
-func (n *Node) hear(now time.Time, from NodeID, highest, inForce document.Revision) {
+// observeRevision records that a revision exists; from may be empty.
+func (n *Node) observeRevision(now time.Time, from NodeID, highest, applied document.Revision) {
 	for _, tracker := range n.trackers {
-		tracker.acked(from, inForce)
+		tracker.recordAck(from, applied)
 	}
-	if highest > n.heard {
-		n.heard = highest
+	if highest > n.highestSeen {
+		n.highestSeen = highest
 	}
-	if inForce >= n.heard && inForce > n.applied {
-		n.informant = from
+	if applied >= n.highestSeen && applied > n.applied {
+		n.upToDatePeer = from
 	}
-	n.noteBehind(now)
+	n.updateBehindSince(now)
 }
 
-func (n *Node) noteBehind(now time.Time) {
+func (n *Node) updateBehindSince(now time.Time) {
 	switch {
-	case n.applied >= n.heard:
+	case n.applied >= n.highestSeen:
 		n.behindSince = time.Time{}
 	case n.behindSince.IsZero():
 		n.behindSince = now
 	}
 }
 
-// receive takes changes after after up to revision, if they follow on what is in force.
-func (n *Node) receive(now time.Time, actions []Action, after, revision document.Revision) []Action {
+// applyChanges applies the changes after after up to revision, if they continue from the
+// applied revision.
+func (n *Node) applyChanges(now time.Time, actions []Action, after, revision document.Revision) []Action {
 	if after <= n.applied && revision > n.applied {
 		n.applied = revision
 		actions = append(actions, Apply{Revision: revision})
 	}
-	n.hear(now, "", revision, 0)
+	n.observeRevision(now, "", revision, 0)
 	return actions
 }
 
-// Answer is a peer's answer to AskPeer; a whole state has After 0.
+// Answer is a peer's answer to AskPeer. An answer with the whole state has After 0.
 type Answer struct {
 	Node            NodeID
 	Nonce           uint64
 	After, Revision document.Revision
-	// Highest is the highest revision that the peer heard of.
+	// Highest is the highest revision that the peer knows of.
 	Highest document.Revision
 }
 
-// Answered takes a peer's answer.
+// Answered handles a peer's answer.
 func (n *Node) Answered(now time.Time, answer Answer) []Action {
-	n.begin(now)
+	n.beginEvent(now)
 	n.lastContact = now
-	n.asked.open = n.asked.open && answer.Nonce != n.asked.nonce
-	actions := n.receive(now, nil, answer.After, answer.Revision)
-	n.hear(now, answer.Node, answer.Highest, answer.Revision)
-	if n.confirming != nil && answer.Nonce > n.confirming.after {
-		n.confirming.peers[answer.Node] = true
+	n.query.open = n.query.open && answer.Nonce != n.query.nonce
+	actions := n.applyChanges(now, nil, answer.After, answer.Revision)
+	n.observeRevision(now, answer.Node, answer.Highest, answer.Revision)
+	if n.confirming != nil && answer.Nonce > n.confirming.lastNonce {
+		n.confirming.confirmedBy[answer.Node] = true
 	}
-	return n.settle(now, actions)
+	return n.finishEvent(now, actions)
 }
 
-// Answering notes that a part of a peer's answer has come, and that more will. As long as they come
-// no other peer is asked: a second whole state would slow the first.
+// Answering handles a part of a peer's answer of which more parts will follow. While parts
+// arrive no other peer is queried: a second transfer of the whole state would slow the first.
 func (n *Node) Answering(now time.Time, nonce uint64) []Action {
-	n.begin(now)
+	n.beginEvent(now)
 	n.lastContact = now
-	if n.asked.open && nonce == n.asked.nonce {
-		n.asked.at = now
+	if n.query.open && nonce == n.query.nonce {
+		n.query.sentAt = now
 	}
-	return n.settle(now, nil)
+	return n.finishEvent(now, nil)
 }
 
-// Poll is the outcome of PollTable; a whole load has After 0.
+// Poll is the outcome of PollTable. A read of the whole state has After 0.
 type Poll struct {
 	Nonce           uint64
 	OK              bool
 	After, Revision document.Revision
 }
 
-// Polled takes the outcome of a poll. Revisions that a poll found first are passed on
-// to the zone's nodes.
+// Polled handles the outcome of a poll. Revisions that are new to this node are pushed to
+// the nodes of its zone.
 func (n *Node) Polled(now time.Time, poll Poll) []Action {
-	n.begin(now)
+	n.beginEvent(now)
 	n.polling = false
 	if !poll.OK {
-		return n.settle(now, nil)
+		return n.finishEvent(now, nil)
 	}
 	n.lastContact = now
-	was := n.applied
-	actions := n.receive(now, nil, poll.After, poll.Revision)
-	if n.applied > was {
-		actions = n.pushAsRoot(actions, PushTo{Zone: n.config.Self.Zone, After: was, Revision: n.applied})
+	before := n.applied
+	actions := n.applyChanges(now, nil, poll.After, poll.Revision)
+	if n.applied > before {
+		actions = n.pushAsRoot(actions, PushTo{Zone: n.config.Self.Zone, After: before, Revision: n.applied})
 	}
-	// A read below what is in force came from a lagging replica and proves nothing.
-	if n.confirming != nil && poll.Nonce > n.confirming.after && poll.Revision >= n.applied {
-		n.confirming.table = true
+	// A read below the applied revision came from a lagging replica and confirms nothing.
+	if n.confirming != nil && poll.Nonce > n.confirming.lastNonce && poll.Revision >= n.applied {
+		n.confirming.tableConfirmed = true
 	}
-	return n.settle(now, actions)
+	return n.finishEvent(now, actions)
 }
 
-// Written takes a revision that this node wrote itself and pushes it. The changes lead
-// on from after, which is at most Revision. InForce tells afterwards which nodes have it.
+// Written handles a revision that this node wrote to the table and pushes it to all nodes.
+// The changes continue from after, which is at most Revision. InForce then returns the
+// tracker of the nodes that have applied it.
 func (n *Node) Written(now time.Time, after, revision document.Revision) []Action {
-	n.begin(now)
+	n.beginEvent(now)
 	n.lastContact = now
-	n.track(now, after, revision)
-	actions := n.receive(now, nil, after, revision)
+	n.startTracking(now, after, revision)
+	actions := n.applyChanges(now, nil, after, revision)
 	actions = n.pushAsRoot(actions, PushTo{After: after, Revision: revision})
-	return n.settle(now, actions)
+	return n.finishEvent(now, actions)
 }
 
-// Tick moves time on; it is to be called about every 100 ms. Acknowledgements wait for
-// it at each of a tree's levels.
+// Tick handles the passing of time. It must be called about every 100 ms; acknowledgements
+// wait for it at each level of a tree.
 func (n *Node) Tick(now time.Time) []Action {
-	n.begin(now)
+	n.beginEvent(now)
 	actions := n.flushAcks(nil)
 	for _, tracker := range n.trackers {
 		actions = tracker.tick(actions, now)
 	}
-	return n.settle(now, actions)
+	return n.finishEvent(now, actions)
 }
 
-// begin detects a pause at the first event after it, whichever comes first: messages
-// that were buffered during the pause are handled before the next tick.
-func (n *Node) begin(now time.Time) {
+// beginEvent detects a pause of the process at the first event after it, of any kind:
+// messages that were buffered during the pause are handled before the next tick.
+func (n *Node) beginEvent(now time.Time) {
 	if now.Sub(n.lastEvent) > n.config.PauseBound {
-		n.confirm(ReasonPaused)
+		n.startConfirmation(ReasonPaused)
 	}
 	n.lastEvent = now
 }
 
-func (n *Node) confirm(reason Reason) {
-	n.confirming = &confirmation{reason: reason, after: n.nonce, peers: make(map[NodeID]bool)}
+func (n *Node) startConfirmation(reason Reason) {
+	n.confirming = &confirmation{reason: reason, lastNonce: n.nonce, confirmedBy: make(map[NodeID]bool)}
 	n.polling = false
-	n.asked = question{}
+	n.query = peerQuery{}
 }
 
-// settle ends every event: it asks for what is missing and keeps readiness true to the
-// state.
-func (n *Node) settle(now time.Time, actions []Action) []Action {
-	n.noteBehind(now)
-	if n.confirmed() {
+// finishEvent ends every event: it requests missing changes and updates readiness.
+func (n *Node) finishEvent(now time.Time, actions []Action) []Action {
+	n.updateBehindSince(now)
+	if n.isConfirmed() {
 		n.confirming = nil
 	}
-	actions = n.poll(now, actions)
-	actions = n.ask(now, actions)
-	reason := n.obstacle(now)
+	actions = n.maybePoll(now, actions)
+	actions = n.maybeQueryPeer(now, actions)
+	reason := n.notReadyReason(now)
 	if reason == "" && !n.ready {
 		n.ready = true
 		return append(actions, BecomeReady{})
@@ -260,43 +264,43 @@
 	return actions
 }
 
-// confirmed reports whether the table, or enough peers in its place, confirm that
-// nothing newer exists. A node with no peers waits for the table.
-func (n *Node) confirmed() bool {
-	if n.confirming == nil || n.applied < n.heard {
+// isConfirmed reports whether the table, or enough peers in its place, have confirmed that
+// no newer revision exists. A node without peers waits for the table.
+func (n *Node) isConfirmed() bool {
+	if n.confirming == nil || n.applied < n.highestSeen {
 		return false
 	}
-	need := min(n.config.ConfirmPeers, len(n.peers))
-	return n.confirming.table || (need > 0 && len(n.confirming.peers) >= need)
+	required := min(n.config.ConfirmPeers, len(n.peers))
+	return n.confirming.tableConfirmed || (required > 0 && len(n.confirming.confirmedBy) >= required)
 }
 
-// obstacle returns why the node may not serve, or nothing. A node that has no peers is
-// not cut off from any: a table outage alone doesn't stop it.
-func (n *Node) obstacle(now time.Time) Reason {
+// notReadyReason returns why the node may not serve, or "" if it may. A node without peers
+// never counts as isolated, so a table outage alone does not stop it.
+func (n *Node) notReadyReason(now time.Time) Reason {
 	switch {
 	case n.confirming != nil:
 		return n.confirming.reason
-	case !n.behindSince.IsZero() && now.Sub(n.behindSince) >= n.config.StaleBound:
+	case !n.behindSince.IsZero() && now.Sub(n.behindSince) >= n.config.MaxStaleness:
 		return ReasonBehind
-	case len(n.peers) > 0 && now.Sub(n.lastContact) >= n.config.CutOffBound:
-		return ReasonCutOff
+	case len(n.peers) > 0 && now.Sub(n.lastContact) >= n.config.MaxIsolation:
+		return ReasonIsolated
 	}
 	return ""
 }
 
-// poll reads the table when it is this node's turn. A node that isn't a poller reads it
-// while it lacks something that its peers may not have either, and at the same pace.
-func (n *Node) poll(now time.Time, actions []Action) []Action {
-	waited := now.Sub(n.lastPoll)
-	if n.polling && waited < n.config.AnswerTimeout {
+// maybePoll polls the table if a poll is due. A node that is not a poller polls at the same
+// rate while it lacks changes that its peers may lack as well.
+func (n *Node) maybePoll(now time.Time, actions []Action) []Action {
+	sincePoll := now.Sub(n.lastPoll)
+	if n.polling && sincePoll < n.config.AnswerTimeout {
 		return actions
 	}
-	lonely := now.Sub(n.lastContact) >= 2*n.config.ContactInterval
-	behind := !n.behindSince.IsZero() && now.Sub(n.behindSince) >= n.config.StaleBound/2
-	if !n.poller && !lonely && !behind && n.confirming == nil {
+	isolated := now.Sub(n.lastContact) >= 2*n.config.ContactInterval
+	behind := !n.behindSince.IsZero() && now.Sub(n.behindSince) >= n.config.MaxStaleness/2
+	if !n.poller && !isolated && !behind && n.confirming == nil {
 		return actions
 	}
-	if !n.lastPoll.IsZero() && waited < n.config.PollInterval {
+	if !n.lastPoll.IsZero() && sincePoll < n.config.PollInterval {
 		return actions
 	}
 	n.polling = true
@@ -305,26 +309,28 @@
 	return append(actions, PollTable{After: n.applied, Nonce: n.nonce})
 }
 
-// ask puts a question to a peer while something is missing or all has been quiet.
-func (n *Node) ask(now time.Time, actions []Action) []Action {
-	if len(n.peers) == 0 || (n.asked.open && now.Sub(n.asked.at) < n.config.AnswerTimeout) {
+// maybeQueryPeer queries a peer if changes or a confirmation are missing, or if there was no
+// contact for ContactInterval.
+func (n *Node) maybeQueryPeer(now time.Time, actions []Action) []Action {
+	if len(n.peers) == 0 || (n.query.open && now.Sub(n.query.sentAt) < n.config.AnswerTimeout) {
 		return actions
 	}
 	quiet := now.Sub(n.lastContact) >= n.config.ContactInterval
-	if n.confirming == nil && n.applied >= n.heard && !quiet {
+	if n.confirming == nil && n.applied >= n.highestSeen && !quiet {
 		return actions
 	}
 	n.nonce++
-	n.asked = question{open: true, nonce: n.nonce, at: now}
+	n.query = peerQuery{open: true, nonce: n.nonce, sentAt: now}
 	return append(actions, AskPeer{Node: n.choosePeer(), After: n.applied, Nonce: n.nonce})
 }
 
-// choosePeer prefers the node known to have what is missing, once; then all take turns.
+// choosePeer returns the peer known to have the missing changes once, and after that the
+// peers in rotation.
 func (n *Node) choosePeer() NodeID {
-	if peer := n.informant; peer != "" && n.confirming == nil {
-		n.informant = ""
+	if peer := n.upToDatePeer; peer != "" && n.confirming == nil {
+		n.upToDatePeer = ""
 		return peer
 	}
-	n.turn++
-	return n.peers[(startingTurn(n.config.Self.ID)+n.turn)%len(n.peers)]
+	n.peerIndex++
+	return n.peers[(initialPeerIndex(n.config.Self.ID)+n.peerIndex)%len(n.peers)]
 }
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -13,157 +13,158 @@
 
 const step = 100 * time.Millisecond
 
-// bench joins nodes by messages that the hooks may lose, in steps of time.
-type bench struct {
+// cluster simulates nodes and the table in steps of time. Its hooks drop messages, take the
+// table down and delay its reads.
+type cluster struct {
 	t        require.TestingT
 	now      time.Time
 	table    document.Revision
 	members  []Member
 	nodes    map[NodeID]*Node
-	applied  map[NodeID]document.Revision // the naive record: the highest applied
+	applied  map[NodeID]document.Revision // reference: the highest revision applied
 	mailbox  []func()
-	lose     func(to NodeID) bool
+	drop     func(to NodeID) bool
 	tableUp  func() bool
-	staleBy  func() document.Revision
+	tableLag func() document.Revision
 	paused   map[NodeID]int
 	received map[NodeID]int
 	sent     map[NodeID]int
 }
 
-func newBench(t require.TestingT, size int) *bench {
-	b := &bench{
+func newCluster(t require.TestingT, size int) *cluster {
+	c := &cluster{
 		t: t, now: time.Unix(1000, 0), nodes: map[NodeID]*Node{}, applied: map[NodeID]document.Revision{},
-		lose: func(NodeID) bool { return false }, tableUp: func() bool { return true },
-		staleBy: func() document.Revision { return 0 }, paused: map[NodeID]int{}, received: map[NodeID]int{}, sent: map[NodeID]int{},
+		drop: func(NodeID) bool { return false }, tableUp: func() bool { return true },
+		tableLag: func() document.Revision { return 0 }, paused: map[NodeID]int{}, received: map[NodeID]int{}, sent: map[NodeID]int{},
 	}
 	for i := range size {
-		b.members = append(b.members, Member{ID: NodeID(fmt.Sprintf("vm-%04d", i)), Zone: fmt.Sprint("zone-", i%3)})
+		c.members = append(c.members, Member{ID: NodeID(fmt.Sprintf("vm-%04d", i)), Zone: fmt.Sprint("zone-", i%3)})
 	}
-	for _, member := range b.members {
-		b.start(member, 0, true)
+	for _, member := range c.members {
+		c.start(member, 0, true)
 	}
-	return b
+	return c
 }
 
-func (b *bench) start(member Member, revision document.Revision, confirmed bool) {
-	node := New(DefaultConfig(member), b.now, revision, confirmed)
-	b.nodes[member.ID] = node
-	b.applied[member.ID] = revision
-	b.do(member.ID, node.SetMembers(b.now, b.members))
+func (c *cluster) start(member Member, revision document.Revision, confirmed bool) {
+	node := New(DefaultConfig(member), c.now, revision, confirmed)
+	c.nodes[member.ID] = node
+	c.applied[member.ID] = revision
+	c.perform(member.ID, node.SetMembers(c.now, c.members))
 }
 
-func (b *bench) write(root NodeID) document.Revision {
-	b.table++
-	b.do(root, b.nodes[root].Written(b.now, b.nodes[root].Revision(), b.table))
-	return b.table
+func (c *cluster) write(root NodeID) document.Revision {
+	c.table++
+	c.perform(root, c.nodes[root].Written(c.now, c.nodes[root].Revision(), c.table))
+	return c.table
 }
 
-// send delivers a message in the next step, unless it gets lost or the node is replaced.
-func (b *bench) send(to NodeID, handle func(*Node) []Action) {
-	if b.lose(to) {
+// send delivers a message in the next step, unless it is dropped or the node is restarted.
+func (c *cluster) send(to NodeID, handle func(*Node) []Action) {
+	if c.drop(to) {
 		return
 	}
-	node := b.nodes[to]
+	node := c.nodes[to]
 	var deliver func()
 	deliver = func() {
-		if b.paused[to] > 0 {
-			b.mailbox = append(b.mailbox, deliver)
-		} else if b.nodes[to] == node {
-			b.received[to]++
-			b.do(to, handle(node))
+		if c.paused[to] > 0 {
+			c.mailbox = append(c.mailbox, deliver)
+		} else if c.nodes[to] == node {
+			c.received[to]++
+			c.perform(to, handle(node))
 		}
 	}
-	b.mailbox = append(b.mailbox, deliver)
+	c.mailbox = append(c.mailbox, deliver)
 }
 
-func (b *bench) do(self NodeID, actions []Action) {
-	node := b.nodes[self]
+func (c *cluster) perform(self NodeID, actions []Action) {
+	node := c.nodes[self]
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Apply:
-			require.Greater(b.t, a.Revision, b.applied[self], "node %s reverted", self)
-			b.applied[self] = a.Revision
+			require.Greater(c.t, a.Revision, c.applied[self], "node %s reverted", self)
+			c.applied[self] = a.Revision
 		case PushTo:
-			b.sent[self] += len(a.Nodes)
+			c.sent[self] += len(a.Nodes)
 			for _, to := range a.Nodes {
 				push := Push{From: self, Root: a.Root, Zone: a.Zone, After: a.After, Revision: a.Revision}
-				b.send(to, func(n *Node) []Action { return n.Pushed(b.now, push) })
+				c.send(to, func(n *Node) []Action { return n.Pushed(c.now, push) })
 			}
 		case AckTo:
-			b.send(a.Node, func(n *Node) []Action { return n.Acked(b.now, a.Root, a.Revision, a.Nodes) })
+			c.send(a.Node, func(n *Node) []Action { return n.Acked(c.now, a.Root, a.Revision, a.Nodes) })
 		case AskPeer:
-			b.send(a.Node, func(peer *Node) []Action {
+			c.send(a.Node, func(peer *Node) []Action {
 				answer := Answer{Node: a.Node, Nonce: a.Nonce, After: min(a.After, peer.Revision()), Revision: peer.Revision(), Highest: peer.Highest()}
-				b.send(self, func(n *Node) []Action { return n.Answered(b.now, answer) })
+				c.send(self, func(n *Node) []Action { return n.Answered(c.now, answer) })
 				return nil
 			})
 		case PollTable:
-			poll := Poll{Nonce: a.Nonce, OK: b.tableUp(), After: a.After, Revision: b.table - min(b.table, b.staleBy())}
-			b.send(self, func(n *Node) []Action { return n.Polled(b.now, poll) })
+			poll := Poll{Nonce: a.Nonce, OK: c.tableUp(), After: a.After, Revision: c.table - min(c.table, c.tableLag())}
+			c.send(self, func(n *Node) []Action { return n.Polled(c.now, poll) })
 		}
 	}
-	if b.nodes[self] == node {
-		require.Equal(b.t, b.applied[self], node.Revision())
+	if c.nodes[self] == node {
+		require.Equal(c.t, c.applied[self], node.Revision())
 	}
 }
 
-func (b *bench) step() {
-	b.now = b.now.Add(step)
-	due := b.mailbox
-	b.mailbox = nil
+func (c *cluster) step() {
+	c.now = c.now.Add(step)
+	due := c.mailbox
+	c.mailbox = nil
 	for _, deliver := range due {
 		deliver()
 	}
-	for _, member := range b.members {
-		if b.paused[member.ID] > 0 {
-			b.paused[member.ID]--
+	for _, member := range c.members {
+		if c.paused[member.ID] > 0 {
+			c.paused[member.ID]--
 			continue
 		}
-		b.do(member.ID, b.nodes[member.ID].Tick(b.now))
+		c.perform(member.ID, c.nodes[member.ID].Tick(c.now))
 	}
 }
 
-func (b *bench) steps(n int) {
+func (c *cluster) steps(n int) {
 	for range n {
-		b.step()
+		c.step()
 	}
 }
 
-// The push must reach 1,550 nodes over four levels, and no node may carry more than its
-// fan-out of pushes; a full mesh would have one node send 1,549.
-func TestPushReachesTheFleet(t *testing.T) {
-	b := newBench(t, 1550)
-	b.steps(20)
-	b.sent = map[NodeID]int{}
-	revision := b.write("vm-0007")
-	b.steps(4)
-	for id, node := range b.nodes {
+// A push reaches 1,550 nodes over four levels, and no node sends more pushes than its
+// fan-out; in a full mesh one node would send 1,549.
+func TestPushReachesAllNodes(t *testing.T) {
+	c := newCluster(t, 1550)
+	c.steps(20)
+	c.sent = map[NodeID]int{}
+	revision := c.write("vm-0007")
+	c.steps(4)
+	for id, node := range c.nodes {
 		require.Equal(t, revision, node.Revision(), id)
-		require.LessOrEqual(t, b.sent[id], 8)
+		require.LessOrEqual(t, c.sent[id], 8)
 	}
-	b.steps(8)
-	require.True(t, b.nodes["vm-0007"].InForce(revision).Accepted(), b.nodes["vm-0007"].InForce(revision).Missing())
+	c.steps(8)
+	require.True(t, c.nodes["vm-0007"].InForce(revision).Accepted(), c.nodes["vm-0007"].InForce(revision).Missing())
 }
 
-// A node that polled the revision before the push came must still pass the push on, once.
-func TestPushIsPassedOnOnce(t *testing.T) {
-	b := newBench(t, 100)
+// A node that polled the revision before the push arrived must still relay the push, once.
+func TestPushIsRelayedOnce(t *testing.T) {
+	c := newCluster(t, 100)
 	push := Push{From: "vm-0001", Root: "vm-0001", Revision: 1}
-	for _, member := range b.members[2:] {
-		n := b.nodes[member.ID]
+	for _, member := range c.members[2:] {
+		n := c.nodes[member.ID]
 		if len(n.children(push.Root, 1, n.members)) == 0 {
 			continue
 		}
-		n.Polled(b.now, Poll{OK: true, Revision: 1})
-		require.IsType(t, PushTo{}, n.Pushed(b.now, push)[0])
-		require.Empty(t, n.Pushed(b.now, push))
+		n.Polled(c.now, Poll{OK: true, Revision: 1})
+		require.IsType(t, PushTo{}, n.Pushed(c.now, push)[0])
+		require.Empty(t, n.Pushed(c.now, push))
 	}
 }
 
-func TestPollersOfAZoneAreFew(t *testing.T) {
-	b := newBench(t, 1550)
+func TestPollersPerZone(t *testing.T) {
+	c := newCluster(t, 1550)
 	pollers := 0
-	for _, node := range b.nodes {
+	for _, node := range c.nodes {
 		if node.poller {
 			pollers++
 		}
@@ -171,21 +172,22 @@
 	require.Equal(t, 3*DefaultConfig(Member{}).PollersPerZone, pollers)
 }
 
-// Symptom: a change was reported as accepted and one node went on with the old one.
-// Events: the node heard neither push nor poll. Cause: the answer came before its ack.
-func TestMissingNodesAreNamed(t *testing.T) {
-	b := newBench(t, 30)
-	b.lose = func(to NodeID) bool { return to == "vm-0009" }
-	revision := b.write("vm-0001")
-	b.steps(20)
-	record := b.nodes["vm-0001"].InForce(revision)
-	require.Equal(t, []NodeID{"vm-0009"}, record.Missing())
-	b.lose = func(NodeID) bool { return false }
-	b.steps(10)
-	require.True(t, record.Accepted())
+// A change must not be reported as accepted while a node that got neither the push nor a
+// poll still has the old configuration.
+func TestMissingNodesAreReported(t *testing.T) {
+	c := newCluster(t, 30)
+	c.drop = func(to NodeID) bool { return to == "vm-0009" }
+	revision := c.write("vm-0001")
+	c.steps(20)
+	tracker := c.nodes["vm-0001"].InForce(revision)
+	require.Equal(t, []NodeID{"vm-0009"}, tracker.Missing())
+	c.drop = func(NodeID) bool { return false }
+	c.steps(10)
+	require.True(t, tracker.Accepted())
 }
 
-// Each case is a node that must not admit, and the event that lets it admit again.
+// Each case brings a node into a state in which it must not admit requests, and then to
+// readiness again.
 func TestReadiness(t *testing.T) {
 	self, peers := Member{"a", "z"}, []Member{{"a", "z"}, {"b", "z"}, {"c", "z"}}
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
@@ -200,8 +202,8 @@
 		return n
 	}
 	t.Run("pause", func(t *testing.T) {
-		// Symptom: a call was admitted under a key that had been removed. Events: the VM
-		// was paused, the key went, the VM resumed. Cause: nothing told it of the pause.
+		// A VM that resumes after a pause must not admit a call under a key that was removed
+		// meanwhile.
 		n := fresh(true)
 		run(n, 100, 500)
 		require.True(t, n.Ready(at(600)))
@@ -221,7 +223,7 @@
 		run(n, 100, 200)
 		n.Answered(at(300), Answer{Node: "b", Nonce: n.nonce, After: 5, Revision: 5, Highest: 6})
 		n.Answered(at(300), Answer{Node: "c", Nonce: n.nonce, After: 5, Revision: 5, Highest: 5})
-		require.False(t, n.Ready(at(300)), "a peer heard of 6")
+		require.False(t, n.Ready(at(300)), "a peer knows of revision 6")
 		n.Answered(at(400), Answer{Node: "c", Nonce: n.nonce, After: 5, Revision: 6, Highest: 6})
 		require.True(t, n.Ready(at(400)))
 	})
@@ -233,7 +235,7 @@
 		n.Heard(at(2000), "b", 6, 6)
 		require.False(t, n.Ready(at(2000)))
 		n.Pushed(at(2100), Push{From: "b", Root: "b", After: 6, Revision: 7})
-		require.False(t, n.Ready(at(2100)), "changes that don't follow on are not applied")
+		require.False(t, n.Ready(at(2100)), "changes that leave a gap are not applied")
 		require.EqualValues(t, 5, n.Revision())
 		n.Pushed(at(2200), Push{From: "b", Root: "b", After: 5, Revision: 7})
 		require.True(t, n.Ready(at(2200)))
@@ -248,17 +250,17 @@
 		require.True(t, n.Ready(at(10_100)))
 	})
 	t.Run("table outage", func(t *testing.T) {
-		b := newBench(t, 6)
-		b.tableUp = func() bool { return false }
-		b.steps(300)
-		for id, node := range b.nodes {
-			require.True(t, node.Ready(b.now), id)
+		c := newCluster(t, 6)
+		c.tableUp = func() bool { return false }
+		c.steps(300)
+		for id, node := range c.nodes {
+			require.True(t, node.Ready(c.now), id)
 		}
 	})
 }
 
-// Guards against a whole state being asked of one peer after the other while the first still sends it.
-func TestPeerThatStillAnswersIsNotReplaced(t *testing.T) {
+// The whole state must not be requested from a second peer while the first still sends it.
+func TestPartialAnswersKeepQueryOpen(t *testing.T) {
 	self, peers := Member{"a", "z"}, []Member{{"a", "z"}, {"b", "z"}, {"c", "z"}}
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	asks := func(actions []Action) (n int) {
@@ -281,43 +283,44 @@
 	for end := ms + int(n.config.AnswerTimeout.Milliseconds()); ms <= end; ms += 100 {
 		stalled += asks(n.Answering(at(ms), nonce-1)) + asks(n.Tick(at(ms)))
 	}
-	require.Equal(t, 1, stalled, "parts of another answer keep no question open")
+	require.Equal(t, 1, stalled, "parts of another answer do not keep the query open")
 }
 
-// Under random loss, pauses, restarts and stale reads no node reverts (bench.do checks it
-// against the naive record) and none admits before it confirmed; once the faults end, all
-// nodes are ready at the highest revision within a bounded number of steps.
+// Under random loss, pauses, restarts and stale reads no node reverts to a lower revision
+// (cluster.perform checks it against the reference) and none admits requests before its
+// revision is confirmed. Once the faults end, all nodes are ready at the highest revision
+// within a bounded number of steps.
 func TestSpreadUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(t, 9)
+		c := newCluster(t, 9)
 		percent := rapid.IntRange(0, 60).Draw(t, "loss")
 		hit := func(label string, p int) bool { return rapid.IntRange(0, 99).Draw(t, label) < p }
-		b.lose = func(NodeID) bool { return hit("lost", percent) }
-		b.tableUp = func() bool { return !hit("table", 30) }
-		b.staleBy = func() document.Revision { return document.Revision(rapid.IntRange(0, 2).Draw(t, "stale")) }
-		pick := rapid.SampledFrom(b.members)
+		c.drop = func(NodeID) bool { return hit("lost", percent) }
+		c.tableUp = func() bool { return !hit("table", 30) }
+		c.tableLag = func() document.Revision { return document.Revision(rapid.IntRange(0, 2).Draw(t, "stale")) }
+		pick := rapid.SampledFrom(c.members)
 		for range 60 {
 			switch member := pick.Draw(t, "node"); rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				b.paused[member.ID] = rapid.IntRange(1, 30).Draw(t, "pause")
+				c.paused[member.ID] = rapid.IntRange(1, 30).Draw(t, "pause")
 			case 1:
-				saved := document.Revision(rapid.IntRange(0, int(b.table)).Draw(t, "saved"))
-				b.start(member, saved, false)
-				require.False(t, b.nodes[member.ID].Ready(b.now))
+				saved := document.Revision(rapid.IntRange(0, int(c.table)).Draw(t, "saved"))
+				c.start(member, saved, false)
+				require.False(t, c.nodes[member.ID].Ready(c.now))
 			case 2:
-				if b.paused[member.ID] == 0 {
-					b.write(member.ID)
+				if c.paused[member.ID] == 0 {
+					c.write(member.ID)
 				}
 			}
-			b.step()
+			c.step()
 		}
-		b.lose = func(NodeID) bool { return false }
-		b.tableUp = func() bool { return true }
-		b.staleBy = func() document.Revision { return 0 }
-		b.steps(70)
-		for id, node := range b.nodes {
-			require.Equal(t, b.table, node.Revision(), id)
-			require.True(t, node.Ready(b.now), "%s: %s", id, node.reason)
+		c.drop = func(NodeID) bool { return false }
+		c.tableUp = func() bool { return true }
+		c.tableLag = func() document.Revision { return 0 }
+		c.steps(70)
+		for id, node := range c.nodes {
+			require.Equal(t, c.table, node.Revision(), id)
+			require.True(t, node.Ready(c.now), "%s: %s", id, node.reason)
 		}
 	})
 }
--- a/core/spread/tree.go
+++ b/core/spread/tree.go
@@ -9,20 +9,22 @@
 	"acaciacleat.example/core/rendezvous"
 )
 
-// maxRelays bounds the pushes that a node remembers. A push that comes again after 16
-// others would be passed on a second time, which costs bytes and nothing else.
+// maxRelays bounds the pushes that a node remembers. A push that arrives again after 16
+// others is relayed a second time, which only costs bandwidth.
 const maxRelays = 16
 
-// relay is a push that the node passed on, with the acknowledgements to pass back.
+// relay is a push that the node relayed, with the acknowledgements to return to its parent.
 type relay struct {
 	root     NodeID
 	revision document.Revision
 	parent   NodeID
-	// acks are the nodes below that have the revision in force, not yet passed back.
+	// acks are the nodes below that have applied the revision and are not yet reported to
+	// the parent.
 	acks []NodeID
-	// owed says that the node's own acknowledgement is still to come. Only a push to all
-	// nodes is acknowledged: the root of one to a zone read the table and awaits none.
-	owed bool
+	// ownAckPending says that the node has not acknowledged the push itself. Only a push to
+	// all nodes is acknowledged: the root of a push to a zone got the changes from the table
+	// and expects no acknowledgements.
+	ownAckPending bool
 }
 
 // Push is a message that PushTo sent.
@@ -32,50 +34,51 @@
 	After, Revision document.Revision
 }
 
-// Pushed takes a push. The node passes it on even if it had the revision by another way,
-// for the nodes below it in the tree may not; but only once for each root and revision.
+// Pushed handles a push. The node relays it even if it already has the revision, because
+// the nodes below it in the tree may not, but only once for each root and revision.
 func (n *Node) Pushed(now time.Time, push Push) []Action {
-	n.begin(now)
+	n.beginEvent(now)
 	n.lastContact = now
-	actions := n.receive(now, nil, push.After, push.Revision)
-	n.hear(now, push.From, push.Revision, push.Revision)
+	actions := n.applyChanges(now, nil, push.After, push.Revision)
+	n.observeRevision(now, push.From, push.Revision, push.Revision)
 	known := n.findRelay(push.Root, push.Revision)
 	if known != nil {
 		known.parent = push.From
-		known.owed = push.Zone == ""
-		return n.settle(now, actions)
+		known.ownAckPending = push.Zone == ""
+		return n.finishEvent(now, actions)
 	}
 	if len(n.relays) == maxRelays {
 		n.relays = slices.Delete(n.relays, 0, 1)
 	}
-	n.relays = append(n.relays, relay{root: push.Root, revision: push.Revision, parent: push.From, owed: push.Zone == ""})
+	n.relays = append(n.relays, relay{root: push.Root, revision: push.Revision, parent: push.From, ownAckPending: push.Zone == ""})
 	actions = n.pushDown(actions, PushTo{Root: push.Root, Zone: push.Zone, After: push.After, Revision: push.Revision})
-	return n.settle(now, actions)
+	return n.finishEvent(now, actions)
 }
 
-// Acked takes acknowledgements from nodes below in the tree.
+// Acked handles acknowledgements from nodes below in the tree.
 func (n *Node) Acked(now time.Time, root NodeID, revision document.Revision, nodes []NodeID) []Action {
-	n.begin(now)
+	n.beginEvent(now)
 	n.lastContact = now
 	if root == n.config.Self.ID {
 		for _, tracker := range n.trackers {
 			for _, node := range nodes {
-				tracker.acked(node, revision)
+				tracker.recordAck(node, revision)
 			}
 		}
 	} else if relay := n.findRelay(root, revision); relay != nil {
 		relay.acks = append(relay.acks, nodes...)
 	}
-	return n.settle(now, nil)
+	return n.finishEvent(now, nil)
 }
 
-// flushAcks passes back what gathered since the last tick, in one message for each push:
-// a root would otherwise have a connection from every one of 1,550 nodes.
+// flushAcks returns the acknowledgements collected since the last tick to the parents, in
+// one message for each push. If every node sent its own to the root, the root would have
+// connections from all 1,550 nodes.
 func (n *Node) flushAcks(actions []Action) []Action {
 	for i := range n.relays {
 		r := &n.relays[i]
-		if r.owed && n.applied >= r.revision {
-			r.owed = false
+		if r.ownAckPending && n.applied >= r.revision {
+			r.ownAckPending = false
 			r.acks = append(r.acks, n.config.Self.ID)
 		}
 		if len(r.acks) > 0 {
@@ -113,11 +116,11 @@
 	return append(actions, push)
 }
 
-// children returns the nodes to which this node passes a push on. Each node works out
-// the same tree by itself: the members in an order that root and revision decide, with
-// the root first and node i above the nodes i*Fanout+1 to i*Fanout+Fanout. Where two
-// nodes' members differ, a node may be left out; it learns of the revision by the other
-// ways, and the writer pushes again to those that it doesn't hear from.
+// children returns the nodes to which this node relays a push. Each node computes the same
+// tree: the members in an order determined by root and revision, with the root first and
+// node i as the parent of the nodes i*Fanout+1 to i*Fanout+Fanout. Where two nodes' member
+// lists differ, a node may be left out. It then learns of the revision in the other ways,
+// and the writer pushes again to nodes that have not acknowledged.
 func (n *Node) children(root NodeID, revision document.Revision, members []Member) []NodeID {
 	names := make([]string, 0, len(members)+1)
 	names = append(names, string(root))
@@ -127,14 +130,14 @@
 		}
 	}
 	order := rendezvous.Ranked(string(root)+strconv.FormatUint(uint64(revision), 10), names[1:])
-	place := 0
+	position := 0
 	if n.config.Self.ID != root {
-		place = 1 + slices.IndexFunc(order, func(i int) bool { return names[i+1] == string(n.config.Self.ID) })
-		if place == 0 {
+		position = 1 + slices.IndexFunc(order, func(i int) bool { return names[i+1] == string(n.config.Self.ID) })
+		if position == 0 {
 			return nil
 		}
 	}
-	first := place*n.config.Fanout + 1
+	first := position*n.config.Fanout + 1
 	last := min(first+n.config.Fanout, len(names))
 	var children []NodeID
 	for i := first; i < last; i++ {
@@ -147,8 +150,8 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone != zone })
 }
 
-// isPoller reports whether the node is among those of its zone that poll. A node that
-// isn't in the list counts itself in: too many pollers for a while are harmless.
+// isPoller reports whether the node is one of its zone's pollers. A node that is missing in
+// the list of members includes itself: too many pollers for a while are harmless.
 func isPoller(config Config, members []Member) bool {
 	names := []string{string(config.Self.ID)}
 	for _, member := range inZone(members, config.Self.Zone) {
@@ -160,19 +163,19 @@
 	return slices.Index(order, 0) < config.PollersPerZone
 }
 
-// startingTurn spreads the nodes' first questions over the peers.
-func startingTurn(self NodeID) int { return int(rendezvous.Hash(string(self)) >> 33) }
+// initialPeerIndex spreads the nodes' first queries over the peers.
+func initialPeerIndex(self NodeID) int { return int(rendezvous.Hash(string(self)) >> 33) }
 
-func (n *Node) track(now time.Time, after, revision document.Revision) {
+func (n *Node) startTracking(now time.Time, after, revision document.Revision) {
 	if len(n.trackers) == maxTrackers {
 		n.trackers = slices.Delete(n.trackers, 0, 1)
 	}
-	n.trackers = append(n.trackers, newInForce(n.config, now, after, revision, n.peers))
+	n.trackers = append(n.trackers, newAckTracker(n.config, now, after, revision, n.peers))
 }
 
-// InForce returns the record of a revision that this node wrote, or nil when it was
-// forgotten after maxTrackers later ones.
-func (n *Node) InForce(revision document.Revision) *InForce {
+// InForce returns the tracker of a revision that this node wrote. It returns nil if there is
+// none or if maxTrackers later writes have replaced it.
+func (n *Node) InForce(revision document.Revision) *AckTracker {
 	for _, tracker := range n.trackers {
 		if tracker.revision == revision {
 			return tracker
