--- a/core/follow/follow.go
+++ b/core/follow/follow.go
@@ -1,11 +1,11 @@
-// Package follow decides which entries read the platform's feeds themselves, and when one that
-// hears of changes from them has to read on its own. It does no I/O.
+// Package follow decides which entries read the platform's feeds directly, and when an entry
+// that receives updates from them must read a feed itself. It does no I/O.
 //
-// All entries need the same two feeds. If each reads them, what the store answers grows with
-// the number of entries, and every answer is paid for. So a few entries of each availability
-// zone follow a feed and pass on what they read; the others listen. Nothing safe hangs on who
-// follows: an entry listens only as long as followers tell it, again and again, that they have
-// read up to now.
+// All entries need the same two feeds. If each read them, the number of billed reads of the
+// store would grow with the number of entries. So a few entries of each availability zone,
+// the followers, read a feed and forward what they read; the others are listeners. Correctness
+// does not depend on the choice of followers: an entry relies on them only as long as they
+// keep confirming that they have read up to the present.
 package follow
 
 import (
@@ -16,44 +16,45 @@
 )
 
 const (
-	// perZone is the number of entries of an availability zone that follow: two, so that one
-	// may be cut off, frozen or replaced without the others having to read.
-	perZone = 2
-	// OverdueAfter is how long an entry relies on a follower that says nothing. With a read of
-	// its own after that, a change is in force well within the two seconds that operators
-	// are promised, also where all followers of its zone stand still at once.
+	// followersPerZone is the number of followers in an availability zone. With two, one may be
+	// partitioned, frozen or replaced without the listeners having to read.
+	followersPerZone = 2
+	// OverdueAfter is how long a listener relies on a follower that sends nothing. The read that
+	// the listener then makes itself applies a change within the two seconds promised to
+	// operators, even if all followers of its zone stop at once.
 	OverdueAfter = 1300 * time.Millisecond
-	// ListenedWait is how long a follower's read waits for a change while others listen: each
-	// answer, also an empty one, tells them that nothing was missed. It leaves time for the
-	// word's way, and for the pause between two reads, within OverdueAfter.
+	// ListenedWait is how long a follower's read waits for a change while there are listeners:
+	// each answer, even an empty one, is forwarded as a confirmation that nothing was missed.
+	// It leaves time within OverdueAfter for sending the update and for the pause between two
+	// reads.
 	ListenedWait = time.Second
-	// ExpectFor is how long an entry waits for news that followers could not send along to come on
-	// another way, before it reads them itself.
+	// ExpectFor is how long a listener waits for content that was too large for an update and
+	// arrives by another path, before it reads the feed itself.
 	ExpectFor = 600 * time.Millisecond
 )
 
-// Role is what an entry does for a feed.
+// Role is the role of an entry for a feed.
 type Role uint8
 
 // The roles.
 const (
-	// Alone entries read for themselves: their zone has no more entries than would follow.
+	// Alone entries read for themselves only: their zone has no entries besides the followers.
 	Alone Role = iota
-	// Follows: the entry reads and tells the others of its zone.
+	// Follows is the role of an entry that reads the feed and forwards updates to its zone.
 	Follows
-	// Listens: the entry hears of changes from those that follow.
+	// Listens is the role of an entry that receives updates from the followers of its zone.
 	Listens
 )
 
-// RoleOf returns the role of an entry in its availability zone, of which members are the other
-// entries that it has links to. Two entries with other members in sight may choose
-// differently: then some more follow, or some listen in vain and read.
+// RoleOf returns the role of an entry in its availability zone; members are the other entries
+// of the zone to which it has links. Entries with different members may disagree: then there
+// are additional followers, or listeners without a follower, which read the feed themselves.
 func RoleOf(self, zone string, members []string) Role {
-	if len(members) < perZone {
+	if len(members) < followersPerZone {
 		return Alone
 	}
 	all := append(slices.Clone(members), self)
-	for _, i := range rendezvous.Ranked(zone, all)[:perZone] {
+	for _, i := range rendezvous.Ranked(zone, all)[:followersPerZone] {
 		if all[i] == self {
 			return Follows
 		}
@@ -61,124 +62,124 @@
 	return Listens
 }
 
-// Place is where a feed's reader stands: everything up to this version is known.
+// Place is a position in a feed: everything up to this version is known.
 type Place uint64
 
-// Feed is what one entry knows of how current one of its feeds is. Its methods are called
-// with increasing times and not concurrently.
+// Feed tracks how current one entry's copy of a feed is. Its methods must be called with
+// increasing times and not concurrently.
 type Feed struct {
-	place Place
-	// before is the place from which the last news led to it.
-	before Place
-	// words are the times at which followers last told that they had read up to then.
-	words map[string]time.Time
-	// behind says that news were missed: the next read must be the entry's own.
-	behind   bool
-	expected expected
+	position Place
+	// previous is the position before the last update.
+	previous Place
+	// lastHeard holds, for each follower, when it last confirmed that it had read up to the
+	// present.
+	lastHeard map[string]time.Time
+	// missedUpdate says that an update was missed, so that the entry must read the feed itself.
+	missedUpdate bool
+	pending      pendingContent
 }
 
-// expected are news that were heard of and come on another way than the feed.
-type expected struct {
-	// version is that of the content that must be in force; zero for none.
+// pendingContent is content that was announced and arrives by another path than the feed.
+type pendingContent struct {
+	// version is the content version that must be applied; zero for none.
 	version uint64
-	// before is the place behind which the news are, and due when they must have come.
-	before Place
-	due    time.Time
+	// previous is the position before the announced update, and deadline the time by which the
+	// content must have arrived.
+	previous Place
+	deadline time.Time
 }
 
-// NewFeed returns a Feed that has to be read from its beginning.
-func NewFeed() *Feed { return &Feed{words: make(map[string]time.Time)} }
+// NewFeed returns a Feed that must be read from the beginning.
+func NewFeed() *Feed { return &Feed{lastHeard: make(map[string]time.Time)} }
 
-// Place returns where to read on from; zero for the beginning.
+// Place returns the position from which to read; zero for the beginning.
 func (f *Feed) Place() Place {
-	if f.expected.version > 0 {
-		return f.expected.before
+	if f.pending.version > 0 {
+		return f.pending.previous
 	}
-	return f.place
+	return f.position
 }
 
-// Behind tells whether news were missed, which the entry has to read itself.
-func (f *Feed) Behind() bool { return f.behind }
+// Behind reports whether an update was missed, so that the entry must read the feed itself.
+func (f *Feed) Behind() bool { return f.missedUpdate }
 
-// Listens tells whether the entry can leave the reading to others now, and up to when if
-// it hears nothing more. One that has never read the feed can't: others tell of changes only.
+// Listens reports whether the entry can rely on followers now, and until when if it receives
+// nothing more. An entry that has never read the feed cannot: followers only send changes.
 func (f *Feed) Listens(now time.Time, role Role) (until time.Time, ok bool) {
-	overdue := f.expected.version > 0 && !now.Before(f.expected.due)
-	if role != Listens || f.behind || f.place == 0 || overdue {
+	overdue := f.pending.version > 0 && !now.Before(f.pending.deadline)
+	if role != Listens || f.missedUpdate || f.position == 0 || overdue {
 		return time.Time{}, false
 	}
-	for _, at := range f.words {
+	for _, at := range f.lastHeard {
 		if due := at.Add(OverdueAfter); due.After(until) {
 			until = due
 		}
 	}
-	if f.expected.version > 0 && f.expected.due.Before(until) {
-		until = f.expected.due
+	if f.pending.version > 0 && f.pending.deadline.Before(until) {
+		until = f.pending.deadline
 	}
 	return until, until.After(now)
 }
 
-// Read takes the place that a read of the entry's own has led to, from another one. It tells
-// whether the news are to be put in force: they are older than what is known where a
-// follower's word has overtaken them.
+// Read records that the entry itself has read the feed up to a position. It reports whether
+// to apply the content read; it must not be applied if a newer update of a follower arrived
+// during the read.
 func (f *Feed) Read(to Place) bool {
-	f.behind = false
-	if to < f.place {
+	f.missedUpdate = false
+	if to < f.position {
 		return false
 	}
-	f.expected = expected{} // It was read from before them.
-	f.move(to)
+	f.pending = pendingContent{} // The read began before the pending content.
+	f.advance(to)
 	return true
 }
 
-func (f *Feed) move(to Place) { f.before, f.place = f.place, to }
+func (f *Feed) advance(to Place) { f.previous, f.position = f.position, to }
 
-// Restart forgets the place: the store no longer has what came after it.
-func (f *Feed) Restart() { f.place, f.expected = 0, expected{} }
+// Restart resets the position to the beginning because the store no longer has the changes
+// after it.
+func (f *Feed) Restart() { f.position, f.pending = 0, pendingContent{} }
 
-// Heard takes a follower's word that it has read from one place to another just now. It tells
-// whether the news that came with it are to be put in force.
+// Heard handles a follower's update, which says that the follower has just read from one
+// position to another. It reports whether to apply the content of the update.
 //
-// What goes wrong if a word that begins after the entry's own place were taken: what changed
-// between the two would never be heard of, an upstream that leaves, say. The entry reads
-// itself instead.
+// An update that begins after the entry's position is not applied: the changes between the
+// two, such as an upstream that leaves, would never be seen. The entry reads the feed itself
+// instead.
 func (f *Feed) Heard(now time.Time, follower string, from, to Place) bool {
-	f.words[follower] = now
+	f.lastHeard[follower] = now
 	switch {
-	case from > f.place:
-		f.behind = true
+	case from > f.position:
+		f.missedUpdate = true
 		return false
-	case to <= f.place:
+	case to <= f.position:
 		return false
 	}
-	f.move(to)
+	f.advance(to)
 	return true
 }
 
-// Miss takes back what the last call of Read or Heard has told to put in force: the news came
-// without their content, or could not be taken up. The entry has to read them itself.
-//
-// What goes wrong if the place stayed: the next read would begin behind them, and they would
-// never come again.
-func (f *Feed) Miss() { f.place, f.behind = f.before, true }
+// Miss reverts the last call of Read or Heard that reported true, because the content was
+// missing or could not be applied. The entry must read the feed itself, from the position
+// before the update: a read from after it would never return the content again.
+func (f *Feed) Miss() { f.position, f.missedUpdate = f.previous, true }
 
-// Expect notes that the news of the last call of Heard are to come on another way: they are known
-// once content of at least this version is in force.
-//
-// What goes wrong if the place alone were kept: a read from behind the news would never bring them.
+// Expect records that the content of the last update passed to Heard arrives by another path;
+// it counts as applied once content of at least this version is. Until then the position
+// before the update is kept, because a read from after it would never return the content.
 func (f *Feed) Expect(now time.Time, version uint64) {
-	if f.expected.version == 0 {
-		f.expected = expected{before: f.before, due: now.Add(ExpectFor)}
+	if f.pending.version == 0 {
+		f.pending = pendingContent{previous: f.previous, deadline: now.Add(ExpectFor)}
 	}
-	f.expected.version = max(f.expected.version, version)
+	f.pending.version = max(f.pending.version, version)
 }
 
-// InForce notes the version of the content that is in force.
+// InForce records the version of the content that is applied.
 func (f *Feed) InForce(version uint64) {
-	if version >= f.expected.version {
-		f.expected = expected{}
+	if version >= f.pending.version {
+		f.pending = pendingContent{}
 	}
 }
 
-// Lost notes that a follower's own read has failed, or that its link has ended.
-func (f *Feed) Lost(follower string) { delete(f.words, follower) }
+// Lost records that a follower's read of the feed has failed or that the link to it has ended.
+func (f *Feed) Lost(follower string) { delete(f.lastHeard, follower) }
