--- a/core/fetch/fetch.go
+++ b/core/fetch/fetch.go
@@ -1,10 +1,10 @@
-// Package fetch decides how an entry gets a large value that other entries have and it lacks: in
-// parts, one at a time, from one holder at a time. It does no I/O.
+// Package fetch decides how an entry fetches a large value that other entries, the holders,
+// have and it lacks: one part at a time, from one holder at a time. It does no I/O.
 //
-// What an entry is sent follows from what it asks for, and it asks for the next part once it has the
-// last. So a link that is narrow or congested makes the transfer slower and nothing else: the
-// entry's other messages wait for one part at the most, and no holder that is slow is a reason to
-// load the link with a second copy.
+// A holder only sends what is requested, and an entry requests the next part once it has
+// received the last. So a slow or congested link only makes the transfer slower: the entry's
+// other messages wait for at most one part, and a slow holder never causes a second copy to be
+// sent over the link.
 package fetch
 
 import (
@@ -15,21 +15,22 @@
 )
 
 const (
-	// PartBytes is the size of a part: other messages on the link wait for one at the most.
+	// PartBytes is the size of a part. Other messages on the link wait for at most one part.
 	PartBytes = 32 << 10
-	// mostParts bounds what a holder can make an entry keep.
-	mostParts = 1024
-	// HoldOff is how long an entry waits for its own feed, or for a follower, before it asks others.
+	// maxParts bounds the memory that a holder can make an entry use.
+	maxParts = 1024
+	// HoldOff is how long an entry waits for its own feed, or for a follower, before it requests
+	// a value from other entries.
 	HoldOff = 150 * time.Millisecond
-	// partTimeout is how long an entry waits for a part, and for a holder that has not answered
-	// before it is asked again.
+	// partTimeout is how long an entry waits for a part. A holder that did not answer in time is
+	// not asked again for as long.
 	partTimeout = 500 * time.Millisecond
-	// busyPause is how long a holder that was busy is left alone.
-	busyPause = 100 * time.Millisecond
+	// busyBackoff is how long a holder that was busy is not asked again.
+	busyBackoff = 100 * time.Millisecond
 )
 
-// Ask names a part. The first part of the newest version is wanted where Part is zero, and where
-// the holder no longer has Version.
+// Ask requests a part. The holder returns the first part of its newest version if Part is zero
+// or if it no longer has Version.
 type Ask struct {
 	Version uint64
 	Part    int
@@ -46,37 +47,37 @@
 	Data  []byte
 }
 
-// Fetch is what one entry knows of a value that it may lack. Its methods are called with
-// increasing times and not concurrently.
+// Fetch is the state of fetching the newest version of one value. Its methods must be called
+// with increasing times and not concurrently.
 type Fetch struct {
 	random *rand.Rand
-	// newest is the highest version announced, since is when it was first missing, and start is
-	// when to ask for it.
-	newest uint64
-	since  time.Time
-	start  time.Time
-	// holders are the entries that have announced a version that is missing.
+	// newest is the highest version announced, missingSince is when a newer version was first
+	// missing, and fetchAt is when to request it.
+	newest       uint64
+	missingSince time.Time
+	fetchAt      time.Time
+	// holders are the entries that have announced a missing version.
 	holders []holder
-	// asked is the holder whose answer is awaited until due; empty for none.
-	asked string
-	due   time.Time
-	// from is the holder that sent the last part.
-	from string
-	// got are the parts that have arrived.
-	got partial
-	// handed is the last version that was handed over.
-	handed uint64
+	// pendingHolder is the holder whose answer is awaited until deadline; empty for none.
+	pendingHolder string
+	deadline      time.Time
+	// lastSource is the holder that sent the last part.
+	lastSource string
+	// partial holds the parts that have arrived.
+	partial partial
+	// delivered is the last version that was returned to the caller.
+	delivered uint64
 }
 
 type holder struct {
 	name    string
 	version uint64
 	near    bool
-	// notBefore is when it may be asked again.
+	// notBefore is when the holder may be asked again.
 	notBefore time.Time
 }
 
-// partial is an encoding of which the parts up to next have arrived.
+// partial is an encoding of which the parts before next have arrived.
 type partial struct {
 	version uint64
 	sum     uint32
@@ -85,72 +86,75 @@
 	data    []byte
 }
 
-// New returns a Fetch that draws holders from a source of random numbers.
+// New returns a Fetch that chooses holders with the given source of random numbers.
 func New(random *rand.Rand) *Fetch { return &Fetch{random: random} }
 
-// Missing returns the newest version announced and since when it is missing; zero for none.
-func (f *Fetch) Missing(inForce uint64) (version uint64, since time.Time) {
-	if f.newest <= inForce {
+// Missing returns the newest version announced, if it is not applied, and since when a newer
+// version has been missing; zero for none.
+func (f *Fetch) Missing(applied uint64) (version uint64, since time.Time) {
+	if f.newest <= applied {
 		return 0, time.Time{}
 	}
-	return f.newest, f.since
+	return f.newest, f.missingSince
 }
 
-// Announced notes that another entry has a version. Near ones are asked first.
-func (f *Fetch) Announced(now time.Time, inForce uint64, name string, near bool, version uint64) {
-	have := max(inForce, f.handed)
+// Announced records that another entry has a version. Near holders are asked first.
+func (f *Fetch) Announced(now time.Time, applied uint64, name string, near bool, version uint64) {
+	have := max(applied, f.delivered)
 	if version <= have {
 		return
 	}
 	if f.newest <= have {
-		f.since, f.start = now, now.Add(HoldOff)
+		f.missingSince, f.fetchAt = now, now.Add(HoldOff)
 	}
 	f.newest = max(f.newest, version)
-	if i := f.index(name); i >= 0 {
+	if i := f.holderIndex(name); i >= 0 {
 		f.holders[i].version = max(f.holders[i].version, version)
 		return
 	}
 	f.holders = append(f.holders, holder{name: name, version: version, near: near})
 }
 
-// Gone notes that the link to an entry has ended.
+// Gone removes a holder because the link to it has ended.
 func (f *Fetch) Gone(name string) {
 	f.holders = slices.DeleteFunc(f.holders, func(h holder) bool { return h.name == name })
-	if f.asked == name {
-		f.asked = ""
+	if f.pendingHolder == name {
+		f.pendingHolder = ""
 	}
 }
 
-// Next returns what to ask of which holder now, and when to call Next again; both zero where
-// nothing is missing or nobody is known to have it.
-func (f *Fetch) Next(now time.Time, inForce uint64) (ask Ask, name string, again time.Time) {
-	have := max(inForce, f.handed)
-	if f.got.version <= have {
-		f.got = partial{}
+// Next returns the request to send now and its holder, and when to call Next again. The name is
+// empty if there is nothing to send now; the time is zero as well if nothing is missing or no
+// holder is known.
+func (f *Fetch) Next(now time.Time, applied uint64) (request Ask, name string, again time.Time) {
+	have := max(applied, f.delivered)
+	if f.partial.version <= have {
+		f.partial = partial{}
 	}
-	// Not those of what was handed over: it may be dropped yet.
-	f.holders = slices.DeleteFunc(f.holders, func(h holder) bool { return h.version <= inForce })
+	// Holders of the delivered version are kept: the caller may still reject it.
+	f.holders = slices.DeleteFunc(f.holders, func(h holder) bool { return h.version <= applied })
 	switch {
 	case f.newest <= have, len(f.holders) == 0:
-		f.asked = ""
+		f.pendingHolder = ""
 		return Ask{}, "", time.Time{}
-	case now.Before(f.start):
-		return Ask{}, "", f.start
-	case f.asked != "" && now.Before(f.due):
-		return Ask{}, "", f.due
-	case f.asked != "":
-		f.leave(f.asked, now.Add(partTimeout))
-	}
-	if name, again = f.choose(now, have); name == "" {
+	case now.Before(f.fetchAt):
+		return Ask{}, "", f.fetchAt
+	case f.pendingHolder != "" && now.Before(f.deadline):
+		return Ask{}, "", f.deadline
+	case f.pendingHolder != "":
+		f.backOff(f.pendingHolder, now.Add(partTimeout))
+	}
+	if name, again = f.chooseHolder(now, have); name == "" {
 		return Ask{}, "", again
 	}
-	f.asked, f.due = name, now.Add(partTimeout)
-	return Ask{Version: f.got.version, Part: f.got.next}, name, f.due
+	f.pendingHolder, f.deadline = name, now.Add(partTimeout)
+	return Ask{Version: f.partial.version, Part: f.partial.next}, name, f.deadline
 }
 
-// choose returns the holder of the last part if it may be asked, otherwise one drawn from the near
-// ones, or from all. Drawn, since all entries lack the same value at the same moment.
-func (f *Fetch) choose(now time.Time, have uint64) (name string, again time.Time) {
+// chooseHolder returns the holder that sent the last part if it may be asked, otherwise a random
+// near one, or a random one if none is near. The choice is random because all entries lack the
+// same value at the same time.
+func (f *Fetch) chooseHolder(now time.Time, have uint64) (name string, again time.Time) {
 	var near, all []string
 	for _, h := range f.holders {
 		switch {
@@ -159,7 +163,7 @@
 			if again.IsZero() || h.notBefore.Before(again) {
 				again = h.notBefore
 			}
-		case h.name == f.from:
+		case h.name == f.lastSource:
 			return h.name, time.Time{}
 		default:
 			all = append(all, h.name)
@@ -177,72 +181,72 @@
 	return all[f.random.IntN(len(all))], time.Time{}
 }
 
-// Received takes a part. It returns the whole encoding with the last one.
-func (f *Fetch) Received(now time.Time, inForce uint64, name string, part *Part) (whole []byte, version uint64) {
-	wanted := f.asked == name
-	if wanted {
-		f.asked = ""
+// Received handles a part. With the last part it returns the whole encoding and its version.
+func (f *Fetch) Received(now time.Time, applied uint64, name string, part *Part) (whole []byte, version uint64) {
+	expected := f.pendingHolder == name
+	if expected {
+		f.pendingHolder = ""
 	}
 	switch {
 	case part.Parts == 0:
-		f.leave(name, now.Add(busyPause))
+		f.backOff(name, now.Add(busyBackoff))
 		return nil, 0
-	case part.Version <= max(inForce, f.handed), !part.sound():
-		f.leave(name, now.Add(partTimeout))
+	case part.Version <= max(applied, f.delivered), !part.valid():
+		f.backOff(name, now.Add(partTimeout))
 		return nil, 0
-	case !f.got.matches(part) && !wanted:
-		return nil, 0 // Late, of a version that was given up.
-	case !f.got.matches(part):
-		f.got = partial{version: part.Version, sum: part.Sum, parts: part.Parts}
+	case !f.partial.matches(part) && !expected:
+		return nil, 0 // A late part of an abandoned version.
+	case !f.partial.matches(part):
+		f.partial = partial{version: part.Version, sum: part.Sum, parts: part.Parts}
 	}
-	f.from = name
-	if part.Part != f.got.next {
+	f.lastSource = name
+	if part.Part != f.partial.next {
 		return nil, 0
 	}
-	f.got.data = append(f.got.data, part.Data...)
-	f.got.next++
-	if f.got.next < f.got.parts {
+	f.partial.data = append(f.partial.data, part.Data...)
+	f.partial.next++
+	if f.partial.next < f.partial.parts {
 		return nil, 0
 	}
-	got := f.got
-	f.got = partial{}
-	if crc32.ChecksumIEEE(got.data) != got.sum {
-		f.leave(name, now.Add(partTimeout))
+	complete := f.partial
+	f.partial = partial{}
+	if crc32.ChecksumIEEE(complete.data) != complete.sum {
+		f.backOff(name, now.Add(partTimeout))
 		return nil, 0
 	}
-	f.handed = got.version
-	return got.data, got.version
+	f.delivered = complete.version
+	return complete.data, complete.version
 }
 
-// Dropped takes back the last version that was handed over: it could not be taken up.
+// Dropped records that the delivered version could not be applied, so that it is fetched again.
 func (f *Fetch) Dropped(now time.Time, version uint64) {
-	if f.handed == version {
-		f.handed, f.start = 0, now.Add(partTimeout)
+	if f.delivered == version {
+		f.delivered, f.fetchAt = 0, now.Add(partTimeout)
 	}
 }
 
-// sound reports whether a part can be one of an encoding.
-func (p *Part) sound() bool {
-	return p.Parts > 0 && p.Parts <= mostParts && p.Part >= 0 && p.Part < p.Parts && len(p.Data) <= PartBytes
+// valid reports whether the fields of a part are consistent and within bounds.
+func (p *Part) valid() bool {
+	return p.Parts > 0 && p.Parts <= maxParts && p.Part >= 0 && p.Part < p.Parts && len(p.Data) <= PartBytes
 }
 
 func (p *partial) matches(part *Part) bool {
 	return p.version == part.Version && p.sum == part.Sum && p.parts == part.Parts
 }
 
-// leave asks a holder nothing until a moment.
-func (f *Fetch) leave(name string, until time.Time) {
-	if f.asked == name {
-		f.asked = ""
+// backOff excludes a holder from requests until the given time.
+func (f *Fetch) backOff(name string, until time.Time) {
+	if f.pendingHolder == name {
+		f.pendingHolder = ""
 	}
-	if f.from == name {
-		f.from = ""
+	if f.lastSource == name {
+		f.lastSource = ""
 	}
-	if i := f.index(name); i >= 0 {
+	if i := f.holderIndex(name); i >= 0 {
 		f.holders[i].notBefore = until
 	}
 }
 
-func (f *Fetch) index(name string) int {
+func (f *Fetch) holderIndex(name string) int {
 	return slices.IndexFunc(f.holders, func(h holder) bool { return h.name == name })
 }
--- a/core/fetch/fetch_test.go
+++ b/core/fetch/fetch_test.go
@@ -15,10 +15,10 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newFetch() *Fetch { return New(rand.New(rand.NewPCG(1, 1))) }
+func newFetcher() *Fetch { return New(rand.New(rand.NewPCG(1, 1))) }
 
-// value returns an encoding of so many parts.
-func value(version uint64, parts int) []byte {
+// encoding returns an encoding with the given number of parts.
+func encoding(version uint64, parts int) []byte {
 	data := make([]byte, parts*PartBytes-1)
 	for i := range data {
 		data[i] = byte(uint64(i) * version)
@@ -26,53 +26,53 @@
 	return data
 }
 
-// shelfOf returns a shelf with one version.
-func shelfOf(version uint64, parts int) *Shelf {
+// serverWith returns a server of one version.
+func serverWith(version uint64, parts int) *Shelf {
 	s := NewShelf()
-	s.Put(start, version, value(version, parts))
+	s.Put(start, version, encoding(version, parts))
 	return s
 }
 
-// next requires that a holder is asked now.
-func next(t *testing.T, f *Fetch, now time.Time, inForce uint64) (Ask, string) {
+// requireRequest requires that a request is sent now, and returns it with the holder's name.
+func requireRequest(t *testing.T, f *Fetch, now time.Time, applied uint64) (Ask, string) {
 	t.Helper()
-	ask, name, again := f.Next(now, inForce)
+	request, name, again := f.Next(now, applied)
 	require.NotEmpty(t, name)
 	require.True(t, again.After(now))
-	return ask, name
+	return request, name
 }
 
-func TestOwnFeedHasTimeToBringWhatIsAnnounced(t *testing.T) {
-	f := newFetch()
+func TestOwnFeedIsPreferredDuringHoldOff(t *testing.T) {
+	f := newFetcher()
 	f.Announced(start, 3, "a", true, 4)
 	_, name, again := f.Next(start, 3)
 	require.Empty(t, name)
 	require.Equal(t, start.Add(HoldOff), again)
 	_, name, again = f.Next(again, 4)
-	require.Empty(t, name, "the own feed brought it")
+	require.Empty(t, name, "the entry's own feed delivered it")
 	require.Zero(t, again)
 }
 
-func TestNobodyIsAskedForWhatIsInForce(t *testing.T) {
-	f := newFetch()
+func TestAppliedVersionIsNotRequested(t *testing.T) {
+	f := newFetcher()
 	f.Announced(start, 3, "a", true, 3)
 	_, name, again := f.Next(start.Add(time.Hour), 3)
 	require.Empty(t, name)
 	require.Zero(t, again)
 }
 
-// Guards against an announcement that is lost while an older one waits.
+// A newer announcement must not be lost while an older one waits for the hold-off.
 func TestNewerAnnouncementIsNotLostWhileAnOlderOneWaits(t *testing.T) {
-	f := newFetch()
+	f := newFetcher()
 	f.Announced(start, 0, "a", true, 1)
 	f.Announced(start, 0, "b", true, 9)
-	_, name := next(t, f, start.Add(HoldOff), 1)
+	_, name := requireRequest(t, f, start.Add(HoldOff), 1)
 	require.Equal(t, "b", name)
 }
 
-// Guards against asking one holder only, which may be lost before it answers.
-func TestAllWhoAnnouncedAreAskedInTurn(t *testing.T) {
-	f := newFetch()
+// An entry must not request the same holder only: it may be lost before it answers.
+func TestAllHoldersAreAskedInTurn(t *testing.T) {
+	f := newFetcher()
 	now := start
 	names := []string{"a", "b", "c"}
 	for _, name := range names {
@@ -80,114 +80,114 @@
 	}
 	var asked []string
 	for now = now.Add(HoldOff); len(asked) < len(names); now = now.Add(partTimeout) {
-		_, name := next(t, f, now, 8)
+		_, name := requireRequest(t, f, now, 8)
 		asked = append(asked, name)
 	}
 	slices.Sort(asked)
 	require.Equal(t, names, asked)
-	next(t, f, now, 8) // And the first again.
+	requireRequest(t, f, now, 8) // Then the first one again.
 }
 
-func TestHoldersWhoseLinkEndsAreNotAskedAnyMore(t *testing.T) {
-	f := newFetch()
+func TestRemovedHolderIsNotAsked(t *testing.T) {
+	f := newFetcher()
 	f.Announced(start, 8, "a", true, 9)
 	now := start.Add(HoldOff)
-	next(t, f, now, 8)
+	requireRequest(t, f, now, 8)
 	f.Gone("a")
 	_, name, again := f.Next(now, 8)
 	require.Empty(t, name)
 	require.Zero(t, again)
 	f.Announced(now, 8, "a", true, 9)
-	next(t, f, now, 8)
+	requireRequest(t, f, now, 8)
 }
 
-func TestNearHoldersGoFirst(t *testing.T) {
-	f := newFetch()
+func TestNearHoldersAreAskedFirst(t *testing.T) {
+	f := newFetcher()
 	for i := range 20 {
 		f.Announced(start, 8, fmt.Sprint("far", i), false, 9)
 	}
 	f.Announced(start, 8, "near", true, 9)
-	_, name := next(t, f, start.Add(HoldOff), 8)
+	_, name := requireRequest(t, f, start.Add(HoldOff), 8)
 	require.Equal(t, "near", name)
 }
 
-// Guards against a slow link being loaded with a second copy of what is on its way.
-func TestOneIsAskedAtATime(t *testing.T) {
-	f, s := newFetch(), shelfOf(9, 3)
+// A slow link must not be loaded with a second copy of a value that is being transferred.
+func TestOneHolderIsAskedAtATime(t *testing.T) {
+	f, s := newFetcher(), serverWith(9, 3)
 	f.Announced(start, 8, "a", true, 9)
 	f.Announced(start, 8, "b", true, 9)
 	now := start.Add(HoldOff)
-	ask, name := next(t, f, now, 8)
+	request, name := requireRequest(t, f, now, 8)
 	for part := range 3 {
 		_, other, again := f.Next(now.Add(partTimeout-1), 8)
 		require.Empty(t, other, "the answer to %s is awaited", name)
 		require.Equal(t, now.Add(partTimeout), again)
 		now = now.Add(partTimeout - 1)
-		whole, version := f.Received(now, 8, name, s.Get(now, "x", ask))
+		whole, version := f.Received(now, 8, name, s.Get(now, "x", request))
 		if part == 2 {
-			require.Equal(t, value(9, 3), whole)
+			require.Equal(t, encoding(9, 3), whole)
 			require.Equal(t, uint64(9), version)
 			break
 		}
 		require.Nil(t, whole)
 		var same string
-		ask, same = next(t, f, now, 8)
+		request, same = requireRequest(t, f, now, 8)
 		require.Equal(t, name, same, "parts come from one holder as long as it answers")
 	}
 	_, other, again := f.Next(now, 8)
-	require.Empty(t, other, "it is handed over")
+	require.Empty(t, other, "the version is delivered")
 	require.Zero(t, again)
 }
 
 func TestParts(t *testing.T) {
-	t.Run("go on at another holder", func(t *testing.T) {
-		f, s := newFetch(), shelfOf(9, 2)
+	t.Run("continue at another holder", func(t *testing.T) {
+		f, s := newFetcher(), serverWith(9, 2)
 		f.Announced(start, 8, "a", true, 9)
 		now := start.Add(HoldOff)
-		ask, name := next(t, f, now, 8)
-		f.Received(now, 8, name, s.Get(now, "x", ask))
+		request, name := requireRequest(t, f, now, 8)
+		f.Received(now, 8, name, s.Get(now, "x", request))
 		f.Announced(now, 8, "b", true, 9)
 		f.Gone("a")
-		ask, name = next(t, f, now, 8)
+		request, name = requireRequest(t, f, now, 8)
 		require.Equal(t, "b", name)
-		require.Equal(t, Ask{Version: 9, Part: 1}, ask)
-		whole, _ := f.Received(now, 8, name, shelfOf(9, 2).Get(now, "x", ask))
-		require.Equal(t, value(9, 2), whole)
+		require.Equal(t, Ask{Version: 9, Part: 1}, request)
+		whole, _ := f.Received(now, 8, name, serverWith(9, 2).Get(now, "x", request))
+		require.Equal(t, encoding(9, 2), whole)
 	})
-	t.Run("of another encoding begin anew", func(t *testing.T) {
-		f, s := newFetch(), shelfOf(9, 2)
+	t.Run("of another encoding restart the fetch", func(t *testing.T) {
+		f, s := newFetcher(), serverWith(9, 2)
 		f.Announced(start, 8, "a", true, 9)
 		now := start.Add(HoldOff)
-		ask, name := next(t, f, now, 8)
-		f.Received(now, 8, name, s.Get(now, "x", ask))
-		_, name = next(t, f, now, 8)
+		request, name := requireRequest(t, f, now, 8)
+		f.Received(now, 8, name, s.Get(now, "x", request))
+		_, name = requireRequest(t, f, now, 8)
 		whole, _ := f.Received(now, 8, name, &Part{Version: 9, Sum: 1, Part: 1, Parts: 2, Data: []byte("x")})
 		require.Nil(t, whole)
-		ask, _ = next(t, f, now, 8)
-		require.Zero(t, ask.Part)
+		request, _ = requireRequest(t, f, now, 8)
+		require.Zero(t, request.Part)
 	})
-	t.Run("that were spoilt are fetched again", func(t *testing.T) {
-		f, s := newFetch(), shelfOf(9, 1)
+	t.Run("that are corrupted are fetched again", func(t *testing.T) {
+		f, s := newFetcher(), serverWith(9, 1)
 		f.Announced(start, 8, "a", true, 9)
 		now := start.Add(HoldOff)
-		ask, name := next(t, f, now, 8)
-		spoilt := *s.Get(now, "x", ask)
-		spoilt.Data = bytes.Repeat([]byte{1}, len(spoilt.Data))
-		whole, _ := f.Received(now, 8, name, &spoilt)
+		request, name := requireRequest(t, f, now, 8)
+		corrupted := *s.Get(now, "x", request)
+		corrupted.Data = bytes.Repeat([]byte{1}, len(corrupted.Data))
+		whole, _ := f.Received(now, 8, name, &corrupted)
 		require.Nil(t, whole)
-		ask, name = next(t, f, now.Add(partTimeout), 8)
-		whole, _ = f.Received(now, 8, name, s.Get(now, "x", ask))
-		require.Equal(t, value(9, 1), whole)
+		request, name = requireRequest(t, f, now.Add(partTimeout), 8)
+		whole, _ = f.Received(now, 8, name, s.Get(now, "x", request))
+		require.Equal(t, encoding(9, 1), whole)
 	})
-	t.Run("that make no sense are not taken, and not asked for at once", func(t *testing.T) {
+	t.Run("that are invalid are rejected, and their holder is not asked again at once", func(t *testing.T) {
 		for _, part := range []Part{
 			{Version: 9, Part: 2, Parts: 2}, {Version: 9, Part: -1, Parts: 2}, {Version: 9, Parts: -1},
-			{Version: 9, Parts: mostParts + 1}, {Version: 9, Parts: 1, Data: make([]byte, PartBytes+1)}, {Version: 8, Parts: 1},
+			{Version: 9, Parts: maxParts + 1}, {Version: 9, Parts: 1, Data: make([]byte, PartBytes+1)}, {Version: 8, Parts: 1},
 		} {
-			f := newFetch()
+			f := newFetcher()
 			f.Announced(start, 8, "a", true, 9)
 			now := start.Add(HoldOff)
-			_, name := next(t, f, now, 8)
+			_, name := requireRequest(t, f, now, 8)
 			whole, _ := f.Received(now, 8, name, &part)
 			require.Nil(t, whole)
 			_, name, again := f.Next(now, 8)
@@ -197,69 +197,70 @@
 	})
 }
 
-func TestWhatWasDroppedIsFetchedAgain(t *testing.T) {
-	f, s := newFetch(), shelfOf(9, 1)
+func TestRejectedVersionIsFetchedAgain(t *testing.T) {
+	f, s := newFetcher(), serverWith(9, 1)
 	f.Announced(start, 8, "a", true, 9)
 	now := start.Add(HoldOff)
-	ask, name := next(t, f, now, 8)
-	_, version := f.Received(now, 8, name, s.Get(now, "x", ask))
+	request, name := requireRequest(t, f, now, 8)
+	_, version := f.Received(now, 8, name, s.Get(now, "x", request))
 	_, _, again := f.Next(now, 8)
 	require.Zero(t, again)
 	f.Dropped(now, version)
 	_, _, again = f.Next(now, 8)
 	require.Equal(t, now.Add(partTimeout), again)
-	next(t, f, again, 8)
+	requireRequest(t, f, again, 8)
 }
 
-// Guards against a holder's link being filled by all who ask it.
-func TestHolderServesAFewAtATime(t *testing.T) {
-	s := shelfOf(9, 2)
-	for i := range mostAskers {
+// A holder's links must not be filled with parts for many entries at once.
+func TestServerLimitsConcurrentClients(t *testing.T) {
+	s := serverWith(9, 2)
+	for i := range maxClients {
 		require.Equal(t, 2, s.Get(start, fmt.Sprint(i), Ask{}).Parts)
 	}
 	require.Zero(t, s.Get(start, "late", Ask{}).Parts)
-	require.Equal(t, 2, s.Get(start, "0", Ask{Version: 9, Part: 1}).Parts, "who has begun goes on")
-	require.Equal(t, 2, s.Get(start.Add(askerFor), "late", Ask{}).Parts)
+	require.Equal(t, 2, s.Get(start, "0", Ask{Version: 9, Part: 1}).Parts, "an entry that is being served may continue")
+	require.Equal(t, 2, s.Get(start.Add(clientTTL), "late", Ask{}).Parts)
 
-	f := newFetch()
+	f := newFetcher()
 	f.Announced(start, 8, "busy", true, 9)
 	f.Announced(start, 8, "other", false, 9)
 	now := start.Add(HoldOff)
-	_, name := next(t, f, now, 8)
+	_, name := requireRequest(t, f, now, 8)
 	require.Equal(t, "busy", name)
 	f.Received(now, 8, name, &Part{})
-	_, name = next(t, f, now, 8)
+	_, name = requireRequest(t, f, now, 8)
 	require.Equal(t, "other", name)
 }
 
-// Guards against nobody getting any version while changes come faster than one is fetched.
-func TestVersionThatIsBeingFetchedIsKeptWhileNewerOnesCome(t *testing.T) {
+// An entry must be able to complete a fetch although changes arrive faster than one version is
+// fetched.
+func TestVersionBeingFetchedIsKeptWhileNewerOnesArrive(t *testing.T) {
 	const parts = 6
-	f, s := newFetch(), shelfOf(9, parts)
+	f, s := newFetcher(), serverWith(9, parts)
 	f.Announced(start, 8, "a", true, 9)
 	now := start.Add(HoldOff)
 	for part := range parts {
-		ask, name := next(t, f, now, 8)
-		require.Equal(t, part, ask.Part)
-		whole, version := f.Received(now, 8, name, s.Get(now, "x", ask))
+		request, name := requireRequest(t, f, now, 8)
+		require.Equal(t, part, request.Part)
+		whole, version := f.Received(now, 8, name, s.Get(now, "x", request))
 		if part == parts-1 {
 			require.Equal(t, uint64(9), version)
-			require.Equal(t, value(9, parts), whole)
+			require.Equal(t, encoding(9, parts), whole)
 		}
 		newer := uint64(10 + part)
-		s.Put(now, newer, value(newer, parts))
+		s.Put(now, newer, encoding(newer, parts))
 		f.Announced(now, 8, "a", true, newer)
 		now = now.Add(partTimeout / 2)
 	}
-	ask, _ := next(t, f, now, 8)
-	require.Zero(t, ask.Part, "then the newest")
+	request, _ := requireRequest(t, f, now, 8)
+	require.Zero(t, request.Part, "the newest version is fetched next")
 	require.Equal(t, uint64(15), s.Newest())
-	require.LessOrEqual(t, len(s.kept), mostKept)
+	require.LessOrEqual(t, len(s.kept), maxKeptVersions)
 }
 
-// Guards against an entry that stays behind, or is sent much more than it lacks, over links that
-// lose and delay messages, end and come back, while versions go on changing.
-func TestFetchEndsWithTheNewest(t *testing.T) {
+// Over links that lose and delay messages, end and come back, and while versions change, an entry
+// must end with the newest version and must not request many more parts than it lacks.
+func TestFetcherConvergesToNewestVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 10 * time.Millisecond
 		type answer struct {
@@ -274,53 +275,53 @@
 		}
 		f := New(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)))
 		lossPercent := rapid.IntRange(0, 30).Draw(t, "loss, in 100")
-		latest := rapid.IntRange(1, 80).Draw(t, "longest way, in ticks")
+		maxDelay := rapid.IntRange(1, 80).Draw(t, "longest way, in ticks")
 		changes := rapid.IntRange(1, 6).Draw(t, "changes")
 		parts := rapid.IntRange(1, 5).Draw(t, "parts")
-		var version, inForce uint64
-		var under []answer
-		// asks are those made; lost, late, ended and useful tell what became of them.
-		var asks, lost, late, ended, useful int
-		var asked time.Time // When the ask that has no answer yet was made.
+		var version, applied uint64
+		var inFlight []answer
+		// requests counts the requests sent; lost, late, ended and useful count their outcomes.
+		var requests, lost, late, ended, useful int
+		var sentAt time.Time // When the outstanding request was sent.
 		now := start
 		change := func() {
 			version++
 			for _, name := range names {
-				shelves[name].Put(now, version, value(version, parts))
-				f.Announced(now, inForce, name, name == "a", version)
+				shelves[name].Put(now, version, encoding(version, parts))
+				f.Announced(now, applied, name, name == "a", version)
 			}
 		}
-		step := func(troubled bool) {
+		step := func(faulty bool) {
 			now = now.Add(tick)
-			ask, name, _ := f.Next(now, inForce)
+			request, name, _ := f.Next(now, applied)
 			if name != "" {
-				require.True(t, asked.IsZero() || now.Sub(asked) >= partTimeout, "two asks at a time")
-				asks, asked = asks+1, now
-				way := 1
-				if troubled {
-					way = rapid.IntRange(1, latest).Draw(t, "way")
+				require.True(t, sentAt.IsZero() || now.Sub(sentAt) >= partTimeout, "two requests at a time")
+				requests, sentAt = requests+1, now
+				delay := 1
+				if faulty {
+					delay = rapid.IntRange(1, maxDelay).Draw(t, "way")
 				}
-				if time.Duration(way)*tick >= partTimeout {
+				if time.Duration(delay)*tick >= partTimeout {
 					late++
 				}
-				if troubled && rapid.IntRange(0, 99).Draw(t, "lost") < lossPercent {
+				if faulty && rapid.IntRange(0, 99).Draw(t, "lost") < lossPercent {
 					lost++
 				} else {
-					under = append(under, answer{now.Add(time.Duration(way) * tick), name, shelves[name].Get(now, "x", ask)})
+					inFlight = append(inFlight, answer{now.Add(time.Duration(delay) * tick), name, shelves[name].Get(now, "x", request)})
 				}
 			}
-			for i := 0; i < len(under); i++ {
-				if under[i].at.After(now) {
+			for i := 0; i < len(inFlight); i++ {
+				if inFlight[i].at.After(now) {
 					continue
 				}
-				whole, got := f.Received(now, inForce, under[i].from, under[i].part)
-				asked = time.Time{}
-				under = slices.Delete(under, i, i+1)
+				whole, got := f.Received(now, applied, inFlight[i].from, inFlight[i].part)
+				sentAt = time.Time{}
+				inFlight = slices.Delete(inFlight, i, i+1)
 				i--
 				if whole != nil {
-					require.Equal(t, value(got, parts), whole)
-					require.Greater(t, got, inForce)
-					inForce = got
+					require.Equal(t, encoding(got, parts), whole)
+					require.Greater(t, got, applied)
+					applied = got
 					useful += parts
 				}
 			}
@@ -330,18 +331,18 @@
 			for range rapid.IntRange(0, 60).Draw(t, "ticks") {
 				step(true)
 			}
-			if gone := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "link that ends"); gone != "" {
-				f.Gone(gone)
-				under = slices.DeleteFunc(under, func(a answer) bool { return a.from == gone })
-				ended, asked = ended+1, time.Time{}
-				f.Announced(now, inForce, gone, gone == "a", version)
+			if removed := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "link that ends"); removed != "" {
+				f.Gone(removed)
+				inFlight = slices.DeleteFunc(inFlight, func(a answer) bool { return a.from == removed })
+				ended, sentAt = ended+1, time.Time{}
+				f.Announced(now, applied, removed, removed == "a", version)
 			}
 		}
 		for range int(5 * time.Second / tick) {
 			step(false)
 		}
-		require.Equal(t, version, inForce)
-		abandoned := (changes - 1) * parts // Of versions that holders have dropped meanwhile.
-		require.LessOrEqual(t, asks, useful+abandoned+lost+2*late+ended)
+		require.Equal(t, version, applied)
+		abandoned := (changes - 1) * parts // Parts of versions that holders have dropped meanwhile.
+		require.LessOrEqual(t, requests, useful+abandoned+lost+2*late+ended)
 	})
 }
