--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,10 +1,11 @@
-// Package membership merges what a process knows of the VMs into one routing state for
-// each: the platform's list, which lags, the evidence of the process's own links, and an
-// agent's own word that it is leaving. Its decisions are pure: events and the time go
-// in, actions come out.
+// Package membership derives one routing state for each VM from three sources: the
+// platform's list of VMs, which lags, the evidence of the process's own links, and the
+// agents' announcements that they are leaving. It does no I/O: events and the time go in,
+// actions come out.
 //
-// Own evidence goes before the list, because it is newer: the list says only which VMs
-// to know of and which are leaving. No VM is removed on the list's word alone.
+// The process's own evidence takes precedence over the list, because it is newer. The list
+// only says which VMs exist and which are leaving, and no VM is removed because of the
+// list alone.
 package membership
 
 import (
@@ -27,79 +28,81 @@
 	Leaving bool
 }
 
-// Config bounds the decisions in time.
+// Config holds the settings of a View.
 type Config struct {
-	// SuspectBound is how long a VM may be suspected before it counts as dead.
-	SuspectBound time.Duration
-	// ProbeMin and ProbeMax bound the time between two probes of a dead VM, which doubles.
-	ProbeMin, ProbeMax time.Duration
-	// UnlistedProbe is the time between two probes of a VM that the list lacks.
-	UnlistedProbe time.Duration
-	// ForgetBound is how long a dead VM that the list lacks is still probed.
-	ForgetBound time.Duration
-	// ProbesPerTick bounds the probes of one tick.
-	ProbesPerTick int
-	// DropShare is the share of the listed VMs above which a list that lacks them all
-	// at once is doubted, and DoubtBound how long it is.
-	DropShare  float64
-	DoubtBound time.Duration
+	// SuspectTimeout is how long a VM may be suspected before it counts as dead.
+	SuspectTimeout time.Duration
+	// MinProbeInterval and MaxProbeInterval bound the time between two probes of a suspected or
+	// dead VM, which doubles with each probe.
+	MinProbeInterval, MaxProbeInterval time.Duration
+	// UnlistedProbeInterval is the time between two probes of a VM that is not listed.
+	UnlistedProbeInterval time.Duration
+	// ForgetAfter is how long a dead VM that is not listed is still probed.
+	ForgetAfter time.Duration
+	// MaxProbesPerTick bounds the probes of one tick.
+	MaxProbesPerTick int
+	// MaxMissingShare is the largest share of the listed VMs that may be missing in a new list.
+	// A list that lacks more is rejected for up to RejectListFor.
+	MaxMissingShare float64
+	RejectListFor   time.Duration
 }
 
-// DefaultConfig returns the settings for links that report silence after 1.5 s. A dead
-// upstream under load is then suspected, and so given no work, after 1.5 s, where the aim
-// is 2 s, and counts as dead a second later. A probe is some 60 bytes: the 16 of a tick
-// are 1 KB. A list is doubted for as long as the platform may take to mend it; until
-// then nothing but the VMs' own silence takes them out. A dead VM that the list lacks is
-// probed for a minute more, in case that both were wrong.
+// DefaultConfig returns the settings for links that report a timeout after 1.5 s. A dead
+// upstream under load is then suspected, and gets no more requests, after 1.5 s, within the
+// target of 2 s, and counts as dead one second later. A probe is about 60 bytes, so the 16
+// probes of a tick are 1 KB. A list is rejected for as long as the platform may take to
+// repair it; meanwhile only missing replies and refused connections remove VMs from use. A
+// dead VM that is not listed is probed for another minute, in case both the list and the
+// evidence were wrong.
 func DefaultConfig() Config {
 	return Config{
-		SuspectBound:  time.Second,
-		ProbeMin:      250 * time.Millisecond,
-		ProbeMax:      5 * time.Second,
-		UnlistedProbe: 5 * time.Second,
-		ForgetBound:   time.Minute,
-		ProbesPerTick: 16,
-		DropShare:     0.5,
-		DoubtBound:    10 * time.Minute,
+		SuspectTimeout:        time.Second,
+		MinProbeInterval:      250 * time.Millisecond,
+		MaxProbeInterval:      5 * time.Second,
+		UnlistedProbeInterval: 5 * time.Second,
+		ForgetAfter:           time.Minute,
+		MaxProbesPerTick:      16,
+		MaxMissingShare:       0.5,
+		RejectListFor:         10 * time.Minute,
 	}
 }
 
-// Reason says what led to a state.
+// Reason says why a VM has its state.
 type Reason string
 
 // The reasons.
 const (
-	ReasonListed     Reason = "the list shows the VM"
-	ReasonReplied    Reason = "a link had a reply"
-	ReasonSilent     Reason = "a link went silent"
-	ReasonStillMute  Reason = "no reply since the link went silent"
-	ReasonRefused    Reason = "a connection was refused"
-	ReasonSaidSo     Reason = "the agent said that it is leaving"
-	ReasonListLeaves Reason = "the list says that the VM is leaving"
+	ReasonListed           Reason = "the list shows the VM"
+	ReasonReplied          Reason = "a link had a reply"
+	ReasonSilent           Reason = "a link went silent"
+	ReasonSuspicionExpired Reason = "no reply since the link went silent"
+	ReasonRefused          Reason = "a connection was refused"
+	ReasonAgentLeaving     Reason = "the agent said that it is leaving"
+	ReasonListLeaving      Reason = "the list says that the VM is leaving"
 )
 
-// Action is what the caller must do; it is one of the types below.
+// Action is an instruction to the caller. It is one of the types below.
 type Action interface{ action() }
 
-// Changed tells the new state of a VM.
+// Changed reports the new state of a VM.
 type Changed struct {
 	VM     VM
 	State  routing.State
 	Reason Reason
 }
 
-// Probe asks for a sign of life over a new connection: an old one may be silent for good
-// although its VM is well. Its outcome comes back as Replied, Silent or Refused.
+// Probe asks for a message exchange with a VM over a new connection: an old one may stay silent
+// although the VM is healthy. The caller reports the outcome to Replied, Silent or Refused.
 type Probe struct{ VM VM }
 
-// Forgotten tells that a VM is neither in the list nor alive; nothing of it is kept.
+// Forgotten reports that a VM was removed because it is neither listed nor alive.
 type Forgotten struct{ ID ID }
 
 func (Changed) action()   {}
 func (Probe) action()     {}
 func (Forgotten) action() {}
 
-// evidence is what the process's own links tell of a VM.
+// evidence is the last observation of a VM by the process's own links.
 type evidence uint8
 
 const (
@@ -109,47 +112,48 @@
 	refused
 )
 
-// maxPast bounds the remembered past incarnations of a VM's process: more restarts than
-// that within the life of one late message don't happen.
-const maxPast = 4
+// maxPastIncarnations bounds the remembered past incarnations of a VM's process. A process does
+// not restart more often than this while one late message is in flight.
+const maxPastIncarnations = 4
 
-// member is what is known of one VM.
+// member is the state of one VM.
 type member struct {
 	vm     VM
 	listed bool
-	// leaving is the list's word. It stays: a VM that comes back has another ID.
-	leaving bool
+	// listedLeaving says that the list showed the VM as leaving. It is never reset: a VM that
+	// comes back has another ID.
+	listedLeaving bool
 
-	current call.Incarnation
-	past    []call.Incarnation
-	// left says that the current incarnation told that it is leaving.
-	left bool
+	incarnation      call.Incarnation
+	pastIncarnations []call.Incarnation
+	// agentLeaving says that the current incarnation announced that it is leaving.
+	agentLeaving bool
 
 	evidence evidence
-	// lastReply is when the newest reply came, silentSince when the first silence after it.
+	// lastReply is when the last reply arrived, silentSince the first timeout after it.
 	lastReply   time.Time
 	silentSince time.Time
 
-	state      routing.State
-	stateSince time.Time
-	nextProbe  time.Time
-	probeWait  time.Duration
+	state         routing.State
+	stateSince    time.Time
+	nextProbe     time.Time
+	probeInterval time.Duration
 }
 
 // View is one process's view of the VMs. It is not safe for concurrent use.
 type View struct {
-	config     Config
-	members    map[ID]*member
-	order      []ID
-	doubtSince time.Time
+	config        Config
+	members       map[ID]*member
+	order         []ID
+	rejectedSince time.Time
 }
 
-// New returns a View that knows of no VM.
+// New returns a View without VMs.
 func New(config Config) *View {
 	return &View{config: config, members: make(map[ID]*member)}
 }
 
-// State returns the state of a VM; one that isn't known is Dead.
+// State returns the state of a VM. An unknown VM is Dead.
 func (v *View) State(id ID) routing.State {
 	if m := v.members[id]; m != nil {
 		return m.state
@@ -164,23 +168,23 @@
 	}
 }
 
-// Doubted reports whether the newest list lacked so many VMs that it isn't believed.
-func (v *View) Doubted() bool { return !v.doubtSince.IsZero() }
+// Doubted reports whether the last list was implausible because it lacked too many VMs.
+func (v *View) Doubted() bool { return !v.rejectedSince.IsZero() }
 
-// Listed takes the list as it was just read.
+// Listed handles a list that was just read.
 func (v *View) Listed(now time.Time, list []VM) []Action {
-	shown := make(map[ID]bool, len(list))
+	listed := make(map[ID]bool, len(list))
 	var actions []Action
 	for _, vm := range list {
-		shown[vm.ID] = true
-		actions = v.show(now, actions, vm)
+		listed[vm.ID] = true
+		actions = v.addListed(now, actions, vm)
 	}
-	if v.doubt(now, shown) {
+	if v.rejectsList(now, listed) {
 		return actions
 	}
 	for _, id := range v.order {
 		m := v.members[id]
-		if m.listed && !shown[id] {
+		if m.listed && !listed[id] {
 			m.listed = false
 			m.nextProbe = now
 		}
@@ -188,72 +192,72 @@
 	return actions
 }
 
-func (v *View) show(now time.Time, actions []Action, vm VM) []Action {
+func (v *View) addListed(now time.Time, actions []Action, vm VM) []Action {
 	m := v.members[vm.ID]
 	if m == nil {
-		// A new VM counts as live: if it isn't, the first offer's refusal proves that the
-		// request did not run, and it goes elsewhere.
+		// A new VM counts as live. If it is not, the refusal of the first request sent to it
+		// proves that the request did not run, and the request is sent to another VM.
 		m = &member{state: routing.Dead}
 		v.members[vm.ID] = m
-		place, _ := slices.BinarySearch(v.order, vm.ID)
-		v.order = slices.Insert(v.order, place, vm.ID)
+		i, _ := slices.BinarySearch(v.order, vm.ID)
+		v.order = slices.Insert(v.order, i, vm.ID)
 	}
 	m.vm = vm
 	m.listed = true
-	m.leaving = m.leaving || vm.Leaving
-	return v.settle(now, actions, m)
+	m.listedLeaving = m.listedLeaving || vm.Leaving
+	return v.updateState(now, actions, m)
 }
 
-// doubt reports whether the list lacks too many VMs at once to be believed.
+// rejectsList reports whether the list is rejected because it lacks too many VMs at once.
 //
-// What goes wrong: the platform's list is cut short, and every entry forgets most of the
-// fleet at the same moment. A mass loss that is real shows in the links as well.
-func (v *View) doubt(now time.Time, shown map[ID]bool) bool {
-	listed, missing := 0, 0
+// A truncated list would otherwise make every entry forget most VMs at the same time. If so
+// many VMs are really lost, the links show it as well.
+func (v *View) rejectsList(now time.Time, listed map[ID]bool) bool {
+	known, missing := 0, 0
 	for id, m := range v.members {
 		if m.listed {
-			listed++
-			if !shown[id] {
+			known++
+			if !listed[id] {
 				missing++
 			}
 		}
 	}
-	if float64(missing) <= v.config.DropShare*float64(listed) {
-		v.doubtSince = time.Time{}
+	if float64(missing) <= v.config.MaxMissingShare*float64(known) {
+		v.rejectedSince = time.Time{}
 		return false
 	}
-	if v.doubtSince.IsZero() {
-		v.doubtSince = now
+	if v.rejectedSince.IsZero() {
+		v.rejectedSince = now
 	}
-	return now.Sub(v.doubtSince) < v.config.DoubtBound
+	return now.Sub(v.rejectedSince) < v.config.RejectListFor
 }
 
-// Replied takes a sign of life: any message of the given incarnation of a VM's process.
+// Replied handles any message from the given incarnation of a VM's process.
 func (v *View) Replied(now time.Time, id ID, incarnation call.Incarnation) []Action {
 	m := v.members[id]
-	if m == nil || !m.meet(incarnation) {
+	if m == nil || !m.observeIncarnation(incarnation) {
 		return nil
 	}
 	m.evidence = replied
 	m.lastReply = now
-	return v.settle(now, nil, m)
+	return v.updateState(now, nil, m)
 }
 
-// Left takes an agent's word that it is leaving. It holds for this incarnation only: the
-// next process on the VM may be there to stay.
+// Left handles an agent's announcement that it is leaving. It applies to this incarnation only:
+// the next process on the VM may stay.
 func (v *View) Left(now time.Time, id ID, incarnation call.Incarnation) []Action {
 	m := v.members[id]
-	if m == nil || !m.meet(incarnation) {
+	if m == nil || !m.observeIncarnation(incarnation) {
 		return nil
 	}
-	m.left = true
-	return v.settle(now, nil, m)
+	m.agentLeaving = true
+	return v.updateState(now, nil, m)
 }
 
-// Silent takes that a message sent at sent had no answer in the time for it.
+// Silent handles the timeout of a message that was sent at sent.
 func (v *View) Silent(now time.Time, id ID, sent time.Time) []Action {
 	m := v.members[id]
-	// A reply since then means that the connection went silent and not the VM.
+	// A reply since then means that the connection has failed and not the VM.
 	if m == nil || m.evidence == refused || m.lastReply.After(sent) {
 		return nil
 	}
@@ -261,12 +265,12 @@
 		m.evidence = silent
 		m.silentSince = now
 		m.nextProbe = now
-		m.probeWait = v.config.ProbeMin
+		m.probeInterval = v.config.MinProbeInterval
 	}
-	return v.settle(now, nil, m)
+	return v.updateState(now, nil, m)
 }
 
-// Refused takes that a new connection was refused: no process listens on the VM.
+// Refused handles the refusal of a new connection: no process listens on the VM.
 func (v *View) Refused(now time.Time, id ID) []Action {
 	m := v.members[id]
 	if m == nil {
@@ -274,25 +278,25 @@
 	}
 	if m.evidence != refused {
 		m.evidence = refused
-		m.nextProbe = now.Add(v.config.ProbeMin)
-		m.probeWait = v.config.ProbeMin
+		m.nextProbe = now.Add(v.config.MinProbeInterval)
+		m.probeInterval = v.config.MinProbeInterval
 	}
-	return v.settle(now, nil, m)
+	return v.updateState(now, nil, m)
 }
 
-// Tick moves time on; it is to be called about every 100 ms.
+// Tick handles the passing of time. It must be called about every 100 ms.
 func (v *View) Tick(now time.Time) []Action {
 	var actions []Action
 	probes := 0
 	for _, id := range slices.Clone(v.order) {
 		m := v.members[id]
-		actions = v.settle(now, actions, m)
-		if m.state == routing.Dead && !m.listed && now.Sub(m.stateSince) >= v.config.ForgetBound {
-			v.forget(id)
+		actions = v.updateState(now, actions, m)
+		if m.state == routing.Dead && !m.listed && now.Sub(m.stateSince) >= v.config.ForgetAfter {
+			v.removeMember(id)
 			actions = append(actions, Forgotten{ID: id})
 			continue
 		}
-		if probes < v.config.ProbesPerTick && v.wantsProbe(now, m) {
+		if probes < v.config.MaxProbesPerTick && v.probeDue(now, m) {
 			probes++
 			actions = append(actions, Probe{VM: m.vm})
 		}
@@ -300,49 +304,49 @@
 	return actions
 }
 
-func (v *View) forget(id ID) {
+func (v *View) removeMember(id ID) {
 	delete(v.members, id)
-	place, _ := slices.BinarySearch(v.order, id)
-	v.order = slices.Delete(v.order, place, place+1)
+	i, _ := slices.BinarySearch(v.order, id)
+	v.order = slices.Delete(v.order, i, i+1)
 }
 
-// wantsProbe reports whether a VM is to be probed now, and sets when the next time is. A
-// wrong suspicion ends with the first probe that is answered.
-func (v *View) wantsProbe(now time.Time, m *member) bool {
-	doubtful := m.evidence == silent || m.evidence == refused
-	if now.Before(m.nextProbe) || (m.listed && !doubtful) {
+// probeDue reports whether to probe a VM now, and if so schedules the next probe. A false
+// suspicion ends with the first probe that is answered.
+func (v *View) probeDue(now time.Time, m *member) bool {
+	unresponsive := m.evidence == silent || m.evidence == refused
+	if now.Before(m.nextProbe) || (m.listed && !unresponsive) {
 		return false
 	}
-	if !doubtful {
-		m.nextProbe = now.Add(v.config.UnlistedProbe)
+	if !unresponsive {
+		m.nextProbe = now.Add(v.config.UnlistedProbeInterval)
 		return true
 	}
-	m.nextProbe = now.Add(m.probeWait)
-	m.probeWait = min(2*m.probeWait, v.config.ProbeMax)
+	m.nextProbe = now.Add(m.probeInterval)
+	m.probeInterval = min(2*m.probeInterval, v.config.MaxProbeInterval)
 	return true
 }
 
-// meet notes an incarnation and reports whether it is the newest. Incarnations are
-// random, so that only having been replaced tells an old one.
-func (m *member) meet(incarnation call.Incarnation) bool {
-	if incarnation == m.current {
+// observeIncarnation records an incarnation and reports whether it is the newest. Incarnations
+// are random numbers without an order, so an old one is recognised because it was replaced.
+func (m *member) observeIncarnation(incarnation call.Incarnation) bool {
+	if incarnation == m.incarnation {
 		return true
 	}
-	if slices.Contains(m.past, incarnation) {
+	if slices.Contains(m.pastIncarnations, incarnation) {
 		return false
 	}
-	if m.current != 0 {
-		m.past = append(m.past, m.current)
-		m.past = m.past[max(0, len(m.past)-maxPast):]
+	if m.incarnation != 0 {
+		m.pastIncarnations = append(m.pastIncarnations, m.incarnation)
+		m.pastIncarnations = m.pastIncarnations[max(0, len(m.pastIncarnations)-maxPastIncarnations):]
 	}
-	m.current = incarnation
-	m.left = false
+	m.incarnation = incarnation
+	m.agentLeaving = false
 	return true
 }
 
-// settle brings a VM's state in line with what is known and tells of a change.
-func (v *View) settle(now time.Time, actions []Action, m *member) []Action {
-	state, reason := v.judge(now, m)
+// updateState updates a VM's state and returns a Changed action if it differs.
+func (v *View) updateState(now time.Time, actions []Action, m *member) []Action {
+	state, reason := v.deriveState(now, m)
 	if state == m.state {
 		return actions
 	}
@@ -351,16 +355,16 @@
 	return append(actions, Changed{VM: m.vm, State: state, Reason: reason})
 }
 
-func (v *View) judge(now time.Time, m *member) (routing.State, Reason) {
+func (v *View) deriveState(now time.Time, m *member) (routing.State, Reason) {
 	switch {
 	case m.evidence == refused:
 		return routing.Dead, ReasonRefused
-	case m.evidence == silent && now.Sub(m.silentSince) >= v.config.SuspectBound:
-		return routing.Dead, ReasonStillMute
-	case m.left:
-		return routing.Leaving, ReasonSaidSo
-	case m.leaving:
-		return routing.Leaving, ReasonListLeaves
+	case m.evidence == silent && now.Sub(m.silentSince) >= v.config.SuspectTimeout:
+		return routing.Dead, ReasonSuspicionExpired
+	case m.agentLeaving:
+		return routing.Leaving, ReasonAgentLeaving
+	case m.listedLeaving:
+		return routing.Leaving, ReasonListLeaving
 	case m.evidence == silent:
 		return routing.Suspect, ReasonSilent
 	case m.evidence == replied:
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -14,7 +14,7 @@
 
 func at(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-func fleet(n int) []VM {
+func newVMs(n int) []VM {
 	vms := make([]VM, n)
 	for i := range vms {
 		vms[i] = VM{ID: ID(fmt.Sprintf("vm-%02d", i)), Zone: fmt.Sprint("zone-", i%2)}
@@ -22,25 +22,25 @@
 	return vms
 }
 
-func started(n int) *View {
+func newView(n int) *View {
 	v := New(DefaultConfig())
-	v.Listed(at(0), fleet(n))
+	v.Listed(at(0), newVMs(n))
 	return v
 }
 
-func tick(v *View, from, to int) (actions []Action) {
+func tickUntil(v *View, from, to int) (actions []Action) {
 	for ms := from; ms <= to; ms += 100 {
 		actions = append(actions, v.Tick(at(ms))...)
 	}
 	return actions
 }
 
-// Each case is what happens to one VM out of ten, and its state afterwards.
-func TestOneVM(t *testing.T) {
+// Each case applies events to one VM of ten and checks its state afterwards.
+func TestStateOfOneVM(t *testing.T) {
 	const id = ID("vm-03")
-	leaving := fleet(10)
+	leaving := newVMs(10)
 	leaving[3].Leaving = true
-	without := append(fleet(10)[:3:3], fleet(10)[4:]...)
+	without := append(newVMs(10)[:3:3], newVMs(10)[4:]...)
 	for name, c := range map[string]struct {
 		events func(v *View)
 		want   routing.State
@@ -48,36 +48,36 @@
 		"new":                          {func(v *View) {}, routing.Live},
 		"connection refused":           {func(v *View) { v.Refused(at(500), id) }, routing.Dead},
 		"one silence":                  {func(v *View) { v.Silent(at(500), id, at(0)) }, routing.Suspect},
-		"silent, 1.5 s after the call": {func(v *View) { v.Silent(at(500), id, at(0)); tick(v, 600, 1500) }, routing.Dead},
+		"silent, 1.5 s after the call": {func(v *View) { v.Silent(at(500), id, at(0)); tickUntil(v, 600, 1500) }, routing.Dead},
 		"silent connection, new one replies": {func(v *View) {
 			v.Replied(at(300), id, 1)
 			v.Silent(at(500), id, at(0))
-			tick(v, 600, 3000)
+			tickUntil(v, 600, 3000)
 		}, routing.Live},
-		"wrongly dead, probe replies": {func(v *View) {
+		"falsely dead, probe replies": {func(v *View) {
 			v.Silent(at(500), id, at(0))
-			tick(v, 600, 3000)
+			tickUntil(v, 600, 3000)
 			v.Replied(at(3100), id, 1)
 		}, routing.Live},
-		"restart after refusal": {func(v *View) { v.Replied(at(0), id, 1); v.Refused(at(500), id); v.Replied(at(700), id, 2) }, routing.Live},
-		"agent says it leaves":  {func(v *View) { v.Left(at(100), id, 1); v.Replied(at(200), id, 1); v.Listed(at(300), fleet(10)) }, routing.Leaving},
-		"new process stays":     {func(v *View) { v.Left(at(100), id, 1); v.Replied(at(200), id, 2) }, routing.Live},
-		"late word of the old process": {func(v *View) {
+		"restart after refusal":          {func(v *View) { v.Replied(at(0), id, 1); v.Refused(at(500), id); v.Replied(at(700), id, 2) }, routing.Live},
+		"agent announces that it leaves": {func(v *View) { v.Left(at(100), id, 1); v.Replied(at(200), id, 1); v.Listed(at(300), newVMs(10)) }, routing.Leaving},
+		"new process stays":              {func(v *View) { v.Left(at(100), id, 1); v.Replied(at(200), id, 2) }, routing.Live},
+		"late announcement of the old process": {func(v *View) {
 			v.Replied(at(0), id, 1)
 			v.Replied(at(100), id, 2)
 			v.Left(at(200), id, 1)
 		}, routing.Live},
-		"list says it leaves":      {func(v *View) { v.Listed(at(100), leaving); v.Listed(at(200), fleet(10)) }, routing.Leaving},
-		"list forgets it, replies": {func(v *View) { v.Listed(at(100), without); v.Replied(at(200), id, 1); tick(v, 300, 90_000) }, routing.Live},
-		"list forgets it, mute": {func(v *View) {
+		"list shows it as leaving": {func(v *View) { v.Listed(at(100), leaving); v.Listed(at(200), newVMs(10)) }, routing.Leaving},
+		"list drops it, replies":   {func(v *View) { v.Listed(at(100), without); v.Replied(at(200), id, 1); tickUntil(v, 300, 90_000) }, routing.Live},
+		"list drops it, silent": {func(v *View) {
 			v.Listed(at(100), without)
-			require.Equal(t, []Action{Probe{VM: fleet(10)[3]}}, v.Tick(at(200)))
+			require.Equal(t, []Action{Probe{VM: newVMs(10)[3]}}, v.Tick(at(200)))
 			v.Silent(at(700), id, at(200))
-			require.Contains(t, tick(v, 800, 62_000), Forgotten{ID: id})
+			require.Contains(t, tickUntil(v, 800, 62_000), Forgotten{ID: id})
 		}, routing.Dead},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := started(10)
+			v := newView(10)
 			c.events(v)
 			require.Equal(t, c.want, v.State(id))
 			require.Equal(t, routing.Live, v.State("vm-04"))
@@ -85,28 +85,28 @@
 	}
 }
 
-// Symptom: every entry answered that no replica was live. Events: the platform's list was
-// cut to three VMs for a minute. Cause: the entries believed it at once.
-func TestListThatDropsTheFleetIsDoubted(t *testing.T) {
-	v := started(40)
+// When the platform's list is truncated to a few VMs for a minute, the entries must not drop the
+// others and answer that no replica is live.
+func TestListMissingMostVMsIsRejected(t *testing.T) {
+	v := newView(40)
 	for ms := 1000; ms < 60_000; ms += 1000 {
-		require.Empty(t, v.Listed(at(ms), fleet(3)))
+		require.Empty(t, v.Listed(at(ms), newVMs(3)))
 		require.Empty(t, v.Tick(at(ms)))
 		require.True(t, v.Doubted())
 	}
 	v.Refused(at(60_000), "vm-30")
 	require.Equal(t, routing.Dead, v.State("vm-30"), "own evidence still counts")
 	require.Equal(t, routing.Live, v.State("vm-31"))
-	v.Listed(at(61_000), fleet(40))
+	v.Listed(at(61_000), newVMs(40))
 	require.False(t, v.Doubted())
 }
 
-// Two regions that can't reach each other: each goes on with its own VMs, whatever the
-// list says of the others, and the others come back once they reply.
-func TestRegionsApart(t *testing.T) {
-	v := started(20)
+// In a partition each side keeps using its own VMs although the list shows all of them, and the
+// VMs of the other side become live again once they reply.
+func TestNetworkPartition(t *testing.T) {
+	v := newView(20)
 	for ms := 1000; ms < 20_000; ms += 500 {
-		for _, vm := range fleet(20) {
+		for _, vm := range newVMs(20) {
 			if vm.Zone == "zone-1" {
 				v.Silent(at(ms), vm.ID, at(ms-500))
 			} else {
@@ -128,8 +128,9 @@
 	})
 }
 
-// naive keeps all events of one VM and works its state out from the beginning each time.
-type naive struct{ events []event }
+// eventLog is a reference implementation that keeps all events of one VM and derives its state
+// from all of them each time.
+type eventLog struct{ events []event }
 
 type event struct {
 	kind        string
@@ -137,10 +138,10 @@
 	incarnation call.Incarnation
 }
 
-func (n *naive) state(now time.Time) routing.State {
+func (n *eventLog) state(now time.Time) routing.State {
 	var seen []call.Incarnation
-	var reply, mute time.Time
-	listLeaves, saidSo, dead := false, false, false
+	var reply, silentSince time.Time
+	listedLeaving, agentLeaving, dead := false, false, false
 	for _, e := range n.events {
 		if e.incarnation != 0 {
 			old := false
@@ -152,41 +153,41 @@
 			}
 			if len(seen) == 0 || seen[len(seen)-1] != e.incarnation {
 				seen = append(seen, e.incarnation)
-				saidSo = false
+				agentLeaving = false
 			}
 		}
 		switch e.kind {
 		case "reply":
-			reply, mute, dead = e.at, time.Time{}, false
+			reply, silentSince, dead = e.at, time.Time{}, false
 		case "left":
-			saidSo = true
+			agentLeaving = true
 		case "list-leaving":
-			listLeaves = true
+			listedLeaving = true
 		case "refused":
 			dead = true
 		case "silent":
-			if mute.IsZero() && !reply.After(e.sent) && !dead {
-				mute = e.at
+			if silentSince.IsZero() && !reply.After(e.sent) && !dead {
+				silentSince = e.at
 			}
 		}
 	}
 	switch {
-	case dead, !mute.IsZero() && now.Sub(mute) >= DefaultConfig().SuspectBound:
+	case dead, !silentSince.IsZero() && now.Sub(silentSince) >= DefaultConfig().SuspectTimeout:
 		return routing.Dead
-	case saidSo || listLeaves:
+	case agentLeaving || listedLeaving:
 		return routing.Leaving
-	case !mute.IsZero():
+	case !silentSince.IsZero():
 		return routing.Suspect
 	}
 	return routing.Live
 }
 
-// The view must agree with the naive one after any events, must tell of every change, and
-// must keep probing a VM that it holds for dead, so that a wrong suspicion ends.
-func TestViewAgainstNaive(t *testing.T) {
+// The view must agree with the event log after any events, must report every change, and must
+// keep probing a VM that counts as dead, so that a false suspicion ends.
+func TestViewAgainstEventLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v, n := started(1), &naive{}
-		told := routing.Live
+		v, n := newView(1), &eventLog{}
+		reported := routing.Live
 		incarnation := call.Incarnation(1)
 		lastProbe, downSince := at(0), at(0)
 		for ms := 0; ms < 10_000; ms += 100 {
@@ -196,7 +197,7 @@
 			switch e.kind {
 			case "reply", "left":
 				e.incarnation = max(1, incarnation-call.Incarnation(rapid.IntRange(0, 2).Draw(t, "old")))
-				if rapid.IntRange(0, 9).Draw(t, "restart") == 0 && incarnation < maxPast {
+				if rapid.IntRange(0, 9).Draw(t, "restart") == 0 && incarnation < maxPastIncarnations {
 					incarnation++
 					e.incarnation = incarnation
 				}
@@ -217,13 +218,13 @@
 			for _, action := range actions {
 				switch a := action.(type) {
 				case Changed:
-					told = a.State
+					reported = a.State
 				case Probe:
 					lastProbe = now
 				}
 			}
 			require.Equal(t, n.state(now), v.State("vm-00"))
-			require.Equal(t, told, v.State("vm-00"))
+			require.Equal(t, reported, v.State("vm-00"))
 			if v.State("vm-00") != routing.Dead {
 				downSince = now
 			}
@@ -233,7 +234,7 @@
 }
 
 func BenchmarkTick1200(b *testing.B) {
-	v := started(1200)
+	v := newView(1200)
 	for b.Loop() {
 		v.Tick(at(100))
 	}
