--- a/core/lease/machine.go
+++ b/core/lease/machine.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// ActionKind is what a Machine wants done next.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of action.
 const (
-	// Wait asks to call Next again after Action.Wait.
+	// Wait means to call Next again after Action.Wait.
 	Wait ActionKind = iota
-	// Read asks to read the latest row and report RowRead or ReadFailed.
+	// Read means to read the latest row and call RowRead or ReadFailed.
 	Read
-	// Write asks to commit Action.Write and report Written.
+	// Write means to commit Action.Write and call Written.
 	Write
-	// Done says that the lease is given up and nothing is left to do.
+	// Done means that the lease is released and there are no further actions.
 	Done
 )
 
-// Action is what the owner of a Machine does next.
+// Action is the next action of a Machine's owner.
 type Action struct {
 	Kind  ActionKind
 	Wait  time.Duration
@@ -29,13 +29,13 @@
 
 // WriteOrder is a conditional write of the row.
 type WriteOrder struct {
-	// Token is the client token; it differs for each order of any process.
+	// Token is the client token. It is unique among the writes of all processes.
 	Token     string
 	IfVersion uint64
 	Record    Record
 }
 
-// Outcome is how a write ended.
+// Outcome is the outcome of a write.
 type Outcome uint8
 
 // The outcomes.
@@ -44,28 +44,28 @@
 	Applied Outcome = iota
 	// Conflict means that the row has another version.
 	Conflict
-	// NotApplied means that it is proved that nothing was written.
+	// NotApplied means that the write is known not to have been applied.
 	NotApplied
-	// Unknown means that the answer was lost.
+	// Unknown means that the answer was lost, so the write may have been applied.
 	Unknown
 )
 
-// term is a stay as the holder.
+// term is a period as the holder.
 type term struct {
 	fence uint64
-	// from is when the last write known to be applied was sent.
-	from Reading
-	// suspended is set when the row is known to have changed and not yet read again.
+	// startedAt is when the last write known to be applied was sent; the lease counts from it.
+	startedAt Reading
+	// suspended says that the row is known to have changed and has not been read again.
 	suspended bool
 }
 
 type pendingWrite struct {
-	order  WriteOrder
-	sentAt Reading
+	request WriteOrder
+	sentAt  Reading
 }
 
-// Machine is one process's part in a lease. Its owner carries out one action at a time
-// and reports how it ended before it asks for the next. It is not safe for concurrent use.
+// Machine is the lease's state machine in one process. Its owner performs one action at a
+// time and reports the outcome before it calls Next again. It is not safe for concurrent use.
 type Machine struct {
 	self     string
 	settings Settings
@@ -73,19 +73,19 @@
 	row Row
 	// known says that row is believed to be the latest.
 	known bool
-	// seenAt is when this version of row was seen first, readAt when it was last.
+	// seenAt is when this version of row was first read, readAt when row was last read.
 	seenAt, readAt time.Duration
 	retryAt        time.Duration
 	term           *term
-	// pending is the last write whose effect is not known.
+	// pending is the last write if its outcome is not known.
 	pending   *pendingWrite
 	writes    uint64
 	resigning bool
 }
 
-// New returns a machine that tries to get and keep the lease for the process self. The
-// ID must name one life of one process: a restarted process that took over its old name
-// would take over a right whose time it cannot know.
+// New returns a machine that tries to acquire and keep the lease for the process self. The ID
+// must be unique to one incarnation of a process: a restarted process that reused its ID
+// would take over a lease of which it does not know the remaining time.
 func New(self string, settings Settings) *Machine {
 	return &Machine{self: self, settings: settings}
 }
@@ -95,16 +95,16 @@
 	if m.term == nil || m.term.suspended || m.resigning {
 		return Grant{}, false
 	}
-	left := m.settings.Length - m.settings.Margin - now.passedSince(m.term.from)
+	left := m.settings.Length - m.settings.Margin - now.elapsedSince(m.term.startedAt)
 	return Grant{Fence: m.term.fence, Left: left}, left > 0
 }
 
-// Resign makes the process stop at once and give the lease up in its next actions.
+// Resign ends the grant at once. The next actions release the lease.
 func (m *Machine) Resign() { m.resigning = true }
 
-// Next returns what to do now.
+// Next returns the next action.
 func (m *Machine) Next(now Reading) Action {
-	m.lapse(now)
+	m.expireTerm(now)
 	switch {
 	case now.Mono < m.retryAt:
 		return Action{Kind: Wait, Wait: m.retryAt - now.Mono}
@@ -114,19 +114,19 @@
 		return m.release(now)
 	case m.term != nil:
 		return m.renew(now)
-	case m.free():
+	case m.available():
 		return m.write(now, Record{Holder: m.self, Fence: m.row.Record.Fence + 1, Length: m.settings.Length})
 	default:
 		return m.poll(now)
 	}
 }
 
-// lapse ends a term whose time has passed. The row may have a new holder by now.
-func (m *Machine) lapse(now Reading) {
+// expireTerm ends a term whose time has passed. The row may have a new holder by now.
+func (m *Machine) expireTerm(now Reading) {
 	if m.term == nil || m.resigning {
 		return
 	}
-	if now.passedSince(m.term.from) >= m.settings.Length-m.settings.Margin {
+	if now.elapsedSince(m.term.startedAt) >= m.settings.Length-m.settings.Margin {
 		m.term = nil
 		m.known = false
 	}
@@ -140,26 +140,26 @@
 }
 
 func (m *Machine) renew(now Reading) Action {
-	age := now.passedSince(m.term.from)
+	age := now.elapsedSince(m.term.startedAt)
 	if age < m.settings.RenewEvery {
 		return Action{Kind: Wait, Wait: m.settings.RenewEvery - age}
 	}
 	return m.write(now, Record{Holder: m.self, Fence: m.term.fence, Length: m.settings.Length})
 }
 
-// free reports whether the last read allows to take the lease. A row that names this
-// process without a term stems from a write whose answer came too late or never; no one
-// else can have taken the lease while the row has that version.
-func (m *Machine) free() bool {
+// available reports whether the lease may be taken according to the last read. A row that
+// names this process although it has no term is the result of a write whose answer was late
+// or lost; no other process can have taken the lease while the row has that version.
+func (m *Machine) available() bool {
 	holder := m.row.Record.Holder
 	if holder == "" || holder == m.self {
 		return true
 	}
-	return m.readAt-m.seenAt >= m.settings.wait(m.row.Record.Length)
+	return m.readAt-m.seenAt >= m.settings.takeoverWait(m.row.Record.Length)
 }
 
 func (m *Machine) poll(now Reading) Action {
-	next := min(m.readAt+m.settings.PollEvery, m.seenAt+m.settings.wait(m.row.Record.Length))
+	next := min(m.readAt+m.settings.PollEvery, m.seenAt+m.settings.takeoverWait(m.row.Record.Length))
 	if now.Mono < next {
 		return Action{Kind: Wait, Wait: next - now.Mono}
 	}
@@ -168,53 +168,54 @@
 
 func (m *Machine) write(now Reading, record Record) Action {
 	m.writes++
-	order := WriteOrder{
+	request := WriteOrder{
 		Token:     m.self + "/" + strconv.FormatUint(m.writes, 10),
 		IfVersion: m.row.Version,
 		Record:    record,
 	}
-	m.pending = &pendingWrite{order: order, sentAt: now}
-	return Action{Kind: Write, Write: order}
+	m.pending = &pendingWrite{request: request, sentAt: now}
+	return Action{Kind: Write, Write: request}
 }
 
-// Written reports how the last write ended; version is the row's if it was applied.
+// Written handles the outcome of the last write; version is the row's if it was applied.
 //
-// After an unknown outcome the row is read back. If it carries the write's token, the
-// write counts from when it was sent. If not, the write may still arrive late; that is
-// harmless, because it and any later write demand the version that the row has now.
+// After an unknown outcome the row is read back. If it has the write's token, the lease
+// counts from when the write was sent. If not, the write may still arrive late. This is
+// harmless, because it and any later write require the version that the row has now, so
+// only one of them can be applied.
 func (m *Machine) Written(now Reading, outcome Outcome, version uint64) {
 	write := m.pending
 	switch outcome {
 	case Applied:
-		m.see(now, Row{Version: version, Token: write.order.Token, Record: write.order.Record})
-		m.adopt(write)
+		m.observeRow(now, Row{Version: version, Token: write.request.Token, Record: write.request.Record})
+		m.acceptWrite(write)
 	case NotApplied:
 		m.pending = nil
 		m.retryAt = now.Mono + m.settings.RetryEvery
 	case Conflict:
 		m.pending = nil
 		m.known = false
-		m.suspend()
+		m.suspendTerm()
 	default:
 		m.known = false
 		m.retryAt = now.Mono + m.settings.RetryEvery
 	}
 }
 
-// ReadFailed reports that the row could not be read.
+// ReadFailed handles a failed read of the row.
 func (m *Machine) ReadFailed(now Reading) { m.retryAt = now.Mono + m.settings.RetryEvery }
 
-// RowRead reports the latest row.
+// RowRead handles the latest row.
 func (m *Machine) RowRead(now Reading, row Row) {
-	m.see(now, row)
-	if m.pending != nil && m.pending.order.Token == row.Token {
-		m.adopt(m.pending)
+	m.observeRow(now, row)
+	if m.pending != nil && m.pending.request.Token == row.Token {
+		m.acceptWrite(m.pending)
 	}
 	m.pending = nil
-	m.confirm()
+	m.confirmTerm()
 }
 
-func (m *Machine) see(now Reading, row Row) {
+func (m *Machine) observeRow(now Reading, row Row) {
 	if row.Version != m.row.Version || m.row.Version == 0 {
 		m.seenAt = now.Mono
 	}
@@ -223,26 +224,26 @@
 	m.known = true
 }
 
-// adopt takes in a write that is known to be applied.
-func (m *Machine) adopt(write *pendingWrite) {
+// acceptWrite updates the term after a write that is known to be applied.
+func (m *Machine) acceptWrite(write *pendingWrite) {
 	m.pending = nil
-	if write.order.Record.Holder != m.self {
+	if write.request.Record.Holder != m.self {
 		m.term = nil
 		return
 	}
-	m.term = &term{fence: write.order.Record.Fence, from: write.sentAt}
+	m.term = &term{fence: write.request.Record.Fence, startedAt: write.sentAt}
 }
 
-// suspend stops the holder until the row is read: the version has changed, be it by
-// another holder or by an earlier renewal that arrived late.
-func (m *Machine) suspend() {
+// suspendTerm stops the holder until the row is read again: another holder or a late renewal
+// of its own has changed the version.
+func (m *Machine) suspendTerm() {
 	if m.term != nil {
 		m.term.suspended = true
 	}
 }
 
-// confirm ends the term unless the row still names it.
-func (m *Machine) confirm() {
+// confirmTerm ends the term unless the row still names it.
+func (m *Machine) confirmTerm() {
 	if m.term == nil {
 		return
 	}
