--- a/core/routes/routes.go
+++ b/core/routes/routes.go
@@ -1,6 +1,6 @@
-// Package routes holds the HTTP routes of the plain shell: which service answers a host
-// and path, who may call it, and what may be repeated. A Table is immutable: a new
-// version is wholly built before it replaces the old one.
+// Package routes holds the HTTP routes: which service answers a host and path, which
+// organisations may call it, and which requests may be retried. A Table is immutable: a
+// new version is built completely before it replaces the old one.
 package routes
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind says what may be repeated.
+// Kind says whether the requests of a route may be retried, and whether they are streamed.
 type Kind uint8
 
 // The kinds of route.
@@ -24,12 +24,12 @@
 	Idempotent Kind = iota
 	// NonIdempotent requests run at most once for each request of a caller.
 	NonIdempotent
-	// Streaming requests are answered by events. They run at most once, unless the route
-	// is resumable.
+	// Streaming requests are answered by a stream of events. They run at most once, unless
+	// the route is resumable.
 	Streaming
 )
 
-// String names the kind in metrics and logs.
+// String returns the name of the kind in metrics and logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -43,32 +43,32 @@
 	}
 }
 
-// Target is a service that gets a part of a route's requests.
+// Target is a service that gets a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route says how requests below one prefix of one host are handled.
+// Route says how requests to the paths below one prefix of one host are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time in which a request must have its final answer.
+	// Timeout is the time within which a request must have its final answer.
 	Timeout time.Duration
-	// Aim is the time in which the answer, or a stream's first event, should be there.
+	// Aim is the target latency of the answer, or of a stream's first event.
 	Aim time.Duration
-	// GapAim is the longest pause between a stream's events that is on time.
+	// GapAim is the target for the longest gap between two events of a stream.
 	GapAim time.Duration
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority is the priority of requests; 0 is the most urgent.
 	Priority int
 	Targets  []Target
 	// MaxUpstreams is the number of upstreams to which one request may be sent.
 	MaxUpstreams int
-	// Anonymous routes need no key.
+	// Anonymous routes require no key.
 	Anonymous bool
-	// Resumable streams may be continued at another upstream behind an event.
+	// Resumable streams may be continued at another upstream after the last event.
 	Resumable bool
 }
 
@@ -78,7 +78,7 @@
 }
 
 // Service returns the service for a request. The same id always gets the same service, so
-// that a repeat by the caller is not split differently.
+// that a retry by the caller is sent to the same service.
 func (r *Route) Service(id string) string {
 	total := 0
 	for _, target := range r.Targets {
@@ -99,10 +99,10 @@
 	return r.Targets[0].Service
 }
 
-// Service is one service behind routes.
+// Service is a service to which routes send requests.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections of all callers to one upstream.
+	// MaxConnections bounds the connections for all callers to one upstream.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *enginemodel.Spec
@@ -113,11 +113,11 @@
 	Name     string
 	Keys     []string
 	Priority int
-	// Ranked says that Priority was given and goes before the route's.
+	// Ranked says that Priority is set and overrides the route's.
 	Ranked bool
 }
 
-// Limits bounds what callers may send. Zero means no bound of the document's.
+// Limits bounds the requests of callers. Zero means that the document sets no bound.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -143,7 +143,7 @@
 	limits   Limits
 }
 
-// Build checks a document and returns its Table. The document must not change afterwards.
+// Build validates a document and returns its Table. The document must not change afterwards.
 func Build(d *Document) (*Table, error) {
 	t := &Table{
 		version:  d.Version,
@@ -177,7 +177,7 @@
 	}
 	for _, target := range route.Targets {
 		if t.services[target.Service] == nil {
-			return errors.Errorf("route %q names service %q, which the document lacks", route.Name, target.Service)
+			return errors.Errorf("route %q names service %q, which does not exist in the document", route.Name, target.Service)
 		}
 	}
 	host := strings.ToLower(route.Host)
@@ -188,7 +188,7 @@
 // Version returns the document's version.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits returns the bounds of what callers may send.
+// Limits returns the bounds on the requests of callers.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Len returns the number of routes.
@@ -200,8 +200,8 @@
 	return n
 }
 
-// Match returns the route of the host with the longest prefix of the path, or nil. The
-// path is as it stands in the request, without the query.
+// Match returns the route of the host whose prefix of the path is the longest, or nil. The
+// path is the one in the request, unchanged and without the query.
 func (t *Table) Match(host, path string) *Route {
 	for _, route := range t.hosts[hostOnly(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -222,7 +222,7 @@
 // Service returns the named service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Restricted reports whether callers need keys at all.
+// Restricted reports whether callers need keys. They need none if no organisation has a key.
 func (t *Table) Restricted() bool { return len(t.keys) > 0 }
 
 // Caller returns the organisation that holds the key, or nil.
--- a/core/routes/routes_test.go
+++ b/core/routes/routes_test.go
@@ -8,28 +8,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-func build(t *testing.T, d *Document) *Table {
+func requireTable(t *testing.T, d *Document) *Table {
 	t.Helper()
 	table, err := Build(d)
 	require.NoError(t, err)
 	return table
 }
 
-func route(name, host, prefix string, targets ...Target) Route {
+func newRoute(name, host, prefix string, targets ...Target) Route {
 	if len(targets) == 0 {
 		targets = []Target{{Service: "a", Weight: 1}}
 	}
 	return Route{Name: name, Host: host, Prefix: prefix, Targets: targets, Timeout: time.Second}
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
-	table := build(t, &Document{
+func TestMatchPrefersLongestPrefix(t *testing.T) {
+	table := requireTable(t, &Document{
 		Version:  1,
 		Services: []Service{{Name: "a"}},
 		Routes: []Route{
-			route("outer", "One.example", "/x/"),
-			route("inner", "one.example", "/x/y/"),
-			route("other", "two.example", "/x/y/z/"),
+			newRoute("outer", "One.example", "/x/"),
+			newRoute("inner", "one.example", "/x/y/"),
+			newRoute("other", "two.example", "/x/y/z/"),
 		},
 	})
 	cases := []struct{ host, path, want string }{
@@ -51,8 +51,8 @@
 	}
 }
 
-func TestServiceSplitsByWeightAndKeepsToARequest(t *testing.T) {
-	r := route("r", "h", "/", Target{"a", 90}, Target{"b", 10}, Target{"c", 0})
+func TestServiceSplitIsWeightedAndStable(t *testing.T) {
+	r := newRoute("r", "h", "/", Target{"a", 90}, Target{"b", 10}, Target{"c", 0})
 	counts := map[string]int{}
 	for i := range 10_000 {
 		id := fmt.Sprint("request-", i)
@@ -73,9 +73,9 @@
 }
 
 func TestCallers(t *testing.T) {
-	table := build(t, &Document{Version: 1, Organisations: []Organisation{{Name: "o", Keys: []string{"k1", "k2"}}}})
+	table := requireTable(t, &Document{Version: 1, Organisations: []Organisation{{Name: "o", Keys: []string{"k1", "k2"}}}})
 	require.True(t, table.Restricted())
 	require.Equal(t, "o", table.Caller("k2").Name)
 	require.Nil(t, table.Caller(""))
-	require.False(t, build(t, &Document{Version: 2}).Restricted())
+	require.False(t, requireTable(t, &Document{Version: 2}).Restricted())
 }
