--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -1,10 +1,10 @@
-// Package quarantine finds the requests that crash the upstreams that run them, and holds them
+// Package quarantine detects requests that crash the upstreams that run them, and holds them
 // back. It does no I/O.
 //
-// Whoever runs at an upstream that crashes is suspected, the cause and those beside it alike. What
-// tells them apart is that the cause is there each time, and that the others are answered
-// elsewhere. So a request is held back once several upstreams have crashed under it, nothing else
-// explains those crashes better, and no upstream has ever answered it.
+// Every request in flight at an upstream that crashes is a suspect, the cause as well as the
+// others. The cause is in flight at each of the crashes, while the others are answered by other
+// upstreams. So a request is held back once several upstreams have crashed while running it, no
+// other request explains those crashes better, and no upstream has answered it.
 package quarantine
 
 import (
@@ -13,20 +13,22 @@
 	"acaciacleat.example/core/fingerprint"
 )
 
-// Settings of a Ledger.
+// Settings are the settings of a Ledger.
 type Settings struct {
-	// Crashes is the number of upstreams that must have crashed under a request before it is held
-	// back.
+	// Crashes is the number of upstreams that must have crashed while running a request before it
+	// is held back.
 	Crashes int
-	// Hold is how long it is held back the first time. Then it is on probation for as long again,
-	// in which one more crash is enough, and each further hold is holdGrowth times as long.
+	// Hold is how long a request is held back the first time. Then it is on probation for the same
+	// time, during which one more crash is enough, and each further hold is holdGrowth times as
+	// long.
 	Hold time.Duration
 }
 
-// DefaultSettings take three crashes for no coincidence.
+// DefaultSettings require three crashes, which are unlikely to be a coincidence.
 var DefaultSettings = Settings{Crashes: 3, Hold: time.Hour}
 
-// Length returns how long a request is held back when it is for so many times in a row.
+// Length returns the length of a hold, given how many times in a row the request has been held
+// back with it.
 func (s Settings) Length(times int) time.Duration {
 	length := s.Hold
 	for range times - 1 {
@@ -36,36 +38,37 @@
 }
 
 const (
-	// Settle is how long a verdict waits for further suspects of the last crash: entries tell
-	// each other of one within some round trips.
+	// Settle is how long a verdict waits for further suspects of the last crash. Entries send
+	// each other their suspects within a few round trips.
 	Settle = 100 * time.Millisecond
-	// coincide is the time within which crashes count as one: a rack that fails takes several
-	// upstreams at once, with a request that was sent to many of them.
-	coincide = 20 * time.Millisecond
-	// holdGrowth keeps the trials of a request that goes on crashing upstreams few.
+	// coincidenceWindow is the time within which crashes count as one. When a rack fails, several
+	// upstreams that ran the same popular request crash at once.
+	coincidenceWindow = 20 * time.Millisecond
+	// holdGrowth limits how often a request that keeps crashing upstreams is tried again.
 	holdGrowth = 8
-	// Memory is how long crashes and suspicions are remembered.
+	// Memory is how long crashes and suspects are kept.
 	Memory = 30 * time.Minute
-	// MostHold bounds a hold, whoever asks for it.
+	// MostHold bounds the length of any hold.
 	MostHold = 30 * 24 * time.Hour
-	// The bounds of what is kept, some times more than a fleet loses in a bad hour. Beyond them the
-	// oldest crash is forgotten, and no further suspect and hold is taken up.
-	mostCrashes  = 1024
-	mostSuspects = 8192
-	mostHeld     = 4096
+	// Bounds on the size of a Ledger, several times the number of crashes in an hour with many
+	// failures. When they are reached, the oldest crash is dropped, and no suspect or hold is
+	// added.
+	maxCrashes  = 1024
+	maxSuspects = 8192
+	maxHolds    = 4096
 )
 
-// Verdict says that a request is held back.
+// Verdict is the decision to hold a request back.
 type Verdict struct {
 	Print fingerprint.Print
-	// Crashes is the number of crashes that nothing else explains, those that coincide counted
-	// once. Shared says that another request explains them as well.
+	// Crashes is the number of crashes that no other request explains; coincident crashes count
+	// once. Shared says that another request explains them equally well.
 	Crashes int
 	Shared  bool
 	Hold    Hold
 }
 
-// Hold says until when a request is held back, and for how many times in a row it has been.
+// Hold says until when a request is held back, and how many times in a row it has been.
 type Hold struct {
 	Until time.Time
 	Times int
@@ -77,29 +80,31 @@
 	crashes  map[uint32]*crash
 	suspects map[fingerprint.Print]*suspect
 	holds    map[fingerprint.Print]Hold
-	// cleared tells when a request was answered of which others may still say old things.
+	// cleared holds when a request was cleared. Outdated records and reports of other entries
+	// may still arrive for it.
 	cleared map[fingerprint.Print]time.Time
 }
 
-// Crash is the end of one incarnation of an upstream with a request in hand.
+// Crash is the crash of one incarnation of an upstream with a given request in flight.
 type Crash struct {
 	Upstream uint32
 	At       time.Time
-	// Again says that the request had come there from another upstream that had crashed under it.
+	// Again says that the request was sent there after another upstream had crashed while running
+	// it.
 	Again bool
 }
 
-// crash is the end of one incarnation with all that was in hand.
+// crash is the crash of one incarnation with all requests in flight.
 type crash struct {
 	at time.Time
-	// under holds the requests, with Crash.Again of each.
-	under map[fingerprint.Print]bool
+	// inFlight holds the requests in flight, with Crash.Again of each.
+	inFlight map[fingerprint.Print]bool
 }
 
-// suspect is a request under which upstreams have crashed.
+// suspect is a request that was in flight at crashed upstreams.
 type suspect struct {
 	upstreams []uint32
-	last      time.Time
+	lastCrash time.Time
 }
 
 // NewLedger returns an empty Ledger.
@@ -113,75 +118,75 @@
 	}
 }
 
-// Strike notes that an incarnation has crashed with a request in hand. It reports whether that is
-// news.
+// Strike records that an incarnation has crashed with a request in flight. It reports whether
+// this was not known before.
 func (l *Ledger) Strike(now time.Time, seen Crash, print fingerprint.Print) bool {
 	delete(l.cleared, print)
-	return l.strike(now, seen, print)
+	return l.addCrash(now, seen, print)
 }
 
-// Recall notes a crash from a record: one of a request that has been answered since does not
-// count.
+// Recall records a crash from a stored record, unless the request has been cleared since. It
+// reports whether the crash was added.
 func (l *Ledger) Recall(now time.Time, recorded Crash, print fingerprint.Print) bool {
 	if _, answered := l.cleared[print]; answered {
 		return false
 	}
-	return l.strike(now, recorded, print)
+	return l.addCrash(now, recorded, print)
 }
 
-func (l *Ledger) strike(now time.Time, seen Crash, print fingerprint.Print) bool {
+func (l *Ledger) addCrash(now time.Time, seen Crash, print fingerprint.Print) bool {
 	if now.Sub(seen.At) > Memory {
 		return false
 	}
 	if seen.At.After(now) {
-		seen.At = now // The clocks of two VMs differ.
+		seen.At = now // The clocks of the VMs may differ.
 	}
 	c := l.crashes[seen.Upstream]
 	if c == nil {
-		l.makeRoom(now)
-		c = &crash{at: seen.At, under: make(map[fingerprint.Print]bool)}
+		l.evictOldestCrashes(now)
+		c = &crash{at: seen.At, inFlight: make(map[fingerprint.Print]bool)}
 		l.crashes[seen.Upstream] = c
 	}
-	if _, known := c.under[print]; known {
+	if _, known := c.inFlight[print]; known {
 		return false
 	}
 	s := l.suspects[print]
 	if s == nil {
-		if len(l.suspects) >= mostSuspects {
+		if len(l.suspects) >= maxSuspects {
 			return false
 		}
 		s = &suspect{}
 		l.suspects[print] = s
 	}
-	c.under[print] = seen.Again
+	c.inFlight[print] = seen.Again
 	s.upstreams = append(s.upstreams, seen.Upstream)
-	s.last = now
+	s.lastCrash = now
 	return true
 }
 
-// Clear forgets all that speaks against a request: an upstream has answered it, or an operator has
-// released it. It reports whether anything did.
+// Clear removes all crashes and holds of a request, because an upstream has answered it or an
+// operator has released it. It reports whether there were any.
 func (l *Ledger) Clear(now time.Time, print fingerprint.Print) bool {
 	known := l.Suspected(print) || l.holds[print].Times > 0
 	if known {
-		l.forget(print)
-		l.clearedNow(now, print)
+		l.removeRequest(print)
+		l.markCleared(now, print)
 	}
 	return known
 }
 
-func (l *Ledger) clearedNow(now time.Time, print fingerprint.Print) {
-	if len(l.cleared) >= mostSuspects {
+func (l *Ledger) markCleared(now time.Time, print fingerprint.Print) {
+	if len(l.cleared) >= maxSuspects {
 		clear(l.cleared)
 	}
 	l.cleared[print] = now
 }
 
-func (l *Ledger) forget(print fingerprint.Print) {
+func (l *Ledger) removeRequest(print fingerprint.Print) {
 	if s := l.suspects[print]; s != nil {
 		for _, upstream := range s.upstreams {
 			if c := l.crashes[upstream]; c != nil {
-				delete(c.under, print)
+				delete(c.inFlight, print)
 			}
 		}
 	}
@@ -189,13 +194,13 @@
 	delete(l.holds, print)
 }
 
-// Suspected reports whether an upstream has crashed under a request.
+// Suspected reports whether an upstream has crashed while running a request.
 func (l *Ledger) Suspected(print fingerprint.Print) bool { return l.suspects[print] != nil }
 
 // Suspects returns the number of suspected requests.
 func (l *Ledger) Suspects() int { return len(l.suspects) }
 
-// Crashes returns the crashes under a request.
+// Crashes returns the crashes at which a request was in flight.
 func (l *Ledger) Crashes(print fingerprint.Print) []Crash {
 	s := l.suspects[print]
 	if s == nil {
@@ -204,40 +209,40 @@
 	all := make([]Crash, len(s.upstreams))
 	for i, upstream := range s.upstreams {
 		c := l.crashes[upstream]
-		all[i] = Crash{Upstream: upstream, At: c.at, Again: c.under[print]}
+		all[i] = Crash{Upstream: upstream, At: c.at, Again: c.inFlight[print]}
 	}
 	return all
 }
 
-// Take holds a request back because another entry does, or did in an earlier life. It reports
-// whether that is news.
-func (l *Ledger) Take(now time.Time, print fingerprint.Print, told Hold) bool {
-	if _, answered := l.cleared[print]; answered || !now.Before(told.Until) {
+// Take applies a hold received from another entry or from a stored record. It reports whether the
+// request was not held back before.
+func (l *Ledger) Take(now time.Time, print fingerprint.Print, received Hold) bool {
+	if _, answered := l.cleared[print]; answered || !now.Before(received.Until) {
 		return false
 	}
 	known := l.holds[print]
-	if known.Times == 0 && len(l.holds) >= mostHeld {
+	if known.Times == 0 && len(l.holds) >= maxHolds {
 		return false
 	}
-	if latest := now.Add(MostHold); told.Until.After(latest) {
-		told.Until = latest
+	if latest := now.Add(MostHold); received.Until.After(latest) {
+		received.Until = latest
 	}
-	if !told.Until.After(known.Until) {
+	if !received.Until.After(known.Until) {
 		return false
 	}
-	l.holds[print] = Hold{Until: told.Until, Times: max(told.Times, known.Times, 1)}
+	l.holds[print] = Hold{Until: received.Until, Times: max(received.Times, known.Times, 1)}
 	return !now.Before(known.Until)
 }
 
-// hold holds a request back by a verdict.
-func (l *Ledger) hold(now time.Time, print fingerprint.Print) Hold {
+// startHold holds a request back because of a verdict.
+func (l *Ledger) startHold(now time.Time, print fingerprint.Print) Hold {
 	times := l.holds[print].Times + 1
 	h := Hold{Until: now.Add(l.settings.Length(times)), Times: times}
 	l.holds[print] = h
 	return h
 }
 
-// Held returns until when a request is held back; zero where it isn't.
+// Held returns until when a request is held back; zero if it is not.
 func (l *Ledger) Held(now time.Time, print fingerprint.Print) time.Time {
 	if h := l.holds[print]; now.Before(h.Until) {
 		return h.Until
@@ -245,7 +250,7 @@
 	return time.Time{}
 }
 
-// Holds returns the requests that are held back.
+// Holds returns the holds of the requests that are held back.
 func (l *Ledger) Holds(now time.Time) map[fingerprint.Print]Hold {
 	held := make(map[fingerprint.Print]Hold)
 	for print, h := range l.holds {
@@ -256,7 +261,8 @@
 	return held
 }
 
-// Forget drops what is too old to count.
+// Forget removes crashes and clearances that are older than Memory, and holds whose probation has
+// ended.
 func (l *Ledger) Forget(now time.Time) {
 	for upstream, c := range l.crashes {
 		if now.Sub(c.at) > Memory {
@@ -275,13 +281,13 @@
 	}
 }
 
-// makeRoom drops the oldest crash where there are too many.
-func (l *Ledger) makeRoom(now time.Time) {
-	if len(l.crashes) < mostCrashes {
+// evictOldestCrashes makes room for one crash by dropping expired ones and then the oldest.
+func (l *Ledger) evictOldestCrashes(now time.Time) {
+	if len(l.crashes) < maxCrashes {
 		return
 	}
 	l.Forget(now)
-	for len(l.crashes) >= mostCrashes {
+	for len(l.crashes) >= maxCrashes {
 		var oldest uint32
 		var at time.Time
 		for upstream, c := range l.crashes {
@@ -294,9 +300,9 @@
 }
 
 func (l *Ledger) dropCrash(upstream uint32) {
-	for print := range l.crashes[upstream].under {
+	for print := range l.crashes[upstream].inFlight {
 		s := l.suspects[print]
-		s.drop(upstream)
+		s.removeUpstream(upstream)
 		if len(s.upstreams) == 0 {
 			delete(l.suspects, print)
 		}
@@ -304,7 +310,7 @@
 	delete(l.crashes, upstream)
 }
 
-func (s *suspect) drop(upstream uint32) {
+func (s *suspect) removeUpstream(upstream uint32) {
 	for i, u := range s.upstreams {
 		if u == upstream {
 			s.upstreams = append(s.upstreams[:i:i], s.upstreams[i+1:]...)
--- a/core/quarantine/report.go
+++ b/core/quarantine/report.go
@@ -7,18 +7,20 @@
 	"acaciacleat.example/core/fingerprint"
 )
 
-// Kind says what an entry tells the others of a request.
+// Kind is the kind of a Report.
 type Kind uint8
 
 // The kinds of report.
 const (
-	// Struck: an upstream crashed with it in hand.
+	// Struck reports that an upstream crashed with the request in flight.
 	Struck Kind = iota + 1
-	// StruckAgain: the same, after it had come there from another upstream that crashed.
+	// StruckAgain reports the same for a request that was sent there after another upstream had
+	// crashed while running it.
 	StruckAgain
-	// Answered: an upstream has answered it, so that it is not what crashed others.
+	// Answered reports that an upstream has answered the request, so that it is not the cause of
+	// crashes.
 	Answered
-	// Held: it is held back.
+	// Held reports that the request is held back.
 	Held
 )
 
@@ -31,16 +33,16 @@
 	return names[k]
 }
 
-// Report is what an entry tells the others of a request.
+// Report is a report on a request, sent by one entry to the others.
 type Report struct {
 	Kind  Kind
 	Print fingerprint.Print
-	// Upstream is the tag of the incarnation that crashed, and AgeMs how long ago that was, in
-	// milliseconds; set for strikes. Clocks of entries differ, so that no time is told.
+	// Upstream is the tag of the incarnation that crashed, and AgeMs how long ago it crashed, in
+	// milliseconds; set for crashes. It is an age and not a time because the entries' clocks differ.
 	Upstream uint32
 	AgeMs    int64
-	// LeftMs is how much longer the request is held back, in milliseconds, and Times for how many
-	// times in a row; set for Held.
+	// LeftMs is how much longer the request is held back, in milliseconds, and Times how many times
+	// in a row it has been; set for Held.
 	LeftMs int64
 	Times  int
 }
@@ -48,12 +50,11 @@
 // MostReports bounds the reports of one message.
 const MostReports = 1024
 
-// MostTimes bounds how often in a row a request can have been held back; the last hold is by then
-// as long as any.
+// MostTimes bounds how many times in a row a request can have been held back. The length of a hold
+// reaches its maximum long before.
 const MostTimes = 100
 
-// Check returns the reports that can be taken up, and the number of those that no entry should
-// have sent.
+// Check returns the valid reports, and the number of invalid ones.
 func Check(reports []Report) (kept []Report, dropped int) {
 	for _, r := range reports[:min(len(reports), MostReports)] {
 		if r.valid() {
@@ -72,7 +73,7 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Hear takes up a checked report. It reports whether the report was news.
+// Hear handles a report that Check has returned. It reports whether the report was new.
 func (l *Ledger) Hear(now time.Time, r Report) bool {
 	switch r.Kind {
 	case Struck, StruckAgain:
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -8,51 +8,51 @@
 	"acaciacleat.example/core/fingerprint"
 )
 
-// candidate is a suspect that may be held back, with what speaks for it as the cause.
+// candidate is a suspect that may be held back, with the crashes that it may have caused.
 type candidate struct {
 	print   fingerprint.Print
 	suspect *suspect
-	// crashes are those that no held request explains, and events their number, where those
-	// that coincide count once unless the request went from one to the other.
+	// crashes are those that no held request explains. events is their number, where coincident
+	// crashes count once unless the request was retried from one upstream to the other.
 	crashes []uint32
 	events  int
 }
 
-// strength orders candidates, the likeliest cause first.
-func strength(a, b candidate) int {
+// compareLikelihood orders candidates so that the most likely cause comes first.
+func compareLikelihood(a, b candidate) int {
 	if d := b.events - a.events; d != 0 {
 		return d
 	}
 	return bytes.Compare(a.print[:], b.print[:])
 }
 
-// Decide holds back the requests that by now count as the cause of crashes, the likeliest first:
-// the crashes that one explains no longer speak against those that were there too. Of several
-// that explain the same crashes equally well all are held back, since sending on the wrong one
-// costs an upstream with all that it runs. It returns when to decide again; zero for not before
-// the next strike.
+// Decide holds back the requests that are the probable cause of crashes, the most likely first:
+// crashes that it explains no longer count against the other requests in flight. If several
+// requests explain the same crashes equally well, all of them are held back, since sending the
+// wrong one to an upstream crashes it with all its requests. Decide returns the time at which to
+// call it again; zero if there is nothing to decide before the next crash.
 func (l *Ledger) Decide(now time.Time) (verdicts []Verdict, next time.Time) {
 	for {
 		all := l.candidates(now)
 		if len(all) == 0 {
 			return verdicts, time.Time{}
 		}
-		slices.SortFunc(all, strength)
-		if due := all[0].suspect.last.Add(Settle); now.Before(due) {
+		slices.SortFunc(all, compareLikelihood)
+		if due := all[0].suspect.lastCrash.Add(Settle); now.Before(due) {
 			return verdicts, due
 		}
-		causes := alike(all)
+		causes := equallyLikely(all)
 		for _, c := range causes {
 			verdicts = append(verdicts, Verdict{
-				Print: c.print, Crashes: c.events, Shared: len(causes) > 1, Hold: l.hold(now, c.print),
+				Print: c.print, Crashes: c.events, Shared: len(causes) > 1, Hold: l.startHold(now, c.print),
 			})
 		}
 	}
 }
 
-// alike returns the first of the sorted candidates with those that explain a part of the same
-// crashes equally well.
-func alike(all []candidate) []candidate {
+// equallyLikely returns the first of the sorted candidates and those with as many crashes of which
+// at least one is the same.
+func equallyLikely(all []candidate) []candidate {
 	first := &all[0]
 	same := []candidate{*first}
 	for i := range all[1:] {
@@ -67,33 +67,33 @@
 	return same
 }
 
-// candidates returns the suspects that enough unexplained crashes speak against.
+// candidates returns the suspects that have enough unexplained crashes.
 func (l *Ledger) candidates(now time.Time) []candidate {
 	var all []candidate
-	explained := l.explained()
+	explained := l.explainedCrashes()
 	for print, s := range l.suspects {
-		needed, since := l.needed(print)
-		if len(s.upstreams) < needed || !l.Held(now, print).IsZero() {
+		required, since := l.threshold(print)
+		if len(s.upstreams) < required || !l.Held(now, print).IsZero() {
 			continue
 		}
-		if c := l.unexplained(print, s, explained, since); c.events >= needed {
+		if c := l.newCandidate(print, s, explained, since); c.events >= required {
 			all = append(all, c)
 		}
 	}
 	return all
 }
 
-// needed is the number of crashes after which a request is held back, and the time after which
-// they must have come: on probation those that led to the first hold don't count again.
-func (l *Ledger) needed(print fingerprint.Print) (crashes int, since time.Time) {
+// threshold returns the number of crashes after which a request is held back, and the time after
+// which they must have occurred: on probation the crashes before the hold ended do not count again.
+func (l *Ledger) threshold(print fingerprint.Print) (crashes int, since time.Time) {
 	if h := l.holds[print]; h.Times > 0 {
 		return 1, h.Until
 	}
 	return l.settings.Crashes, time.Time{}
 }
 
-// unexplained weighs the crashes under a suspect that no held request explains.
-func (l *Ledger) unexplained(print fingerprint.Print, s *suspect, explained map[uint32]fingerprint.Print, since time.Time) candidate {
+// newCandidate counts the crashes of a suspect that no other held request explains.
+func (l *Ledger) newCandidate(print fingerprint.Print, s *suspect, explained map[uint32]fingerprint.Print, since time.Time) candidate {
 	c := candidate{print: print, suspect: s}
 	var times []time.Time
 	for _, upstream := range s.upstreams {
@@ -103,31 +103,31 @@
 			continue
 		}
 		c.crashes = append(c.crashes, upstream)
-		if crash.under[print] {
+		if crash.inFlight[print] {
 			c.events++
 			continue
 		}
 		times = append(times, crash.at)
 	}
-	c.events += separate(times)
+	c.events += countDistinct(times)
 	return c
 }
 
-// separate counts times, those that coincide with the one before once.
-func separate(times []time.Time) int {
+// countDistinct counts times. A time within coincidenceWindow of the one before is not counted.
+func countDistinct(times []time.Time) int {
 	slices.SortFunc(times, time.Time.Compare)
 	n := 0
 	for i, at := range times {
-		if i == 0 || at.Sub(times[i-1]) > coincide {
+		if i == 0 || at.Sub(times[i-1]) > coincidenceWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// explained returns the crashes at which a request was in hand that is held back or on
-// probation, with that request.
-func (l *Ledger) explained() map[uint32]fingerprint.Print {
+// explainedCrashes returns the crashes at which a request that is held back or on probation was
+// in flight, with that request.
+func (l *Ledger) explainedCrashes() map[uint32]fingerprint.Print {
 	crashes := make(map[uint32]fingerprint.Print)
 	for print := range l.holds {
 		if s := l.suspects[print]; s != nil {
