--- a/core/fingerprint/fingerprint.go
+++ b/core/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint tells requests of the same content from others, whatever id, headers and
-// deadline they come with.
+// Package fingerprint computes fingerprints that identify requests of the same content,
+// independent of their id, headers and deadline.
 package fingerprint
 
 import (
@@ -13,17 +13,17 @@
 // Size is the length of a Print in bytes.
 const Size = 16
 
-// Print stands for the content of a request. It is part of a cryptographic hash: nobody can make
-// a request that has the print of another caller's.
+// Print is the fingerprint of a request's content. It is a prefix of a cryptographic hash, so
+// that no caller can construct a request with the same print as another caller's.
 type Print [Size]byte
 
-// Request is what a Print is made of.
+// Request holds the fields of a request that determine its Print.
 type Request struct {
 	Host   string
 	Method string
-	// Path is the path with the query, as the caller wrote it.
+	// Path is the path with the query, as sent by the caller.
 	Path string
-	// Caller is the organisation; empty where the route needs no key.
+	// Caller is the organisation; empty if the route requires no key.
 	Caller string
 	Body   []byte
 }
@@ -32,7 +32,7 @@
 func Of(r Request) Print {
 	h := sha256.New()
 	for _, field := range []string{r.Host, r.Method, r.Path, r.Caller} {
-		// The length goes first, so that no two lists of fields write the same bytes.
+		// The length prefix keeps different lists of fields from producing the same bytes.
 		h.Write(binary.AppendUvarint(nil, uint64(len(field))))
 		h.Write([]byte(field))
 	}
@@ -43,7 +43,7 @@
 // String returns the print in hexadecimal digits.
 func (p Print) String() string { return hex.EncodeToString(p[:]) }
 
-// Parse reads what String returns.
+// Parse parses the output of String.
 func Parse(s string) (Print, error) {
 	var p Print
 	data, err := hex.DecodeString(s)
--- a/core/fingerprint/fingerprint_test.go
+++ b/core/fingerprint/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestEachFieldCounts(t *testing.T) {
+func TestEachFieldAffectsPrint(t *testing.T) {
 	base := Request{Host: "h", Method: "POST", Path: "/a?b", Caller: "depot", Body: []byte("body")}
 	require.Equal(t, Of(base), Of(base))
 	for name, change := range map[string]func(*Request){
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestParseReadsWhatStringWrites(t *testing.T) {
+func TestParseInvertsString(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		print := Of(Request{Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body")})
 		got, err := Parse(print.String())
