--- a/agent/orders/orders.go
+++ b/agent/orders/orders.go
@@ -116,7 +116,7 @@
 		return errors.WithMessage(err, readErr.Error())
 	}
 	x.mu.Lock()
-	x.guard.RowRead(row)
+	x.guard.ObserveRow(row)
 	x.mu.Unlock()
 	return x.checkSeen(fence)
 }
--- a/core/fetch/fetch.go
+++ b/core/fetch/fetch.go
@@ -29,9 +29,9 @@
 	busyBackoff = 100 * time.Millisecond
 )
 
-// Ask requests a part. The holder returns the first part of its newest version if Part is zero
+// Request requests a part. The holder returns the first part of its newest version if Part is zero
 // or if it no longer has Version.
-type Ask struct {
+type Request struct {
 	Version uint64
 	Part    int
 }
@@ -47,9 +47,9 @@
 	Data  []byte
 }
 
-// Fetch is the state of fetching the newest version of one value. Its methods must be called
+// Fetcher is the state of fetching the newest version of one value. Its methods must be called
 // with increasing times and not concurrently.
-type Fetch struct {
+type Fetcher struct {
 	random *rand.Rand
 	// newest is the highest version announced, missingSince is when a newer version was first
 	// missing, and fetchAt is when to request it.
@@ -86,20 +86,20 @@
 	data    []byte
 }
 
-// New returns a Fetch that chooses holders with the given source of random numbers.
-func New(random *rand.Rand) *Fetch { return &Fetch{random: random} }
+// New returns a Fetcher that chooses holders with the given source of random numbers.
+func New(random *rand.Rand) *Fetcher { return &Fetcher{random: random} }
 
 // Missing returns the newest version announced, if it is not applied, and since when a newer
 // version has been missing; zero for none.
-func (f *Fetch) Missing(applied uint64) (version uint64, since time.Time) {
+func (f *Fetcher) Missing(applied uint64) (version uint64, since time.Time) {
 	if f.newest <= applied {
 		return 0, time.Time{}
 	}
 	return f.newest, f.missingSince
 }
 
-// Announced records that another entry has a version. Near holders are asked first.
-func (f *Fetch) Announced(now time.Time, applied uint64, name string, near bool, version uint64) {
+// Announce records that another entry has a version. Near holders are asked first.
+func (f *Fetcher) Announce(now time.Time, applied uint64, name string, near bool, version uint64) {
 	have := max(applied, f.delivered)
 	if version <= have {
 		return
@@ -115,8 +115,8 @@
 	f.holders = append(f.holders, holder{name: name, version: version, near: near})
 }
 
-// Gone removes a holder because the link to it has ended.
-func (f *Fetch) Gone(name string) {
+// RemoveHolder removes a holder because the link to it has ended.
+func (f *Fetcher) RemoveHolder(name string) {
 	f.holders = slices.DeleteFunc(f.holders, func(h holder) bool { return h.name == name })
 	if f.pendingHolder == name {
 		f.pendingHolder = ""
@@ -126,7 +126,7 @@
 // Next returns the request to send now and its holder, and when to call Next again. The name is
 // empty if there is nothing to send now; the time is zero as well if nothing is missing or no
 // holder is known.
-func (f *Fetch) Next(now time.Time, applied uint64) (request Ask, name string, again time.Time) {
+func (f *Fetcher) Next(now time.Time, applied uint64) (request Request, name string, again time.Time) {
 	have := max(applied, f.delivered)
 	if f.partial.version <= have {
 		f.partial = partial{}
@@ -136,25 +136,25 @@
 	switch {
 	case f.newest <= have, len(f.holders) == 0:
 		f.pendingHolder = ""
-		return Ask{}, "", time.Time{}
+		return Request{}, "", time.Time{}
 	case now.Before(f.fetchAt):
-		return Ask{}, "", f.fetchAt
+		return Request{}, "", f.fetchAt
 	case f.pendingHolder != "" && now.Before(f.deadline):
-		return Ask{}, "", f.deadline
+		return Request{}, "", f.deadline
 	case f.pendingHolder != "":
 		f.backOff(f.pendingHolder, now.Add(partTimeout))
 	}
 	if name, again = f.chooseHolder(now, have); name == "" {
-		return Ask{}, "", again
+		return Request{}, "", again
 	}
 	f.pendingHolder, f.deadline = name, now.Add(partTimeout)
-	return Ask{Version: f.partial.version, Part: f.partial.next}, name, f.deadline
+	return Request{Version: f.partial.version, Part: f.partial.next}, name, f.deadline
 }
 
 // chooseHolder returns the holder that sent the last part if it may be asked, otherwise a random
 // near one, or a random one if none is near. The choice is random because all entries lack the
 // same value at the same time.
-func (f *Fetch) chooseHolder(now time.Time, have uint64) (name string, again time.Time) {
+func (f *Fetcher) chooseHolder(now time.Time, have uint64) (name string, again time.Time) {
 	var near, all []string
 	for _, h := range f.holders {
 		switch {
@@ -181,8 +181,8 @@
 	return all[f.random.IntN(len(all))], time.Time{}
 }
 
-// Received handles a part. With the last part it returns the whole encoding and its version.
-func (f *Fetch) Received(now time.Time, applied uint64, name string, part *Part) (whole []byte, version uint64) {
+// Receive handles a part. With the last part it returns the whole encoding and its version.
+func (f *Fetcher) Receive(now time.Time, applied uint64, name string, part *Part) (whole []byte, version uint64) {
 	expected := f.pendingHolder == name
 	if expected {
 		f.pendingHolder = ""
@@ -218,8 +218,8 @@
 	return complete.data, complete.version
 }
 
-// Dropped records that the delivered version could not be applied, so that it is fetched again.
-func (f *Fetch) Dropped(now time.Time, version uint64) {
+// Reject records that the delivered version could not be applied, so that it is fetched again.
+func (f *Fetcher) Reject(now time.Time, version uint64) {
 	if f.delivered == version {
 		f.delivered, f.fetchAt = 0, now.Add(partTimeout)
 	}
@@ -235,7 +235,7 @@
 }
 
 // backOff excludes a holder from requests until the given time.
-func (f *Fetch) backOff(name string, until time.Time) {
+func (f *Fetcher) backOff(name string, until time.Time) {
 	if f.pendingHolder == name {
 		f.pendingHolder = ""
 	}
@@ -247,6 +247,6 @@
 	}
 }
 
-func (f *Fetch) holderIndex(name string) int {
+func (f *Fetcher) holderIndex(name string) int {
 	return slices.IndexFunc(f.holders, func(h holder) bool { return h.name == name })
 }
--- a/core/fetch/fetch_test.go
+++ b/core/fetch/fetch_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newFetcher() *Fetch { return New(rand.New(rand.NewPCG(1, 1))) }
+func newFetcher() *Fetcher { return New(rand.New(rand.NewPCG(1, 1))) }
 
 // encoding returns an encoding with the given number of parts.
 func encoding(version uint64, parts int) []byte {
@@ -27,14 +27,14 @@
 }
 
 // serverWith returns a server of one version.
-func serverWith(version uint64, parts int) *Shelf {
-	s := NewShelf()
+func serverWith(version uint64, parts int) *Server {
+	s := NewServer()
 	s.Put(start, version, encoding(version, parts))
 	return s
 }
 
 // requireRequest requires that a request is sent now, and returns it with the holder's name.
-func requireRequest(t *testing.T, f *Fetch, now time.Time, applied uint64) (Ask, string) {
+func requireRequest(t *testing.T, f *Fetcher, now time.Time, applied uint64) (Request, string) {
 	t.Helper()
 	request, name, again := f.Next(now, applied)
 	require.NotEmpty(t, name)
@@ -44,7 +44,7 @@
 
 func TestOwnFeedIsPreferredDuringHoldOff(t *testing.T) {
 	f := newFetcher()
-	f.Announced(start, 3, "a", true, 4)
+	f.Announce(start, 3, "a", true, 4)
 	_, name, again := f.Next(start, 3)
 	require.Empty(t, name)
 	require.Equal(t, start.Add(HoldOff), again)
@@ -55,7 +55,7 @@
 
 func TestAppliedVersionIsNotRequested(t *testing.T) {
 	f := newFetcher()
-	f.Announced(start, 3, "a", true, 3)
+	f.Announce(start, 3, "a", true, 3)
 	_, name, again := f.Next(start.Add(time.Hour), 3)
 	require.Empty(t, name)
 	require.Zero(t, again)
@@ -64,8 +64,8 @@
 // A newer announcement must not be lost while an older one waits for the hold-off.
 func TestNewerAnnouncementIsNotLostWhileAnOlderOneWaits(t *testing.T) {
 	f := newFetcher()
-	f.Announced(start, 0, "a", true, 1)
-	f.Announced(start, 0, "b", true, 9)
+	f.Announce(start, 0, "a", true, 1)
+	f.Announce(start, 0, "b", true, 9)
 	_, name := requireRequest(t, f, start.Add(HoldOff), 1)
 	require.Equal(t, "b", name)
 }
@@ -76,7 +76,7 @@
 	now := start
 	names := []string{"a", "b", "c"}
 	for _, name := range names {
-		f.Announced(now, 8, name, true, 9)
+		f.Announce(now, 8, name, true, 9)
 	}
 	var asked []string
 	for now = now.Add(HoldOff); len(asked) < len(names); now = now.Add(partTimeout) {
@@ -90,23 +90,23 @@
 
 func TestRemovedHolderIsNotAsked(t *testing.T) {
 	f := newFetcher()
-	f.Announced(start, 8, "a", true, 9)
+	f.Announce(start, 8, "a", true, 9)
 	now := start.Add(HoldOff)
 	requireRequest(t, f, now, 8)
-	f.Gone("a")
+	f.RemoveHolder("a")
 	_, name, again := f.Next(now, 8)
 	require.Empty(t, name)
 	require.Zero(t, again)
-	f.Announced(now, 8, "a", true, 9)
+	f.Announce(now, 8, "a", true, 9)
 	requireRequest(t, f, now, 8)
 }
 
 func TestNearHoldersAreAskedFirst(t *testing.T) {
 	f := newFetcher()
 	for i := range 20 {
-		f.Announced(start, 8, fmt.Sprint("far", i), false, 9)
+		f.Announce(start, 8, fmt.Sprint("far", i), false, 9)
 	}
-	f.Announced(start, 8, "near", true, 9)
+	f.Announce(start, 8, "near", true, 9)
 	_, name := requireRequest(t, f, start.Add(HoldOff), 8)
 	require.Equal(t, "near", name)
 }
@@ -114,8 +114,8 @@
 // A slow link must not be loaded with a second copy of a value that is being transferred.
 func TestOneHolderIsAskedAtATime(t *testing.T) {
 	f, s := newFetcher(), serverWith(9, 3)
-	f.Announced(start, 8, "a", true, 9)
-	f.Announced(start, 8, "b", true, 9)
+	f.Announce(start, 8, "a", true, 9)
+	f.Announce(start, 8, "b", true, 9)
 	now := start.Add(HoldOff)
 	request, name := requireRequest(t, f, now, 8)
 	for part := range 3 {
@@ -123,7 +123,7 @@
 		require.Empty(t, other, "the answer to %s is awaited", name)
 		require.Equal(t, now.Add(partTimeout), again)
 		now = now.Add(partTimeout - 1)
-		whole, version := f.Received(now, 8, name, s.Get(now, "x", request))
+		whole, version := f.Receive(now, 8, name, s.Get(now, "x", request))
 		if part == 2 {
 			require.Equal(t, encoding(9, 3), whole)
 			require.Equal(t, uint64(9), version)
@@ -142,41 +142,41 @@
 func TestParts(t *testing.T) {
 	t.Run("continue at another holder", func(t *testing.T) {
 		f, s := newFetcher(), serverWith(9, 2)
-		f.Announced(start, 8, "a", true, 9)
+		f.Announce(start, 8, "a", true, 9)
 		now := start.Add(HoldOff)
 		request, name := requireRequest(t, f, now, 8)
-		f.Received(now, 8, name, s.Get(now, "x", request))
-		f.Announced(now, 8, "b", true, 9)
-		f.Gone("a")
+		f.Receive(now, 8, name, s.Get(now, "x", request))
+		f.Announce(now, 8, "b", true, 9)
+		f.RemoveHolder("a")
 		request, name = requireRequest(t, f, now, 8)
 		require.Equal(t, "b", name)
-		require.Equal(t, Ask{Version: 9, Part: 1}, request)
-		whole, _ := f.Received(now, 8, name, serverWith(9, 2).Get(now, "x", request))
+		require.Equal(t, Request{Version: 9, Part: 1}, request)
+		whole, _ := f.Receive(now, 8, name, serverWith(9, 2).Get(now, "x", request))
 		require.Equal(t, encoding(9, 2), whole)
 	})
 	t.Run("of another encoding restart the fetch", func(t *testing.T) {
 		f, s := newFetcher(), serverWith(9, 2)
-		f.Announced(start, 8, "a", true, 9)
+		f.Announce(start, 8, "a", true, 9)
 		now := start.Add(HoldOff)
 		request, name := requireRequest(t, f, now, 8)
-		f.Received(now, 8, name, s.Get(now, "x", request))
+		f.Receive(now, 8, name, s.Get(now, "x", request))
 		_, name = requireRequest(t, f, now, 8)
-		whole, _ := f.Received(now, 8, name, &Part{Version: 9, Sum: 1, Part: 1, Parts: 2, Data: []byte("x")})
+		whole, _ := f.Receive(now, 8, name, &Part{Version: 9, Sum: 1, Part: 1, Parts: 2, Data: []byte("x")})
 		require.Nil(t, whole)
 		request, _ = requireRequest(t, f, now, 8)
 		require.Zero(t, request.Part)
 	})
 	t.Run("that are corrupted are fetched again", func(t *testing.T) {
 		f, s := newFetcher(), serverWith(9, 1)
-		f.Announced(start, 8, "a", true, 9)
+		f.Announce(start, 8, "a", true, 9)
 		now := start.Add(HoldOff)
 		request, name := requireRequest(t, f, now, 8)
 		corrupted := *s.Get(now, "x", request)
 		corrupted.Data = bytes.Repeat([]byte{1}, len(corrupted.Data))
-		whole, _ := f.Received(now, 8, name, &corrupted)
+		whole, _ := f.Receive(now, 8, name, &corrupted)
 		require.Nil(t, whole)
 		request, name = requireRequest(t, f, now.Add(partTimeout), 8)
-		whole, _ = f.Received(now, 8, name, s.Get(now, "x", request))
+		whole, _ = f.Receive(now, 8, name, s.Get(now, "x", request))
 		require.Equal(t, encoding(9, 1), whole)
 	})
 	t.Run("that are invalid are rejected, and their holder is not asked again at once", func(t *testing.T) {
@@ -185,10 +185,10 @@
 			{Version: 9, Parts: maxParts + 1}, {Version: 9, Parts: 1, Data: make([]byte, PartBytes+1)}, {Version: 8, Parts: 1},
 		} {
 			f := newFetcher()
-			f.Announced(start, 8, "a", true, 9)
+			f.Announce(start, 8, "a", true, 9)
 			now := start.Add(HoldOff)
 			_, name := requireRequest(t, f, now, 8)
-			whole, _ := f.Received(now, 8, name, &part)
+			whole, _ := f.Receive(now, 8, name, &part)
 			require.Nil(t, whole)
 			_, name, again := f.Next(now, 8)
 			require.Empty(t, name, "%+v", part)
@@ -199,13 +199,13 @@
 
 func TestRejectedVersionIsFetchedAgain(t *testing.T) {
 	f, s := newFetcher(), serverWith(9, 1)
-	f.Announced(start, 8, "a", true, 9)
+	f.Announce(start, 8, "a", true, 9)
 	now := start.Add(HoldOff)
 	request, name := requireRequest(t, f, now, 8)
-	_, version := f.Received(now, 8, name, s.Get(now, "x", request))
+	_, version := f.Receive(now, 8, name, s.Get(now, "x", request))
 	_, _, again := f.Next(now, 8)
 	require.Zero(t, again)
-	f.Dropped(now, version)
+	f.Reject(now, version)
 	_, _, again = f.Next(now, 8)
 	require.Equal(t, now.Add(partTimeout), again)
 	requireRequest(t, f, again, 8)
@@ -215,19 +215,19 @@
 func TestServerLimitsConcurrentClients(t *testing.T) {
 	s := serverWith(9, 2)
 	for i := range maxClients {
-		require.Equal(t, 2, s.Get(start, fmt.Sprint(i), Ask{}).Parts)
+		require.Equal(t, 2, s.Get(start, fmt.Sprint(i), Request{}).Parts)
 	}
-	require.Zero(t, s.Get(start, "late", Ask{}).Parts)
-	require.Equal(t, 2, s.Get(start, "0", Ask{Version: 9, Part: 1}).Parts, "an entry that is being served may continue")
-	require.Equal(t, 2, s.Get(start.Add(clientTTL), "late", Ask{}).Parts)
+	require.Zero(t, s.Get(start, "late", Request{}).Parts)
+	require.Equal(t, 2, s.Get(start, "0", Request{Version: 9, Part: 1}).Parts, "an entry that is being served may continue")
+	require.Equal(t, 2, s.Get(start.Add(clientTTL), "late", Request{}).Parts)
 
 	f := newFetcher()
-	f.Announced(start, 8, "busy", true, 9)
-	f.Announced(start, 8, "other", false, 9)
+	f.Announce(start, 8, "busy", true, 9)
+	f.Announce(start, 8, "other", false, 9)
 	now := start.Add(HoldOff)
 	_, name := requireRequest(t, f, now, 8)
 	require.Equal(t, "busy", name)
-	f.Received(now, 8, name, &Part{})
+	f.Receive(now, 8, name, &Part{})
 	_, name = requireRequest(t, f, now, 8)
 	require.Equal(t, "other", name)
 }
@@ -237,19 +237,19 @@
 func TestVersionBeingFetchedIsKeptWhileNewerOnesArrive(t *testing.T) {
 	const parts = 6
 	f, s := newFetcher(), serverWith(9, parts)
-	f.Announced(start, 8, "a", true, 9)
+	f.Announce(start, 8, "a", true, 9)
 	now := start.Add(HoldOff)
 	for part := range parts {
 		request, name := requireRequest(t, f, now, 8)
 		require.Equal(t, part, request.Part)
-		whole, version := f.Received(now, 8, name, s.Get(now, "x", request))
+		whole, version := f.Receive(now, 8, name, s.Get(now, "x", request))
 		if part == parts-1 {
 			require.Equal(t, uint64(9), version)
 			require.Equal(t, encoding(9, parts), whole)
 		}
 		newer := uint64(10 + part)
 		s.Put(now, newer, encoding(newer, parts))
-		f.Announced(now, 8, "a", true, newer)
+		f.Announce(now, 8, "a", true, newer)
 		now = now.Add(partTimeout / 2)
 	}
 	request, _ := requireRequest(t, f, now, 8)
@@ -269,9 +269,9 @@
 			part *Part
 		}
 		names := []string{"a", "b", "c"}
-		shelves := map[string]*Shelf{}
+		shelves := map[string]*Server{}
 		for _, name := range names {
-			shelves[name] = NewShelf()
+			shelves[name] = NewServer()
 		}
 		f := New(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)))
 		lossPercent := rapid.IntRange(0, 30).Draw(t, "loss, in 100")
@@ -288,7 +288,7 @@
 			version++
 			for _, name := range names {
 				shelves[name].Put(now, version, encoding(version, parts))
-				f.Announced(now, applied, name, name == "a", version)
+				f.Announce(now, applied, name, name == "a", version)
 			}
 		}
 		step := func(faulty bool) {
@@ -314,7 +314,7 @@
 				if inFlight[i].at.After(now) {
 					continue
 				}
-				whole, got := f.Received(now, applied, inFlight[i].from, inFlight[i].part)
+				whole, got := f.Receive(now, applied, inFlight[i].from, inFlight[i].part)
 				sentAt = time.Time{}
 				inFlight = slices.Delete(inFlight, i, i+1)
 				i--
@@ -332,10 +332,10 @@
 				step(true)
 			}
 			if removed := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "link that ends"); removed != "" {
-				f.Gone(removed)
+				f.RemoveHolder(removed)
 				inFlight = slices.DeleteFunc(inFlight, func(a answer) bool { return a.from == removed })
 				ended, sentAt = ended+1, time.Time{}
-				f.Announced(now, applied, removed, removed == "a", version)
+				f.Announce(now, applied, removed, removed == "a", version)
 			}
 		}
 		for range int(5 * time.Second / tick) {
--- a/core/fetch/server.go
+++ b/core/fetch/server.go
@@ -19,9 +19,9 @@
 	keepTTL         = 2 * time.Second
 )
 
-// Shelf keeps encoded versions of a value and serves their parts to other entries. Its methods
+// Server keeps encoded versions of a value and serves their parts to other entries. Its methods
 // must be called with increasing times and not concurrently.
-type Shelf struct {
+type Server struct {
 	// kept are the versions in ascending order.
 	kept    []encoded
 	clients map[string]time.Time
@@ -34,11 +34,11 @@
 	lastRequested time.Time
 }
 
-// NewShelf returns an empty Shelf.
-func NewShelf() *Shelf { return &Shelf{clients: make(map[string]time.Time)} }
+// NewServer returns a Server without versions.
+func NewServer() *Server { return &Server{clients: make(map[string]time.Time)} }
 
 // Newest returns the newest version; zero for none.
-func (s *Shelf) Newest() uint64 {
+func (s *Server) Newest() uint64 {
 	if len(s.kept) == 0 {
 		return 0
 	}
@@ -46,7 +46,7 @@
 }
 
 // Put adds a version that is newer than all others.
-func (s *Shelf) Put(now time.Time, version uint64, data []byte) {
+func (s *Server) Put(now time.Time, version uint64, data []byte) {
 	s.kept = slices.DeleteFunc(s.kept, func(e encoded) bool { return now.Sub(e.lastRequested) >= keepTTL })
 	if len(s.kept) >= maxKeptVersions {
 		i := s.leastRecentlyRequested()
@@ -55,7 +55,7 @@
 	s.kept = append(s.kept, encoded{version: version, sum: crc32.ChecksumIEEE(data), data: data})
 }
 
-func (s *Shelf) leastRecentlyRequested() int {
+func (s *Server) leastRecentlyRequested() int {
 	least := 0
 	for i := range s.kept {
 		if s.kept[i].lastRequested.Before(s.kept[least].lastRequested) {
@@ -67,7 +67,7 @@
 
 // Get returns the part that an entry requests, or an empty part if there is no version or too
 // many entries are being served.
-func (s *Shelf) Get(now time.Time, name string, request Ask) *Part {
+func (s *Server) Get(now time.Time, name string, request Request) *Part {
 	if len(s.kept) == 0 || !s.admit(now, name) {
 		return &Part{}
 	}
@@ -87,7 +87,7 @@
 
 func (e *encoded) parts() int { return max(1, (len(e.data)+PartBytes-1)/PartBytes) }
 
-func (s *Shelf) admit(now time.Time, name string) bool {
+func (s *Server) admit(now time.Time, name string) bool {
 	for client, at := range s.clients {
 		if now.Sub(at) >= clientTTL {
 			delete(s.clients, client)
--- a/core/follow/follow.go
+++ b/core/follow/follow.go
@@ -19,18 +19,18 @@
 	// followersPerZone is the number of followers in an availability zone. With two, one may be
 	// partitioned, frozen or replaced without the listeners having to read.
 	followersPerZone = 2
-	// OverdueAfter is how long a listener relies on a follower that sends nothing. The read that
+	// FollowerTimeout is how long a listener relies on a follower that sends nothing. The read that
 	// the listener then makes itself applies a change within the two seconds promised to
 	// operators, even if all followers of its zone stop at once.
-	OverdueAfter = 1300 * time.Millisecond
-	// ListenedWait is how long a follower's read waits for a change while there are listeners:
+	FollowerTimeout = 1300 * time.Millisecond
+	// FollowerReadWait is how long a follower's read waits for a change while there are listeners:
 	// each answer, even an empty one, is forwarded as a confirmation that nothing was missed.
-	// It leaves time within OverdueAfter for sending the update and for the pause between two
+	// It leaves time within FollowerTimeout for sending the update and for the pause between two
 	// reads.
-	ListenedWait = time.Second
-	// ExpectFor is how long a listener waits for content that was too large for an update and
+	FollowerReadWait = time.Second
+	// ContentTimeout is how long a listener waits for content that was too large for an update and
 	// arrives by another path, before it reads the feed itself.
-	ExpectFor = 600 * time.Millisecond
+	ContentTimeout = 600 * time.Millisecond
 )
 
 // Role is the role of an entry for a feed.
@@ -38,12 +38,12 @@
 
 // The roles.
 const (
-	// Alone entries read for themselves only: their zone has no entries besides the followers.
-	Alone Role = iota
-	// Follows is the role of an entry that reads the feed and forwards updates to its zone.
-	Follows
-	// Listens is the role of an entry that receives updates from the followers of its zone.
-	Listens
+	// Standalone entries read for themselves only: their zone has no entries besides the followers.
+	Standalone Role = iota
+	// Follower is the role of an entry that reads the feed and forwards updates to its zone.
+	Follower
+	// Listener is the role of an entry that receives updates from the followers of its zone.
+	Listener
 )
 
 // RoleOf returns the role of an entry in its availability zone; members are the other entries
@@ -51,26 +51,26 @@
 // are additional followers, or listeners without a follower, which read the feed themselves.
 func RoleOf(self, zone string, members []string) Role {
 	if len(members) < followersPerZone {
-		return Alone
+		return Standalone
 	}
 	all := append(slices.Clone(members), self)
 	for _, i := range rendezvous.Ranked(zone, all)[:followersPerZone] {
 		if all[i] == self {
-			return Follows
+			return Follower
 		}
 	}
-	return Listens
+	return Listener
 }
 
-// Place is a position in a feed: everything up to this version is known.
-type Place uint64
+// Position is a position in a feed: everything up to this version is known.
+type Position uint64
 
 // Feed tracks how current one entry's copy of a feed is. Its methods must be called with
 // increasing times and not concurrently.
 type Feed struct {
-	position Place
+	position Position
 	// previous is the position before the last update.
-	previous Place
+	previous Position
 	// lastHeard holds, for each follower, when it last confirmed that it had read up to the
 	// present.
 	lastHeard map[string]time.Time
@@ -85,33 +85,33 @@
 	version uint64
 	// previous is the position before the announced update, and deadline the time by which the
 	// content must have arrived.
-	previous Place
+	previous Position
 	deadline time.Time
 }
 
 // NewFeed returns a Feed that must be read from the beginning.
 func NewFeed() *Feed { return &Feed{lastHeard: make(map[string]time.Time)} }
 
-// Place returns the position from which to read; zero for the beginning.
-func (f *Feed) Place() Place {
+// Position returns the position from which to read; zero for the beginning.
+func (f *Feed) Position() Position {
 	if f.pending.version > 0 {
 		return f.pending.previous
 	}
 	return f.position
 }
 
-// Behind reports whether an update was missed, so that the entry must read the feed itself.
-func (f *Feed) Behind() bool { return f.missedUpdate }
+// MissedUpdate reports whether an update was missed, so that the entry must read the feed itself.
+func (f *Feed) MissedUpdate() bool { return f.missedUpdate }
 
-// Listens reports whether the entry can rely on followers now, and until when if it receives
+// CanListen reports whether the entry can rely on followers now, and until when if it receives
 // nothing more. An entry that has never read the feed cannot: followers only send changes.
-func (f *Feed) Listens(now time.Time, role Role) (until time.Time, ok bool) {
+func (f *Feed) CanListen(now time.Time, role Role) (until time.Time, ok bool) {
 	overdue := f.pending.version > 0 && !now.Before(f.pending.deadline)
-	if role != Listens || f.missedUpdate || f.position == 0 || overdue {
+	if role != Listener || f.missedUpdate || f.position == 0 || overdue {
 		return time.Time{}, false
 	}
 	for _, at := range f.lastHeard {
-		if due := at.Add(OverdueAfter); due.After(until) {
+		if due := at.Add(FollowerTimeout); due.After(until) {
 			until = due
 		}
 	}
@@ -124,7 +124,7 @@
 // Read records that the entry itself has read the feed up to a position. It reports whether
 // to apply the content read; it must not be applied if a newer update of a follower arrived
 // during the read.
-func (f *Feed) Read(to Place) bool {
+func (f *Feed) Read(to Position) bool {
 	f.missedUpdate = false
 	if to < f.position {
 		return false
@@ -134,19 +134,19 @@
 	return true
 }
 
-func (f *Feed) advance(to Place) { f.previous, f.position = f.position, to }
+func (f *Feed) advance(to Position) { f.previous, f.position = f.position, to }
 
-// Restart resets the position to the beginning because the store no longer has the changes
+// Reset resets the position to the beginning because the store no longer has the changes
 // after it.
-func (f *Feed) Restart() { f.position, f.pending = 0, pendingContent{} }
+func (f *Feed) Reset() { f.position, f.pending = 0, pendingContent{} }
 
-// Heard handles a follower's update, which says that the follower has just read from one
+// HandleUpdate handles a follower's update, which says that the follower has just read from one
 // position to another. It reports whether to apply the content of the update.
 //
 // An update that begins after the entry's position is not applied: the changes between the
 // two, such as an upstream that leaves, would never be seen. The entry reads the feed itself
 // instead.
-func (f *Feed) Heard(now time.Time, follower string, from, to Place) bool {
+func (f *Feed) HandleUpdate(now time.Time, follower string, from, to Position) bool {
 	f.lastHeard[follower] = now
 	switch {
 	case from > f.position:
@@ -159,27 +159,28 @@
 	return true
 }
 
-// Miss reverts the last call of Read or Heard that reported true, because the content was
-// missing or could not be applied. The entry must read the feed itself, from the position
+// Revert reverts the last call of Read or HandleUpdate that reported true, because the content
+// was missing or could not be applied. The entry must read the feed itself, from the position
 // before the update: a read from after it would never return the content again.
-func (f *Feed) Miss() { f.position, f.missedUpdate = f.previous, true }
+func (f *Feed) Revert() { f.position, f.missedUpdate = f.previous, true }
 
-// Expect records that the content of the last update passed to Heard arrives by another path;
-// it counts as applied once content of at least this version is. Until then the position
-// before the update is kept, because a read from after it would never return the content.
-func (f *Feed) Expect(now time.Time, version uint64) {
+// ExpectContent records that the content of the last update passed to HandleUpdate arrives by
+// another path; it counts as applied once content of at least this version is. Until then the
+// position before the update is kept, because a read from after it would never return the content.
+func (f *Feed) ExpectContent(now time.Time, version uint64) {
 	if f.pending.version == 0 {
-		f.pending = pendingContent{previous: f.previous, deadline: now.Add(ExpectFor)}
+		f.pending = pendingContent{previous: f.previous, deadline: now.Add(ContentTimeout)}
 	}
 	f.pending.version = max(f.pending.version, version)
 }
 
-// InForce records the version of the content that is applied.
-func (f *Feed) InForce(version uint64) {
+// ContentApplied records the version of the content that is applied.
+func (f *Feed) ContentApplied(version uint64) {
 	if version >= f.pending.version {
 		f.pending = pendingContent{}
 	}
 }
 
-// Lost records that a follower's read of the feed has failed or that the link to it has ended.
-func (f *Feed) Lost(follower string) { delete(f.lastHeard, follower) }
+// DropFollower records that a follower's read of the feed has failed or that the link to it has
+// ended.
+func (f *Feed) DropFollower(follower string) { delete(f.lastHeard, follower) }
--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -32,10 +32,10 @@
 }
 
 func TestTwoEntriesOfAZoneFollow(t *testing.T) {
-	require.Equal(t, map[Role]int{Alone: 1}, countRoles(entryNames(1)))
-	require.Equal(t, map[Role]int{Alone: 2}, countRoles(entryNames(2)))
-	require.Equal(t, map[Role]int{Follows: 2, Listens: 1}, countRoles(entryNames(3)))
-	require.Equal(t, map[Role]int{Follows: 2, Listens: 98}, countRoles(entryNames(100)))
+	require.Equal(t, map[Role]int{Standalone: 1}, countRoles(entryNames(1)))
+	require.Equal(t, map[Role]int{Standalone: 2}, countRoles(entryNames(2)))
+	require.Equal(t, map[Role]int{Follower: 2, Listener: 1}, countRoles(entryNames(3)))
+	require.Equal(t, map[Role]int{Follower: 2, Listener: 98}, countRoles(entryNames(100)))
 }
 
 func TestRemovedEntryChangesAtMostOneRole(t *testing.T) {
@@ -47,7 +47,7 @@
 				others = append(others, name)
 			}
 		}
-		return RoleOf(self, "zone-a", others) == Follows
+		return RoleOf(self, "zone-a", others) == Follower
 	}
 	for removed := range names {
 		remaining := append(append([]string{}, names[:removed]...), names[removed+1:]...)
@@ -67,48 +67,48 @@
 	t.Helper()
 	f := NewFeed()
 	require.True(t, f.Read(10))
-	require.False(t, f.Heard(start, "a", 10, 10))
-	require.False(t, f.Heard(start, "b", 10, 10))
-	_, ok := f.Listens(start, Listens)
+	require.False(t, f.HandleUpdate(start, "a", 10, 10))
+	require.False(t, f.HandleUpdate(start, "b", 10, 10))
+	_, ok := f.CanListen(start, Listener)
 	require.True(t, ok)
 	return f
 }
 
 func TestFollowersAndUnreadFeedsMustRead(t *testing.T) {
 	f := newListeningFeed(t)
-	for _, role := range []Role{Alone, Follows} {
-		_, ok := f.Listens(start, role)
+	for _, role := range []Role{Standalone, Follower} {
+		_, ok := f.CanListen(start, role)
 		require.False(t, ok)
 	}
 	fresh := NewFeed()
-	fresh.Heard(start, "a", 10, 10)
-	_, ok := fresh.Listens(start, Listens)
+	fresh.HandleUpdate(start, "a", 10, 10)
+	_, ok := fresh.CanListen(start, Listener)
 	require.False(t, ok, "followers only send changes")
-	require.Zero(t, fresh.Place())
+	require.Zero(t, fresh.Position())
 }
 
 // An entry must not keep an old configuration when all followers of its zone freeze just before
-// a change: it relies on a silent follower for OverdueAfter only.
+// a change: it relies on a silent follower for FollowerTimeout only.
 func TestSilentFollowersAreNotReliedOn(t *testing.T) {
 	f := newListeningFeed(t)
-	f.Heard(start.Add(time.Second), "b", 10, 12)
-	until, ok := f.Listens(start.Add(2*time.Second), Listens)
+	f.HandleUpdate(start.Add(time.Second), "b", 10, 12)
+	until, ok := f.CanListen(start.Add(2*time.Second), Listener)
 	require.True(t, ok)
-	require.Equal(t, start.Add(time.Second+OverdueAfter), until)
-	_, ok = f.Listens(until, Listens)
+	require.Equal(t, start.Add(time.Second+FollowerTimeout), until)
+	_, ok = f.CanListen(until, Listener)
 	require.False(t, ok)
-	require.Equal(t, Place(12), f.Place(), "it reads from the last update")
+	require.Equal(t, Position(12), f.Position(), "it reads from the last update")
 }
 
 // An entry must not keep an old configuration when followers fail to read the store or the
 // links to them end.
 func TestDroppedFollowersAreNotReliedOn(t *testing.T) {
 	f := newListeningFeed(t)
-	f.Lost("a")
-	_, ok := f.Listens(start, Listens)
+	f.DropFollower("a")
+	_, ok := f.CanListen(start, Listener)
 	require.True(t, ok, "the other follower still reads")
-	f.Lost("b")
-	_, ok = f.Listens(start, Listens)
+	f.DropFollower("b")
+	_, ok = f.CanListen(start, Listener)
 	require.False(t, ok)
 }
 
@@ -117,12 +117,12 @@
 // the feed itself.
 func TestMissedUpdatesAreRead(t *testing.T) {
 	f := newListeningFeed(t)
-	require.False(t, f.Heard(start, "a", 15, 18))
-	_, ok := f.Listens(start, Listens)
+	require.False(t, f.HandleUpdate(start, "a", 15, 18))
+	_, ok := f.CanListen(start, Listener)
 	require.False(t, ok)
-	require.Equal(t, Place(10), f.Place(), "it reads from its own position")
+	require.Equal(t, Position(10), f.Position(), "it reads from its own position")
 	require.True(t, f.Read(18))
-	_, ok = f.Listens(start, Listens)
+	_, ok = f.CanListen(start, Listener)
 	require.True(t, ok)
 }
 
@@ -130,56 +130,56 @@
 // returns after a newer update of a follower.
 func TestOutdatedReadsAreDropped(t *testing.T) {
 	f := newListeningFeed(t)
-	require.True(t, f.Heard(start, "a", 10, 20))
-	require.False(t, f.Heard(start, "b", 10, 20), "the other follower sends the same update")
+	require.True(t, f.HandleUpdate(start, "a", 10, 20))
+	require.False(t, f.HandleUpdate(start, "b", 10, 20), "the other follower sends the same update")
 	require.False(t, f.Read(15))
-	require.Equal(t, Place(20), f.Place())
+	require.Equal(t, Position(20), f.Position())
 }
 
 // An entry must not keep an old configuration until the next change because it reads from after
 // an update whose content was missing or could not be applied.
 func TestRevertedUpdatesAreReadAgain(t *testing.T) {
 	f := newListeningFeed(t)
-	require.True(t, f.Heard(start, "a", 10, 20))
-	f.Miss()
-	require.Equal(t, Place(10), f.Place())
-	_, ok := f.Listens(start, Listens)
+	require.True(t, f.HandleUpdate(start, "a", 10, 20))
+	f.Revert()
+	require.Equal(t, Position(10), f.Position())
+	_, ok := f.CanListen(start, Listener)
 	require.False(t, ok)
 	require.True(t, f.Read(20))
-	f.Miss()
-	require.Equal(t, Place(10), f.Place())
+	f.Revert()
+	require.Equal(t, Position(10), f.Position())
 	require.True(t, f.Read(25))
-	_, ok = f.Listens(start, Listens)
+	_, ok = f.CanListen(start, Listener)
 	require.True(t, ok)
 }
 
 func TestResetReadsFromTheBeginning(t *testing.T) {
 	f := newListeningFeed(t)
-	f.Restart()
-	require.Zero(t, f.Place())
-	_, ok := f.Listens(start, Listens)
+	f.Reset()
+	require.Zero(t, f.Position())
+	_, ok := f.CanListen(start, Listener)
 	require.False(t, ok)
-	require.False(t, f.Heard(start, "a", 20, 25))
+	require.False(t, f.HandleUpdate(start, "a", 20, 25))
 	require.True(t, f.Read(22))
-	require.Equal(t, Place(22), f.Place())
+	require.Equal(t, Position(22), f.Position())
 }
 
 // simulation simulates a store, two followers and a listener in steps of time. The store's list
 // of changes is the reference for the changes that the listener should know.
 type simulation struct {
 	now       time.Time
-	store     Place
-	changed   map[Place]time.Time
+	store     Position
+	changed   map[Position]time.Time
 	followers [2]follower
 	listener  *Feed
 	// known are the changes that the listener has applied.
-	known map[Place]bool
+	known map[Position]bool
 	// large are the changes that are too large for an update, omitted those of an update with a
 	// large change. version is the content version at each position, fetches are the versions
 	// that reach the listener by another path, and fetched is the newest that has arrived.
-	large   map[Place]bool
-	omitted map[Place]bool
-	version map[Place]uint64
+	large   map[Position]bool
+	omitted map[Position]bool
+	version map[Position]uint64
 	fetches []fetched
 	fetched uint64
 }
@@ -188,13 +188,13 @@
 type fetched struct {
 	at      time.Time
 	version uint64
-	upTo    Place
+	upTo    Position
 }
 
 // follower reads the store unless it is down, and its updates reach the listener unless it is
 // unlinked.
 type follower struct {
-	position       Place
+	position       Position
 	down, unlinked bool
 	lastRead       time.Time
 }
@@ -204,12 +204,12 @@
 	s.now = s.now.Add(100 * time.Millisecond)
 	for i := range s.followers {
 		f := &s.followers[i]
-		if f.down || s.now.Sub(f.lastRead) < ListenedWait && f.position == s.store {
+		if f.down || s.now.Sub(f.lastRead) < FollowerReadWait && f.position == s.store {
 			continue
 		}
 		from := f.position
 		f.position, f.lastRead = s.store, s.now
-		if !f.unlinked && s.listener.Heard(s.now, fmt.Sprint(i), from, f.position) {
+		if !f.unlinked && s.listener.HandleUpdate(s.now, fmt.Sprint(i), from, f.position) {
 			s.receive(from, f.position)
 		}
 	}
@@ -219,9 +219,9 @@
 			s.apply(0, f.upTo)
 		}
 	}
-	s.listener.InForce(s.fetched)
-	if _, ok := s.listener.Listens(s.now, Listens); !ok {
-		from := s.listener.Place()
+	s.listener.ContentApplied(s.fetched)
+	if _, ok := s.listener.CanListen(s.now, Listener); !ok {
+		from := s.listener.Position()
 		if s.listener.Read(s.store) {
 			s.apply(from, s.store)
 		}
@@ -230,7 +230,7 @@
 
 // receive applies a follower's update. Of an update with a large change only the version
 // arrives.
-func (s *simulation) receive(from, to Place) {
+func (s *simulation) receive(from, to Position) {
 	var version uint64
 	large := false
 	for position := range s.changed {
@@ -242,13 +242,13 @@
 		s.apply(from, to)
 		return
 	}
-	s.listener.Expect(s.now, version)
+	s.listener.ExpectContent(s.now, version)
 	for position := range s.changed {
 		s.omitted[position] = s.omitted[position] || position > from && position <= to
 	}
 }
 
-func (s *simulation) apply(from, to Place) {
+func (s *simulation) apply(from, to Position) {
 	for position := range s.changed {
 		if position > from && position <= to {
 			s.known[position] = true
@@ -257,11 +257,11 @@
 }
 
 // Whatever the followers do, a listener that can read the store misses no change. It knows each
-// change within OverdueAfter plus two steps, and ExpectFor later if the content was to arrive by
+// change within FollowerTimeout plus two steps, and ContentTimeout later if the content was to arrive by
 // another path.
 func TestListenerMissesNoChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &simulation{now: start, store: 1, changed: map[Place]time.Time{}, known: map[Place]bool{}, listener: NewFeed(), large: map[Place]bool{}, omitted: map[Place]bool{}, version: map[Place]uint64{}}
+		s := &simulation{now: start, store: 1, changed: map[Position]time.Time{}, known: map[Position]bool{}, listener: NewFeed(), large: map[Position]bool{}, omitted: map[Position]bool{}, version: map[Position]uint64{}}
 		s.step()
 		var versions uint64
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -287,13 +287,13 @@
 				f := &s.followers[rapid.IntRange(0, 1).Draw(t, "which")]
 				f.unlinked = !f.unlinked
 			case 4:
-				s.listener.Lost(fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "which")))
+				s.listener.DropFollower(fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "which")))
 			}
 			s.step()
 			for position, at := range s.changed {
-				limit := OverdueAfter + 200*time.Millisecond
+				limit := FollowerTimeout + 200*time.Millisecond
 				if s.omitted[position] {
-					limit += ExpectFor
+					limit += ContentTimeout
 				}
 				if s.now.Sub(at) > limit {
 					require.True(t, s.known[position], "the change at %d is not known after %s", position, s.now.Sub(at))
--- a/core/lease/guard.go
+++ b/core/lease/guard.go
@@ -22,8 +22,8 @@
 	read    bool
 }
 
-// RowRead records the fencing number of the lease's latest row; 0 if there is no row.
-func (g *Guard) RowRead(fence uint64) {
+// ObserveRow records the fencing number of the lease's latest row; 0 if there is no row.
+func (g *Guard) ObserveRow(fence uint64) {
 	g.read = true
 	g.highest = max(g.highest, fence)
 }
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -108,6 +108,6 @@
 // Grant is the right of the holder to act.
 type Grant struct {
 	Fence uint64
-	// Left is how long the grant lasts from the reading passed to Held.
-	Left time.Duration
+	// Remaining is how long the grant lasts from the reading passed to Held.
+	Remaining time.Duration
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -103,13 +103,13 @@
 	n.pendingCall = nil
 	switch {
 	case m.action.Kind == Read && (lost || !m.delivered):
-		n.ReadFailed(now)
+		n.HandleReadFailure(now)
 	case m.action.Kind == Read:
-		n.RowRead(now, m.row)
+		n.HandleRow(now, m.row)
 	case lost || !m.delivered:
-		n.Written(now, Unknown, 0)
+		n.HandleWrite(now, Unknown, 0)
 	default:
-		n.Written(now, m.outcome, m.row.Version)
+		n.HandleWrite(now, m.outcome, m.row.Version)
 	}
 }
 
@@ -189,7 +189,7 @@
 				}
 				n.pendingCall.delivered = true
 				n.pendingCall = nil
-				n.Written(s.clock(n), NotApplied, 0)
+				n.HandleWrite(s.clock(n), NotApplied, 0)
 			},
 			"step wall clock": func(t *rapid.T) {
 				pick(t).wall += time.Duration(rapid.IntRange(-60, 60).Draw(t, "s")) * time.Second
@@ -252,17 +252,17 @@
 			require.Equal(t, c.stillActing, held)
 			after.Mono += settings.RenewEvery
 			if action := first.Next(after); action.Kind == Write {
-				first.Written(after, Conflict, 0)
+				first.HandleWrite(after, Conflict, 0)
 				_, held = first.Held(after)
 				require.False(t, held, "a holder must stop at a conflict")
 			}
-			first.RowRead(after, s.row)
+			first.HandleRow(after, s.row)
 			_, held = first.Held(after)
 			require.False(t, held, "a holder must stop once it reads another's name")
 
 			var guard Guard
 			require.ErrorIs(t, guard.Check(old.Fence), ErrNotRead)
-			guard.RowRead(s.row.Record.Fence)
+			guard.ObserveRow(s.row.Record.Fence)
 			require.ErrorIs(t, guard.Check(old.Fence), ErrStaleFence)
 			require.NoError(t, guard.Check(current.Fence))
 		})
@@ -323,7 +323,7 @@
 			s.answer(first, false)
 			grant, held := first.Held(s.clock(first))
 			require.Equal(t, c.left > 0, held)
-			require.Equal(t, c.left, grant.Left)
+			require.Equal(t, c.left, grant.Remaining)
 			s.deliver(t, write)
 			s.check(t)
 		})
@@ -353,7 +353,7 @@
 	s.deliver(t, n.pendingCall)
 	s.answer(n, false)
 	grant, _ := n.Held(s.clock(n))
-	require.Equal(t, settings.Length-s.now, grant.Left, "it must count from the first write")
+	require.Equal(t, settings.Length-s.now, grant.Remaining, "it must count from the first write")
 }
 
 // An agent must not execute a former holder's orders, whatever the sequence of orders and reads
@@ -365,7 +365,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"row": func(t *rapid.T) {
 				fence := rapid.Uint64Range(0, 9).Draw(t, "fence")
-				guard.RowRead(fence)
+				guard.ObserveRow(fence)
 				seen, read = append(seen, fence), true
 			},
 			"order": func(t *rapid.T) {
--- a/core/lease/machine.go
+++ b/core/lease/machine.go
@@ -12,9 +12,9 @@
 const (
 	// Wait means to call Next again after Action.Wait.
 	Wait ActionKind = iota
-	// Read means to read the latest row and call RowRead or ReadFailed.
+	// Read means to read the latest row and call HandleRow or HandleReadFailure.
 	Read
-	// Write means to commit Action.Write and call Written.
+	// Write means to commit Action.Write and call HandleWrite.
 	Write
 	// Done means that the lease is released and there are no further actions.
 	Done
@@ -24,11 +24,11 @@
 type Action struct {
 	Kind  ActionKind
 	Wait  time.Duration
-	Write WriteOrder
+	Write ConditionalWrite
 }
 
-// WriteOrder is a conditional write of the row.
-type WriteOrder struct {
+// ConditionalWrite is a conditional write of the row.
+type ConditionalWrite struct {
 	// Token is the client token. It is unique among the writes of all processes.
 	Token     string
 	IfVersion uint64
@@ -60,7 +60,7 @@
 }
 
 type pendingWrite struct {
-	request WriteOrder
+	request ConditionalWrite
 	sentAt  Reading
 }
 
@@ -96,7 +96,7 @@
 		return Grant{}, false
 	}
 	left := m.settings.Length - m.settings.Margin - now.elapsedSince(m.term.startedAt)
-	return Grant{Fence: m.term.fence, Left: left}, left > 0
+	return Grant{Fence: m.term.fence, Remaining: left}, left > 0
 }
 
 // Resign ends the grant at once. The next actions release the lease.
@@ -168,7 +168,7 @@
 
 func (m *Machine) write(now Reading, record Record) Action {
 	m.writes++
-	request := WriteOrder{
+	request := ConditionalWrite{
 		Token:     m.self + "/" + strconv.FormatUint(m.writes, 10),
 		IfVersion: m.row.Version,
 		Record:    record,
@@ -177,13 +177,13 @@
 	return Action{Kind: Write, Write: request}
 }
 
-// Written handles the outcome of the last write; version is the row's if it was applied.
+// HandleWrite handles the outcome of the last write; version is the row's if it was applied.
 //
 // After an unknown outcome the row is read back. If it has the write's token, the lease
 // counts from when the write was sent. If not, the write may still arrive late. This is
 // harmless, because it and any later write require the version that the row has now, so
 // only one of them can be applied.
-func (m *Machine) Written(now Reading, outcome Outcome, version uint64) {
+func (m *Machine) HandleWrite(now Reading, outcome Outcome, version uint64) {
 	write := m.pending
 	switch outcome {
 	case Applied:
@@ -202,11 +202,11 @@
 	}
 }
 
-// ReadFailed handles a failed read of the row.
-func (m *Machine) ReadFailed(now Reading) { m.retryAt = now.Mono + m.settings.RetryEvery }
+// HandleReadFailure handles a failed read of the row.
+func (m *Machine) HandleReadFailure(now Reading) { m.retryAt = now.Mono + m.settings.RetryEvery }
 
-// RowRead handles the latest row.
-func (m *Machine) RowRead(now Reading, row Row) {
+// HandleRow handles the latest row.
+func (m *Machine) HandleRow(now Reading, row Row) {
 	m.observeRow(now, row)
 	if m.pending != nil && m.pending.request.Token == row.Token {
 		m.acceptWrite(m.pending)
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -84,23 +84,24 @@
 // Action is an instruction to the caller. It is one of the types below.
 type Action interface{ action() }
 
-// Changed reports the new state of a VM.
-type Changed struct {
+// StateChanged reports the new state of a VM.
+type StateChanged struct {
 	VM     VM
 	State  routing.State
 	Reason Reason
 }
 
 // Probe asks for a message exchange with a VM over a new connection: an old one may stay silent
-// although the VM is healthy. The caller reports the outcome to Replied, Silent or Refused.
+// although the VM is healthy. The caller reports the outcome to HandleReply,
+// HandleTimeout or HandleRefusal.
 type Probe struct{ VM VM }
 
-// Forgotten reports that a VM was removed because it is neither listed nor alive.
-type Forgotten struct{ ID ID }
+// Removed reports that a VM was removed because it is neither listed nor alive.
+type Removed struct{ ID ID }
 
-func (Changed) action()   {}
-func (Probe) action()     {}
-func (Forgotten) action() {}
+func (StateChanged) action() {}
+func (Probe) action()        {}
+func (Removed) action()      {}
 
 // evidence is the last observation of a VM by the process's own links.
 type evidence uint8
@@ -168,11 +169,11 @@
 	}
 }
 
-// Doubted reports whether the last list was implausible because it lacked too many VMs.
-func (v *View) Doubted() bool { return !v.rejectedSince.IsZero() }
+// ListRejected reports whether the last list was implausible because it lacked too many VMs.
+func (v *View) ListRejected() bool { return !v.rejectedSince.IsZero() }
 
-// Listed handles a list that was just read.
-func (v *View) Listed(now time.Time, list []VM) []Action {
+// HandleList handles a list that was just read.
+func (v *View) HandleList(now time.Time, list []VM) []Action {
 	listed := make(map[ID]bool, len(list))
 	var actions []Action
 	for _, vm := range list {
@@ -232,8 +233,8 @@
 	return now.Sub(v.rejectedSince) < v.config.RejectListFor
 }
 
-// Replied handles any message from the given incarnation of a VM's process.
-func (v *View) Replied(now time.Time, id ID, incarnation call.Incarnation) []Action {
+// HandleReply handles any message from the given incarnation of a VM's process.
+func (v *View) HandleReply(now time.Time, id ID, incarnation call.Incarnation) []Action {
 	m := v.members[id]
 	if m == nil || !m.observeIncarnation(incarnation) {
 		return nil
@@ -243,9 +244,9 @@
 	return v.updateState(now, nil, m)
 }
 
-// Left handles an agent's announcement that it is leaving. It applies to this incarnation only:
-// the next process on the VM may stay.
-func (v *View) Left(now time.Time, id ID, incarnation call.Incarnation) []Action {
+// HandleLeaving handles an agent's announcement that it is leaving. It applies to this
+// incarnation only: the next process on the VM may stay.
+func (v *View) HandleLeaving(now time.Time, id ID, incarnation call.Incarnation) []Action {
 	m := v.members[id]
 	if m == nil || !m.observeIncarnation(incarnation) {
 		return nil
@@ -254,8 +255,8 @@
 	return v.updateState(now, nil, m)
 }
 
-// Silent handles the timeout of a message that was sent at sent.
-func (v *View) Silent(now time.Time, id ID, sent time.Time) []Action {
+// HandleTimeout handles the timeout of a message that was sent at sent.
+func (v *View) HandleTimeout(now time.Time, id ID, sent time.Time) []Action {
 	m := v.members[id]
 	// A reply since then means that the connection has failed and not the VM.
 	if m == nil || m.evidence == refused || m.lastReply.After(sent) {
@@ -270,8 +271,8 @@
 	return v.updateState(now, nil, m)
 }
 
-// Refused handles the refusal of a new connection: no process listens on the VM.
-func (v *View) Refused(now time.Time, id ID) []Action {
+// HandleRefusal handles the refusal of a new connection: no process listens on the VM.
+func (v *View) HandleRefusal(now time.Time, id ID) []Action {
 	m := v.members[id]
 	if m == nil {
 		return nil
@@ -293,7 +294,7 @@
 		actions = v.updateState(now, actions, m)
 		if m.state == routing.Dead && !m.listed && now.Sub(m.stateSince) >= v.config.ForgetAfter {
 			v.removeMember(id)
-			actions = append(actions, Forgotten{ID: id})
+			actions = append(actions, Removed{ID: id})
 			continue
 		}
 		if probes < v.config.MaxProbesPerTick && v.probeDue(now, m) {
@@ -344,7 +345,7 @@
 	return true
 }
 
-// updateState updates a VM's state and returns a Changed action if it differs.
+// updateState updates a VM's state and returns a StateChanged action if it differs.
 func (v *View) updateState(now time.Time, actions []Action, m *member) []Action {
 	state, reason := v.deriveState(now, m)
 	if state == m.state {
@@ -352,7 +353,7 @@
 	}
 	m.state = state
 	m.stateSince = now
-	return append(actions, Changed{VM: m.vm, State: state, Reason: reason})
+	return append(actions, StateChanged{VM: m.vm, State: state, Reason: reason})
 }
 
 func (v *View) deriveState(now time.Time, m *member) (routing.State, Reason) {
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -24,7 +24,7 @@
 
 func newView(n int) *View {
 	v := New(DefaultConfig())
-	v.Listed(at(0), newVMs(n))
+	v.HandleList(at(0), newVMs(n))
 	return v
 }
 
@@ -46,34 +46,46 @@
 		want   routing.State
 	}{
 		"new":                          {func(v *View) {}, routing.Live},
-		"connection refused":           {func(v *View) { v.Refused(at(500), id) }, routing.Dead},
-		"one silence":                  {func(v *View) { v.Silent(at(500), id, at(0)) }, routing.Suspect},
-		"silent, 1.5 s after the call": {func(v *View) { v.Silent(at(500), id, at(0)); tickUntil(v, 600, 1500) }, routing.Dead},
+		"connection refused":           {func(v *View) { v.HandleRefusal(at(500), id) }, routing.Dead},
+		"one silence":                  {func(v *View) { v.HandleTimeout(at(500), id, at(0)) }, routing.Suspect},
+		"silent, 1.5 s after the call": {func(v *View) { v.HandleTimeout(at(500), id, at(0)); tickUntil(v, 600, 1500) }, routing.Dead},
 		"silent connection, new one replies": {func(v *View) {
-			v.Replied(at(300), id, 1)
-			v.Silent(at(500), id, at(0))
+			v.HandleReply(at(300), id, 1)
+			v.HandleTimeout(at(500), id, at(0))
 			tickUntil(v, 600, 3000)
 		}, routing.Live},
 		"falsely dead, probe replies": {func(v *View) {
-			v.Silent(at(500), id, at(0))
+			v.HandleTimeout(at(500), id, at(0))
 			tickUntil(v, 600, 3000)
-			v.Replied(at(3100), id, 1)
+			v.HandleReply(at(3100), id, 1)
 		}, routing.Live},
-		"restart after refusal":          {func(v *View) { v.Replied(at(0), id, 1); v.Refused(at(500), id); v.Replied(at(700), id, 2) }, routing.Live},
-		"agent announces that it leaves": {func(v *View) { v.Left(at(100), id, 1); v.Replied(at(200), id, 1); v.Listed(at(300), newVMs(10)) }, routing.Leaving},
-		"new process stays":              {func(v *View) { v.Left(at(100), id, 1); v.Replied(at(200), id, 2) }, routing.Live},
+		"restart after refusal": {func(v *View) {
+			v.HandleReply(at(0), id, 1)
+			v.HandleRefusal(at(500), id)
+			v.HandleReply(at(700), id, 2)
+		}, routing.Live},
+		"agent announces that it leaves": {func(v *View) {
+			v.HandleLeaving(at(100), id, 1)
+			v.HandleReply(at(200), id, 1)
+			v.HandleList(at(300), newVMs(10))
+		}, routing.Leaving},
+		"new process stays": {func(v *View) { v.HandleLeaving(at(100), id, 1); v.HandleReply(at(200), id, 2) }, routing.Live},
 		"late announcement of the old process": {func(v *View) {
-			v.Replied(at(0), id, 1)
-			v.Replied(at(100), id, 2)
-			v.Left(at(200), id, 1)
+			v.HandleReply(at(0), id, 1)
+			v.HandleReply(at(100), id, 2)
+			v.HandleLeaving(at(200), id, 1)
+		}, routing.Live},
+		"list shows it as leaving": {func(v *View) { v.HandleList(at(100), leaving); v.HandleList(at(200), newVMs(10)) }, routing.Leaving},
+		"list drops it, replies": {func(v *View) {
+			v.HandleList(at(100), without)
+			v.HandleReply(at(200), id, 1)
+			tickUntil(v, 300, 90_000)
 		}, routing.Live},
-		"list shows it as leaving": {func(v *View) { v.Listed(at(100), leaving); v.Listed(at(200), newVMs(10)) }, routing.Leaving},
-		"list drops it, replies":   {func(v *View) { v.Listed(at(100), without); v.Replied(at(200), id, 1); tickUntil(v, 300, 90_000) }, routing.Live},
 		"list drops it, silent": {func(v *View) {
-			v.Listed(at(100), without)
+			v.HandleList(at(100), without)
 			require.Equal(t, []Action{Probe{VM: newVMs(10)[3]}}, v.Tick(at(200)))
-			v.Silent(at(700), id, at(200))
-			require.Contains(t, tickUntil(v, 800, 62_000), Forgotten{ID: id})
+			v.HandleTimeout(at(700), id, at(200))
+			require.Contains(t, tickUntil(v, 800, 62_000), Removed{ID: id})
 		}, routing.Dead},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -90,15 +102,15 @@
 func TestListMissingMostVMsIsRejected(t *testing.T) {
 	v := newView(40)
 	for ms := 1000; ms < 60_000; ms += 1000 {
-		require.Empty(t, v.Listed(at(ms), newVMs(3)))
+		require.Empty(t, v.HandleList(at(ms), newVMs(3)))
 		require.Empty(t, v.Tick(at(ms)))
-		require.True(t, v.Doubted())
+		require.True(t, v.ListRejected())
 	}
-	v.Refused(at(60_000), "vm-30")
+	v.HandleRefusal(at(60_000), "vm-30")
 	require.Equal(t, routing.Dead, v.State("vm-30"), "own evidence still counts")
 	require.Equal(t, routing.Live, v.State("vm-31"))
-	v.Listed(at(61_000), newVMs(40))
-	require.False(t, v.Doubted())
+	v.HandleList(at(61_000), newVMs(40))
+	require.False(t, v.ListRejected())
 }
 
 // In a partition each side keeps using its own VMs although the list shows all of them, and the
@@ -108,9 +120,9 @@
 	for ms := 1000; ms < 20_000; ms += 500 {
 		for _, vm := range newVMs(20) {
 			if vm.Zone == "zone-1" {
-				v.Silent(at(ms), vm.ID, at(ms-500))
+				v.HandleTimeout(at(ms), vm.ID, at(ms-500))
 			} else {
-				v.Replied(at(ms), vm.ID, 1)
+				v.HandleReply(at(ms), vm.ID, 1)
 			}
 		}
 		probes := 0
@@ -123,7 +135,7 @@
 	}
 	v.Each(func(vm VM, state routing.State) {
 		require.Equal(t, vm.Zone == "zone-0", state == routing.Live)
-		v.Replied(at(20_000), vm.ID, 1)
+		v.HandleReply(at(20_000), vm.ID, 1)
 		require.Equal(t, routing.Live, v.State(vm.ID))
 	})
 }
@@ -202,22 +214,22 @@
 					e.incarnation = incarnation
 				}
 				if e.kind == "reply" {
-					actions = append(actions, v.Replied(now, "vm-00", e.incarnation)...)
+					actions = append(actions, v.HandleReply(now, "vm-00", e.incarnation)...)
 				} else {
-					actions = append(actions, v.Left(now, "vm-00", e.incarnation)...)
+					actions = append(actions, v.HandleLeaving(now, "vm-00", e.incarnation)...)
 				}
 			case "list-leaving":
-				actions = append(actions, v.Listed(now, []VM{{ID: "vm-00", Leaving: true}})...)
+				actions = append(actions, v.HandleList(now, []VM{{ID: "vm-00", Leaving: true}})...)
 			case "refused":
-				actions = append(actions, v.Refused(now, "vm-00")...)
+				actions = append(actions, v.HandleRefusal(now, "vm-00")...)
 			case "silent":
 				e.sent = now.Add(-time.Duration(rapid.IntRange(1, 9).Draw(t, "age")) * 100 * time.Millisecond)
-				actions = append(actions, v.Silent(now, "vm-00", e.sent)...)
+				actions = append(actions, v.HandleTimeout(now, "vm-00", e.sent)...)
 			}
 			n.events = append(n.events, e)
 			for _, action := range actions {
 				switch a := action.(type) {
-				case Changed:
+				case StateChanged:
 					reported = a.State
 				case Probe:
 					lastProbe = now
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -15,9 +15,9 @@
 
 // Settings are the settings of a Ledger.
 type Settings struct {
-	// Crashes is the number of upstreams that must have crashed while running a request before it
+	// MinCrashes is the number of upstreams that must have crashed while running a request before it
 	// is held back.
-	Crashes int
+	MinCrashes int
 	// Hold is how long a request is held back the first time. Then it is on probation for the same
 	// time, during which one more crash is enough, and each further hold is holdGrowth times as
 	// long.
@@ -25,31 +25,31 @@
 }
 
 // DefaultSettings require three crashes, which are unlikely to be a coincidence.
-var DefaultSettings = Settings{Crashes: 3, Hold: time.Hour}
+var DefaultSettings = Settings{MinCrashes: 3, Hold: time.Hour}
 
-// Length returns the length of a hold, given how many times in a row the request has been held
+// HoldLength returns the length of a hold, given how many times in a row the request has been held
 // back with it.
-func (s Settings) Length(times int) time.Duration {
+func (s Settings) HoldLength(times int) time.Duration {
 	length := s.Hold
 	for range times - 1 {
-		length = min(length*holdGrowth, MostHold)
+		length = min(length*holdGrowth, MaxHold)
 	}
 	return length
 }
 
 const (
-	// Settle is how long a verdict waits for further suspects of the last crash. Entries send
+	// VerdictDelay is how long a verdict waits for further suspects of the last crash. Entries send
 	// each other their suspects within a few round trips.
-	Settle = 100 * time.Millisecond
+	VerdictDelay = 100 * time.Millisecond
 	// coincidenceWindow is the time within which crashes count as one. When a rack fails, several
 	// upstreams that ran the same popular request crash at once.
 	coincidenceWindow = 20 * time.Millisecond
 	// holdGrowth limits how often a request that keeps crashing upstreams is tried again.
 	holdGrowth = 8
-	// Memory is how long crashes and suspects are kept.
-	Memory = 30 * time.Minute
-	// MostHold bounds the length of any hold.
-	MostHold = 30 * 24 * time.Hour
+	// Retention is how long crashes and suspects are kept.
+	Retention = 30 * time.Minute
+	// MaxHold bounds the length of any hold.
+	MaxHold = 30 * 24 * time.Hour
 	// Bounds on the size of a Ledger, several times the number of crashes in an hour with many
 	// failures. When they are reached, the oldest crash is dropped, and no suspect or hold is
 	// added.
@@ -89,15 +89,15 @@
 type Crash struct {
 	Upstream uint32
 	At       time.Time
-	// Again says that the request was sent there after another upstream had crashed while running
+	// Repeated says that the request was sent there after another upstream had crashed while running
 	// it.
-	Again bool
+	Repeated bool
 }
 
 // crash is the crash of one incarnation with all requests in flight.
 type crash struct {
 	at time.Time
-	// inFlight holds the requests in flight, with Crash.Again of each.
+	// inFlight holds the requests in flight, with Crash.Repeated of each.
 	inFlight map[fingerprint.Print]bool
 }
 
@@ -118,16 +118,16 @@
 	}
 }
 
-// Strike records that an incarnation has crashed with a request in flight. It reports whether
+// RecordCrash records that an incarnation has crashed with a request in flight. It reports whether
 // this was not known before.
-func (l *Ledger) Strike(now time.Time, seen Crash, print fingerprint.Print) bool {
+func (l *Ledger) RecordCrash(now time.Time, seen Crash, print fingerprint.Print) bool {
 	delete(l.cleared, print)
 	return l.addCrash(now, seen, print)
 }
 
-// Recall records a crash from a stored record, unless the request has been cleared since. It
+// RestoreCrash records a crash from a stored record, unless the request has been cleared since. It
 // reports whether the crash was added.
-func (l *Ledger) Recall(now time.Time, recorded Crash, print fingerprint.Print) bool {
+func (l *Ledger) RestoreCrash(now time.Time, recorded Crash, print fingerprint.Print) bool {
 	if _, answered := l.cleared[print]; answered {
 		return false
 	}
@@ -135,7 +135,7 @@
 }
 
 func (l *Ledger) addCrash(now time.Time, seen Crash, print fingerprint.Print) bool {
-	if now.Sub(seen.At) > Memory {
+	if now.Sub(seen.At) > Retention {
 		return false
 	}
 	if seen.At.After(now) {
@@ -158,7 +158,7 @@
 		s = &suspect{}
 		l.suspects[print] = s
 	}
-	c.inFlight[print] = seen.Again
+	c.inFlight[print] = seen.Repeated
 	s.upstreams = append(s.upstreams, seen.Upstream)
 	s.lastCrash = now
 	return true
@@ -209,14 +209,14 @@
 	all := make([]Crash, len(s.upstreams))
 	for i, upstream := range s.upstreams {
 		c := l.crashes[upstream]
-		all[i] = Crash{Upstream: upstream, At: c.at, Again: c.inFlight[print]}
+		all[i] = Crash{Upstream: upstream, At: c.at, Repeated: c.inFlight[print]}
 	}
 	return all
 }
 
-// Take applies a hold received from another entry or from a stored record. It reports whether the
-// request was not held back before.
-func (l *Ledger) Take(now time.Time, print fingerprint.Print, received Hold) bool {
+// ApplyHold applies a hold received from another entry or from a stored record. It reports whether
+// the request was not held back before.
+func (l *Ledger) ApplyHold(now time.Time, print fingerprint.Print, received Hold) bool {
 	if _, answered := l.cleared[print]; answered || !now.Before(received.Until) {
 		return false
 	}
@@ -224,7 +224,7 @@
 	if known.Times == 0 && len(l.holds) >= maxHolds {
 		return false
 	}
-	if latest := now.Add(MostHold); received.Until.After(latest) {
+	if latest := now.Add(MaxHold); received.Until.After(latest) {
 		received.Until = latest
 	}
 	if !received.Until.After(known.Until) {
@@ -237,21 +237,21 @@
 // startHold holds a request back because of a verdict.
 func (l *Ledger) startHold(now time.Time, print fingerprint.Print) Hold {
 	times := l.holds[print].Times + 1
-	h := Hold{Until: now.Add(l.settings.Length(times)), Times: times}
+	h := Hold{Until: now.Add(l.settings.HoldLength(times)), Times: times}
 	l.holds[print] = h
 	return h
 }
 
-// Held returns until when a request is held back; zero if it is not.
-func (l *Ledger) Held(now time.Time, print fingerprint.Print) time.Time {
+// HeldUntil returns until when a request is held back; zero if it is not.
+func (l *Ledger) HeldUntil(now time.Time, print fingerprint.Print) time.Time {
 	if h := l.holds[print]; now.Before(h.Until) {
 		return h.Until
 	}
 	return time.Time{}
 }
 
-// Holds returns the holds of the requests that are held back.
-func (l *Ledger) Holds(now time.Time) map[fingerprint.Print]Hold {
+// ActiveHolds returns the holds of the requests that are held back.
+func (l *Ledger) ActiveHolds(now time.Time) map[fingerprint.Print]Hold {
 	held := make(map[fingerprint.Print]Hold)
 	for print, h := range l.holds {
 		if now.Before(h.Until) {
@@ -261,21 +261,21 @@
 	return held
 }
 
-// Forget removes crashes and clearances that are older than Memory, and holds whose probation has
-// ended.
-func (l *Ledger) Forget(now time.Time) {
+// Expire removes crashes and clearances that are older than Retention, and holds whose probation
+// has ended.
+func (l *Ledger) Expire(now time.Time) {
 	for upstream, c := range l.crashes {
-		if now.Sub(c.at) > Memory {
+		if now.Sub(c.at) > Retention {
 			l.dropCrash(upstream)
 		}
 	}
 	for print, h := range l.holds {
-		if now.After(h.Until.Add(l.settings.Length(h.Times))) {
+		if now.After(h.Until.Add(l.settings.HoldLength(h.Times))) {
 			delete(l.holds, print)
 		}
 	}
 	for print, at := range l.cleared {
-		if now.Sub(at) > Memory {
+		if now.Sub(at) > Retention {
 			delete(l.cleared, print)
 		}
 	}
@@ -286,7 +286,7 @@
 	if len(l.crashes) < maxCrashes {
 		return
 	}
-	l.Forget(now)
+	l.Expire(now)
 	for len(l.crashes) >= maxCrashes {
 		var oldest uint32
 		var at time.Time
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -26,7 +26,7 @@
 // recordCrashes records the crash of an upstream with the given requests in flight.
 func recordCrashes(l *Ledger, now time.Time, upstream uint32, names ...string) {
 	for _, name := range names {
-		l.Strike(now, Crash{Upstream: upstream, At: now}, printOf(name))
+		l.RecordCrash(now, Crash{Upstream: upstream, At: now}, printOf(name))
 	}
 }
 
@@ -48,12 +48,12 @@
 	recordCrashes(l, at(2), 3, "fatal", "b", "c")
 	all, next := l.Decide(at(2))
 	require.Empty(t, all, "other suspects of the crash may still be reported")
-	require.Equal(t, at(2).Add(Settle), next)
+	require.Equal(t, at(2).Add(VerdictDelay), next)
 	all, next = l.Decide(next)
-	require.Equal(t, []Verdict{{Print: printOf("fatal"), Crashes: 3, Hold: Hold{Until: at(2).Add(Settle + time.Hour), Times: 1}}}, all)
+	require.Equal(t, []Verdict{{Print: printOf("fatal"), Crashes: 3, Hold: Hold{Until: at(2).Add(VerdictDelay + time.Hour), Times: 1}}}, all)
 	require.Zero(t, next)
-	require.NotZero(t, l.Held(at(3), printOf("fatal")))
-	require.Zero(t, l.Held(at(3), printOf("a")))
+	require.NotZero(t, l.HeldUntil(at(3), printOf("fatal")))
+	require.Zero(t, l.HeldUntil(at(3), printOf("a")))
 }
 
 // Crashes that a held request explains do not count against the other requests in flight.
@@ -84,9 +84,9 @@
 	}
 	require.False(t, l.Clear(at(20), printOf("popular")), "its crashes have been removed")
 	for i := range uint32(3) {
-		require.False(t, l.Recall(at(21), Crash{Upstream: 100 + i, At: at(float64(i))}, printOf("popular")), "old records are ignored")
+		require.False(t, l.RestoreCrash(at(21), Crash{Upstream: 100 + i, At: at(float64(i))}, printOf("popular")), "old records are ignored")
 	}
-	require.False(t, l.Take(at(21), printOf("popular"), Hold{Until: at(1000)}))
+	require.False(t, l.ApplyHold(at(21), printOf("popular"), Hold{Until: at(1000)}))
 }
 
 // When a rack fails, several upstreams crash that all ran one popular request. This counts as one
@@ -107,7 +107,7 @@
 func TestCrashesOfRetriesCountSeparately(t *testing.T) {
 	l := newLedger()
 	for i := range uint32(3) {
-		l.Strike(at(1), Crash{Upstream: i, At: at(0.001 * float64(i)), Again: i > 0}, printOf("fatal"))
+		l.RecordCrash(at(1), Crash{Upstream: i, At: at(0.001 * float64(i)), Repeated: i > 0}, printOf("fatal"))
 	}
 	require.Equal(t, []fingerprint.Print{printOf("fatal")}, decidedPrints(l, at(2)))
 }
@@ -132,11 +132,11 @@
 	}
 	require.Len(t, decidedPrints(l, at(3)), 1)
 	later := at(3).Add(time.Hour + time.Second)
-	require.Zero(t, l.Held(later, printOf("fatal")))
+	require.Zero(t, l.HeldUntil(later, printOf("fatal")))
 	require.Empty(t, decidedPrints(l, later), "old crashes do not count again")
 	recordCrashes(l, later, 9, "fatal")
-	all, _ := l.Decide(later.Add(Settle))
-	require.Equal(t, Hold{Until: later.Add(Settle + holdGrowth*time.Hour), Times: 2}, all[0].Hold, "the second hold is longer")
+	all, _ := l.Decide(later.Add(VerdictDelay))
+	require.Equal(t, Hold{Until: later.Add(VerdictDelay + holdGrowth*time.Hour), Times: 2}, all[0].Hold, "the second hold is longer")
 
 	l.Clear(later.Add(time.Minute), printOf("fatal"))
 	recordCrashes(l, later.Add(2*time.Minute), 10, "fatal")
@@ -145,32 +145,32 @@
 
 func TestReportedHoldsAreBounded(t *testing.T) {
 	l := newLedger()
-	require.True(t, l.Hear(at(0), Report{Kind: Held, Print: printOf("a"), LeftMs: 5000}))
-	require.False(t, l.Hear(at(0), Report{Kind: Held, Print: printOf("a"), LeftMs: 6000}), "not new, but longer")
-	require.Equal(t, at(6), l.Held(at(1), printOf("a")))
-	require.False(t, l.Take(at(9), printOf("b"), Hold{Until: at(8)}), "the hold has ended")
-	require.True(t, l.Take(at(0), printOf("c"), Hold{Until: at(0).Add(10 * MostHold)}))
-	require.Equal(t, at(0).Add(MostHold), l.Held(at(1), printOf("c")))
-	require.True(t, l.Hear(at(2), Report{Kind: Answered, Print: printOf("a")}))
-	require.Zero(t, l.Held(at(2), printOf("a")))
+	require.True(t, l.HandleReport(at(0), Report{Kind: HoldReport, Print: printOf("a"), LeftMs: 5000}))
+	require.False(t, l.HandleReport(at(0), Report{Kind: HoldReport, Print: printOf("a"), LeftMs: 6000}), "not new, but longer")
+	require.Equal(t, at(6), l.HeldUntil(at(1), printOf("a")))
+	require.False(t, l.ApplyHold(at(9), printOf("b"), Hold{Until: at(8)}), "the hold has ended")
+	require.True(t, l.ApplyHold(at(0), printOf("c"), Hold{Until: at(0).Add(10 * MaxHold)}))
+	require.Equal(t, at(0).Add(MaxHold), l.HeldUntil(at(1), printOf("c")))
+	require.True(t, l.HandleReport(at(2), Report{Kind: AnswerReport, Print: printOf("a")}))
+	require.Zero(t, l.HeldUntil(at(2), printOf("a")))
 
-	kept, dropped := Check([]Report{{Kind: 0}, {Kind: 99}, {Kind: Held, LeftMs: -1}, {Kind: Held, LeftMs: 1 << 62}, {Kind: Held, Times: -1}, {Kind: Struck, AgeMs: -1}, {Kind: Answered}})
+	kept, dropped := Check([]Report{{Kind: 0}, {Kind: 99}, {Kind: HoldReport, LeftMs: -1}, {Kind: HoldReport, LeftMs: 1 << 62}, {Kind: HoldReport, Times: -1}, {Kind: CrashReport, AgeMs: -1}, {Kind: AnswerReport}})
 	require.Len(t, kept, 1)
 	require.Equal(t, 6, dropped)
-	_, dropped = Check(make([]Report, 2*MostReports))
-	require.Equal(t, 2*MostReports, dropped)
+	_, dropped = Check(make([]Report, 2*MaxReports))
+	require.Equal(t, 2*MaxReports, dropped)
 }
 
 func TestLedgerSizeIsBounded(t *testing.T) {
 	l := newLedger()
 	for i := range uint32(2 * maxCrashes) {
 		for j := range 10 {
-			l.Strike(at(float64(i)), Crash{Upstream: i, At: at(float64(i))}, printOf(fmt.Sprint(i, j)))
+			l.RecordCrash(at(float64(i)), Crash{Upstream: i, At: at(float64(i))}, printOf(fmt.Sprint(i, j)))
 		}
 	}
 	require.LessOrEqual(t, len(l.crashes), maxCrashes)
 	require.LessOrEqual(t, len(l.suspects), maxSuspects)
-	l.Forget(at(2 * maxCrashes).Add(Memory + time.Second))
+	l.Expire(at(2 * maxCrashes).Add(Retention + time.Second))
 	require.Empty(t, l.crashes)
 	require.Empty(t, l.suspects)
 }
@@ -198,7 +198,7 @@
 			case 1:
 				l.Decide(now)
 			default:
-				require.Equal(t, !reference[s], l.Strike(now, Crash{Upstream: uint32(s.upstream), At: now}, print))
+				require.Equal(t, !reference[s], l.RecordCrash(now, Crash{Upstream: uint32(s.upstream), At: now}, print))
 				reference[s] = true
 			}
 			for request := range 5 {
@@ -232,7 +232,7 @@
 // arrive sends a request to engines until one does not crash.
 func (f *loadModel) arrive(name string, tries int) {
 	for range tries {
-		if !f.ledger.Held(f.now, printOf(name)).IsZero() {
+		if !f.ledger.HeldUntil(f.now, printOf(name)).IsZero() {
 			if name != fatalName {
 				f.wronglyHeld++
 			}
@@ -254,7 +254,7 @@
 	f.engines[engine] = nil
 	f.next++
 	for _, name := range names {
-		f.ledger.Strike(f.now, Crash{Upstream: f.next, At: f.now}, printOf(name))
+		f.ledger.RecordCrash(f.now, Crash{Upstream: f.next, At: f.now}, printOf(name))
 	}
 	f.now = f.now.Add(150 * time.Millisecond)
 	f.ledger.Decide(f.now)
@@ -305,7 +305,7 @@
 	l := newLedger()
 	for i := range uint32(64) {
 		for j := range 64 {
-			l.Strike(at(float64(i)), Crash{Upstream: i, At: at(float64(i))}, printOf(fmt.Sprint(i, j)))
+			l.RecordCrash(at(float64(i)), Crash{Upstream: i, At: at(float64(i))}, printOf(fmt.Sprint(i, j)))
 		}
 	}
 	b.ReportAllocs()
--- a/core/quarantine/report.go
+++ b/core/quarantine/report.go
@@ -12,22 +12,22 @@
 
 // The kinds of report.
 const (
-	// Struck reports that an upstream crashed with the request in flight.
-	Struck Kind = iota + 1
-	// StruckAgain reports the same for a request that was sent there after another upstream had
-	// crashed while running it.
-	StruckAgain
-	// Answered reports that an upstream has answered the request, so that it is not the cause of
+	// CrashReport reports that an upstream crashed with the request in flight.
+	CrashReport Kind = iota + 1
+	// RepeatedCrashReport reports the same for a request that was sent there after another upstream
+	// had crashed while running it.
+	RepeatedCrashReport
+	// AnswerReport reports that an upstream has answered the request, so that it is not the cause of
 	// crashes.
-	Answered
-	// Held reports that the request is held back.
-	Held
+	AnswerReport
+	// HoldReport reports that the request is held back.
+	HoldReport
 )
 
 // String returns the kind's name for logs.
 func (k Kind) String() string {
 	names := [...]string{"", "struck", "struck again", "answered", "held"}
-	if k < Struck || int(k) >= len(names) {
+	if k < CrashReport || int(k) >= len(names) {
 		return "kind " + strconv.Itoa(int(k))
 	}
 	return names[k]
@@ -42,21 +42,21 @@
 	Upstream uint32
 	AgeMs    int64
 	// LeftMs is how much longer the request is held back, in milliseconds, and Times how many times
-	// in a row it has been; set for Held.
+	// in a row it has been; set for HoldReport.
 	LeftMs int64
 	Times  int
 }
 
-// MostReports bounds the reports of one message.
-const MostReports = 1024
+// MaxReports bounds the reports of one message.
+const MaxReports = 1024
 
-// MostTimes bounds how many times in a row a request can have been held back. The length of a hold
+// MaxHoldTimes bounds how many times in a row a request can have been held back. The length of a hold
 // reaches its maximum long before.
-const MostTimes = 100
+const MaxHoldTimes = 100
 
 // Check returns the valid reports, and the number of invalid ones.
 func Check(reports []Report) (kept []Report, dropped int) {
-	for _, r := range reports[:min(len(reports), MostReports)] {
+	for _, r := range reports[:min(len(reports), MaxReports)] {
 		if r.valid() {
 			kept = append(kept, r)
 		}
@@ -65,24 +65,24 @@
 }
 
 func (r *Report) valid() bool {
-	return r.Kind >= Struck && r.Kind <= Held &&
-		r.AgeMs >= 0 && r.AgeMs <= Memory.Milliseconds() &&
-		r.LeftMs >= 0 && r.LeftMs <= MostHold.Milliseconds() &&
-		r.Times >= 0 && r.Times <= MostTimes
+	return r.Kind >= CrashReport && r.Kind <= HoldReport &&
+		r.AgeMs >= 0 && r.AgeMs <= Retention.Milliseconds() &&
+		r.LeftMs >= 0 && r.LeftMs <= MaxHold.Milliseconds() &&
+		r.Times >= 0 && r.Times <= MaxHoldTimes
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Hear handles a report that Check has returned. It reports whether the report was new.
-func (l *Ledger) Hear(now time.Time, r Report) bool {
+// HandleReport handles a report that Check has returned. It reports whether the report was new.
+func (l *Ledger) HandleReport(now time.Time, r Report) bool {
 	switch r.Kind {
-	case Struck, StruckAgain:
-		seen := Crash{Upstream: r.Upstream, At: now.Add(-milliseconds(r.AgeMs)), Again: r.Kind == StruckAgain}
-		return l.Strike(now, seen, r.Print)
-	case Answered:
+	case CrashReport, RepeatedCrashReport:
+		seen := Crash{Upstream: r.Upstream, At: now.Add(-milliseconds(r.AgeMs)), Repeated: r.Kind == RepeatedCrashReport}
+		return l.RecordCrash(now, seen, r.Print)
+	case AnswerReport:
 		return l.Clear(now, r.Print)
-	case Held:
-		return l.Take(now, r.Print, Hold{Until: now.Add(milliseconds(r.LeftMs)), Times: r.Times})
+	case HoldReport:
+		return l.ApplyHold(now, r.Print, Hold{Until: now.Add(milliseconds(r.LeftMs)), Times: r.Times})
 	default:
 		return false
 	}
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -38,7 +38,7 @@
 			return verdicts, time.Time{}
 		}
 		slices.SortFunc(all, compareLikelihood)
-		if due := all[0].suspect.lastCrash.Add(Settle); now.Before(due) {
+		if due := all[0].suspect.lastCrash.Add(VerdictDelay); now.Before(due) {
 			return verdicts, due
 		}
 		causes := equallyLikely(all)
@@ -73,7 +73,7 @@
 	explained := l.explainedCrashes()
 	for print, s := range l.suspects {
 		required, since := l.threshold(print)
-		if len(s.upstreams) < required || !l.Held(now, print).IsZero() {
+		if len(s.upstreams) < required || !l.HeldUntil(now, print).IsZero() {
 			continue
 		}
 		if c := l.newCandidate(print, s, explained, since); c.events >= required {
@@ -89,7 +89,7 @@
 	if h := l.holds[print]; h.Times > 0 {
 		return 1, h.Until
 	}
-	return l.settings.Crashes, time.Time{}
+	return l.settings.MinCrashes, time.Time{}
 }
 
 // newCandidate counts the crashes of a suspect that no other held request explains.
--- a/core/routes/routes.go
+++ b/core/routes/routes.go
@@ -57,10 +57,10 @@
 	Kind   Kind
 	// Timeout is the time within which a request must have its final answer.
 	Timeout time.Duration
-	// Aim is the target latency of the answer, or of a stream's first event.
-	Aim time.Duration
-	// GapAim is the target for the longest gap between two events of a stream.
-	GapAim time.Duration
+	// TargetLatency is the target latency of the answer, or of a stream's first event.
+	TargetLatency time.Duration
+	// TargetGap is the target for the longest gap between two events of a stream.
+	TargetGap time.Duration
 	// Priority is the priority of requests; 0 is the most urgent.
 	Priority int
 	Targets  []Target
@@ -113,8 +113,8 @@
 	Name     string
 	Keys     []string
 	Priority int
-	// Ranked says that Priority is set and overrides the route's.
-	Ranked bool
+	// HasPriority says that Priority is set and overrides the route's.
+	HasPriority bool
 }
 
 // Limits bounds the requests of callers. Zero means that the document sets no bound.
@@ -222,8 +222,8 @@
 // Service returns the named service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Restricted reports whether callers need keys. They need none if no organisation has a key.
-func (t *Table) Restricted() bool { return len(t.keys) > 0 }
+// RequiresKeys reports whether callers need keys. They need none if no organisation has a key.
+func (t *Table) RequiresKeys() bool { return len(t.keys) > 0 }
 
-// Caller returns the organisation that holds the key, or nil.
-func (t *Table) Caller(key string) *Organisation { return t.keys[key] }
+// OrganisationOf returns the organisation that holds the key, or nil.
+func (t *Table) OrganisationOf(key string) *Organisation { return t.keys[key] }
--- a/core/routes/routes_test.go
+++ b/core/routes/routes_test.go
@@ -74,8 +74,8 @@
 
 func TestCallers(t *testing.T) {
 	table := requireTable(t, &Document{Version: 1, Organisations: []Organisation{{Name: "o", Keys: []string{"k1", "k2"}}}})
-	require.True(t, table.Restricted())
-	require.Equal(t, "o", table.Caller("k2").Name)
-	require.Nil(t, table.Caller(""))
-	require.False(t, requireTable(t, &Document{Version: 2}).Restricted())
+	require.True(t, table.RequiresKeys())
+	require.Equal(t, "o", table.OrganisationOf("k2").Name)
+	require.Nil(t, table.OrganisationOf(""))
+	require.False(t, requireTable(t, &Document{Version: 2}).RequiresKeys())
 }
--- a/core/spread/ack_tracker.go
+++ b/core/spread/ack_tracker.go
@@ -59,8 +59,8 @@
 	delete(t.missing, node)
 }
 
-// Accepted reports whether every live node has applied the revision.
-func (t *AckTracker) Accepted() bool { return len(t.missing) == 0 }
+// Complete reports whether every live node has applied the revision.
+func (t *AckTracker) Complete() bool { return len(t.missing) == 0 }
 
 // Missing returns the live nodes that have not acknowledged the revision, sorted by name.
 func (t *AckTracker) Missing() []NodeID {
@@ -74,7 +74,7 @@
 
 // tick pushes directly to nodes that have not acknowledged, at most maxRepush in a round.
 func (t *AckTracker) tick(actions []Action, now time.Time) []Action {
-	if t.Accepted() || now.Sub(t.lastPush) < t.interval {
+	if t.Complete() || now.Sub(t.lastPush) < t.interval {
 		return actions
 	}
 	t.lastPush = now
--- a/core/spread/config.go
+++ b/core/spread/config.go
@@ -41,9 +41,9 @@
 	MaxStaleness time.Duration
 	// MaxIsolation is how long a node may serve without contact to the table or a peer.
 	MaxIsolation time.Duration
-	// PauseBound is the largest gap between two events that does not count as a pause of the
+	// MaxPause is the largest gap between two events that does not count as a pause of the
 	// process. Tick must be called at least four times within it.
-	PauseBound time.Duration
+	MaxPause time.Duration
 	// ConfirmPeers is the number of peers whose answers can replace the table's.
 	ConfirmPeers int
 	// RepushInterval is the time after which a writer pushes again to nodes that have not
@@ -70,7 +70,7 @@
 		ContactInterval: 3 * time.Second,
 		MaxStaleness:    2 * time.Second,
 		MaxIsolation:    10 * time.Second,
-		PauseBound:      time.Second,
+		MaxPause:        time.Second,
 		ConfirmPeers:    2,
 		RepushInterval:  500 * time.Millisecond,
 	}
@@ -114,9 +114,9 @@
 	Nodes    []NodeID
 }
 
-// AskPeer asks a node for the changes after After and for the highest revision that it
+// QueryPeer asks a node for the changes after After and for the highest revision that it
 // knows of.
-type AskPeer struct {
+type QueryPeer struct {
 	Node  NodeID
 	After document.Revision
 	Nonce uint64
@@ -140,7 +140,7 @@
 
 func (PushTo) action()         {}
 func (AckTo) action()          {}
-func (AskPeer) action()        {}
+func (QueryPeer) action()      {}
 func (PollTable) action()      {}
 func (Apply) action()          {}
 func (BecomeReady) action()    {}
--- a/core/spread/node.go
+++ b/core/spread/node.go
@@ -71,9 +71,9 @@
 // Revision returns the revision that this node has applied.
 func (n *Node) Revision() document.Revision { return n.applied }
 
-// Highest returns the highest revision that the node knows of. It is piggybacked on every
+// HighestSeen returns the highest revision that the node knows of. It is piggybacked on every
 // message of a link.
-func (n *Node) Highest() document.Revision { return n.highestSeen }
+func (n *Node) HighestSeen() document.Revision { return n.highestSeen }
 
 // Ready reports whether a request may be admitted now.
 //
@@ -81,7 +81,7 @@
 // that resumes after a pause must not admit a request before its next tick, under a
 // configuration that may have been replaced meanwhile.
 func (n *Node) Ready(now time.Time) bool {
-	return n.ready && now.Sub(n.lastEvent) <= n.config.PauseBound
+	return n.ready && now.Sub(n.lastEvent) <= n.config.MaxPause
 }
 
 // SetMembers sets the live nodes. The list may or may not contain this node.
@@ -101,9 +101,9 @@
 	return n.finishEvent(now, nil)
 }
 
-// Heard handles the highest revision that a peer knows of, as received on link traffic.
+// ObserveRevision handles the highest revision that a peer knows of, as received on link traffic.
 // applied is the revision that the peer has applied.
-func (n *Node) Heard(now time.Time, from NodeID, highest, applied document.Revision) []Action {
+func (n *Node) ObserveRevision(now time.Time, from NodeID, highest, applied document.Revision) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
 	n.observeRevision(now, from, highest, applied)
@@ -144,7 +144,7 @@
 	return actions
 }
 
-// Answer is a peer's answer to AskPeer. An answer with the whole state has After 0.
+// Answer is a peer's answer to QueryPeer. An answer with the whole state has After 0.
 type Answer struct {
 	Node            NodeID
 	Nonce           uint64
@@ -153,8 +153,8 @@
 	Highest document.Revision
 }
 
-// Answered handles a peer's answer.
-func (n *Node) Answered(now time.Time, answer Answer) []Action {
+// HandleAnswer handles a peer's answer.
+func (n *Node) HandleAnswer(now time.Time, answer Answer) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
 	n.query.open = n.query.open && answer.Nonce != n.query.nonce
@@ -166,9 +166,9 @@
 	return n.finishEvent(now, actions)
 }
 
-// Answering handles a part of a peer's answer of which more parts will follow. While parts
+// HandlePartialAnswer handles a part of a peer's answer of which more parts will follow. While parts
 // arrive no other peer is queried: a second transfer of the whole state would slow the first.
-func (n *Node) Answering(now time.Time, nonce uint64) []Action {
+func (n *Node) HandlePartialAnswer(now time.Time, nonce uint64) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
 	if n.query.open && nonce == n.query.nonce {
@@ -177,16 +177,16 @@
 	return n.finishEvent(now, nil)
 }
 
-// Poll is the outcome of PollTable. A read of the whole state has After 0.
-type Poll struct {
+// PollResult is the outcome of PollTable. A read of the whole state has After 0.
+type PollResult struct {
 	Nonce           uint64
 	OK              bool
 	After, Revision document.Revision
 }
 
-// Polled handles the outcome of a poll. Revisions that are new to this node are pushed to
+// HandlePoll handles the outcome of a poll. Revisions that are new to this node are pushed to
 // the nodes of its zone.
-func (n *Node) Polled(now time.Time, poll Poll) []Action {
+func (n *Node) HandlePoll(now time.Time, poll PollResult) []Action {
 	n.beginEvent(now)
 	n.polling = false
 	if !poll.OK {
@@ -205,10 +205,10 @@
 	return n.finishEvent(now, actions)
 }
 
-// Written handles a revision that this node wrote to the table and pushes it to all nodes.
-// The changes continue from after, which is at most Revision. InForce then returns the
+// HandleWrite handles a revision that this node wrote to the table and pushes it to all nodes.
+// The changes continue from after, which is at most Revision. Tracker then returns the
 // tracker of the nodes that have applied it.
-func (n *Node) Written(now time.Time, after, revision document.Revision) []Action {
+func (n *Node) HandleWrite(now time.Time, after, revision document.Revision) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
 	n.startTracking(now, after, revision)
@@ -231,7 +231,7 @@
 // beginEvent detects a pause of the process at the first event after it, of any kind:
 // messages that were buffered during the pause are handled before the next tick.
 func (n *Node) beginEvent(now time.Time) {
-	if now.Sub(n.lastEvent) > n.config.PauseBound {
+	if now.Sub(n.lastEvent) > n.config.MaxPause {
 		n.startConfirmation(ReasonPaused)
 	}
 	n.lastEvent = now
@@ -321,7 +321,7 @@
 	}
 	n.nonce++
 	n.query = peerQuery{open: true, nonce: n.nonce, sentAt: now}
-	return append(actions, AskPeer{Node: n.choosePeer(), After: n.applied, Nonce: n.nonce})
+	return append(actions, QueryPeer{Node: n.choosePeer(), After: n.applied, Nonce: n.nonce})
 }
 
 // choosePeer returns the peer known to have the missing changes once, and after that the
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -55,7 +55,7 @@
 
 func (c *cluster) write(root NodeID) document.Revision {
 	c.table++
-	c.perform(root, c.nodes[root].Written(c.now, c.nodes[root].Revision(), c.table))
+	c.perform(root, c.nodes[root].HandleWrite(c.now, c.nodes[root].Revision(), c.table))
 	return c.table
 }
 
@@ -88,19 +88,19 @@
 			c.sent[self] += len(a.Nodes)
 			for _, to := range a.Nodes {
 				push := Push{From: self, Root: a.Root, Zone: a.Zone, After: a.After, Revision: a.Revision}
-				c.send(to, func(n *Node) []Action { return n.Pushed(c.now, push) })
+				c.send(to, func(n *Node) []Action { return n.HandlePush(c.now, push) })
 			}
 		case AckTo:
-			c.send(a.Node, func(n *Node) []Action { return n.Acked(c.now, a.Root, a.Revision, a.Nodes) })
-		case AskPeer:
+			c.send(a.Node, func(n *Node) []Action { return n.HandleAck(c.now, a.Root, a.Revision, a.Nodes) })
+		case QueryPeer:
 			c.send(a.Node, func(peer *Node) []Action {
-				answer := Answer{Node: a.Node, Nonce: a.Nonce, After: min(a.After, peer.Revision()), Revision: peer.Revision(), Highest: peer.Highest()}
-				c.send(self, func(n *Node) []Action { return n.Answered(c.now, answer) })
+				answer := Answer{Node: a.Node, Nonce: a.Nonce, After: min(a.After, peer.Revision()), Revision: peer.Revision(), Highest: peer.HighestSeen()}
+				c.send(self, func(n *Node) []Action { return n.HandleAnswer(c.now, answer) })
 				return nil
 			})
 		case PollTable:
-			poll := Poll{Nonce: a.Nonce, OK: c.tableUp(), After: a.After, Revision: c.table - min(c.table, c.tableLag())}
-			c.send(self, func(n *Node) []Action { return n.Polled(c.now, poll) })
+			poll := PollResult{Nonce: a.Nonce, OK: c.tableUp(), After: a.After, Revision: c.table - min(c.table, c.tableLag())}
+			c.send(self, func(n *Node) []Action { return n.HandlePoll(c.now, poll) })
 		}
 	}
 	if c.nodes[self] == node {
@@ -143,7 +143,7 @@
 		require.LessOrEqual(t, c.sent[id], 8)
 	}
 	c.steps(8)
-	require.True(t, c.nodes["vm-0007"].InForce(revision).Accepted(), c.nodes["vm-0007"].InForce(revision).Missing())
+	require.True(t, c.nodes["vm-0007"].Tracker(revision).Complete(), c.nodes["vm-0007"].Tracker(revision).Missing())
 }
 
 // A node that polled the revision before the push arrived must still relay the push, once.
@@ -155,9 +155,9 @@
 		if len(n.children(push.Root, 1, n.members)) == 0 {
 			continue
 		}
-		n.Polled(c.now, Poll{OK: true, Revision: 1})
-		require.IsType(t, PushTo{}, n.Pushed(c.now, push)[0])
-		require.Empty(t, n.Pushed(c.now, push))
+		n.HandlePoll(c.now, PollResult{OK: true, Revision: 1})
+		require.IsType(t, PushTo{}, n.HandlePush(c.now, push)[0])
+		require.Empty(t, n.HandlePush(c.now, push))
 	}
 }
 
@@ -179,11 +179,11 @@
 	c.drop = func(to NodeID) bool { return to == "vm-0009" }
 	revision := c.write("vm-0001")
 	c.steps(20)
-	tracker := c.nodes["vm-0001"].InForce(revision)
+	tracker := c.nodes["vm-0001"].Tracker(revision)
 	require.Equal(t, []NodeID{"vm-0009"}, tracker.Missing())
 	c.drop = func(NodeID) bool { return false }
 	c.steps(10)
-	require.True(t, tracker.Accepted())
+	require.True(t, tracker.Complete())
 }
 
 // Each case brings a node into a state in which it must not admit requests, and then to
@@ -209,35 +209,35 @@
 		require.True(t, n.Ready(at(600)))
 		require.False(t, n.Ready(at(60_000)), "before any event after the pause")
 		old := n.nonce
-		n.Answered(at(60_000), Answer{Node: "b", Nonce: old, After: 5, Revision: 5})
-		n.Answered(at(60_000), Answer{Node: "c", Nonce: old, After: 5, Revision: 5})
+		n.HandleAnswer(at(60_000), Answer{Node: "b", Nonce: old, After: 5, Revision: 5})
+		n.HandleAnswer(at(60_000), Answer{Node: "c", Nonce: old, After: 5, Revision: 5})
 		require.False(t, n.Ready(at(60_000)), "an answer from before the pause confirms nothing")
-		n.Polled(at(60_100), Poll{Nonce: n.nonce, OK: true, After: 0, Revision: 4})
+		n.HandlePoll(at(60_100), PollResult{Nonce: n.nonce, OK: true, After: 0, Revision: 4})
 		require.False(t, n.Ready(at(60_100)), "a stale read confirms nothing")
-		n.Polled(at(60_200), Poll{Nonce: n.nonce, OK: true, After: 5, Revision: 7})
+		n.HandlePoll(at(60_200), PollResult{Nonce: n.nonce, OK: true, After: 5, Revision: 7})
 		require.True(t, n.Ready(at(60_200)))
 		require.EqualValues(t, 7, n.Revision())
 	})
 	t.Run("start without the table", func(t *testing.T) {
 		n := fresh(false)
 		run(n, 100, 200)
-		n.Answered(at(300), Answer{Node: "b", Nonce: n.nonce, After: 5, Revision: 5, Highest: 6})
-		n.Answered(at(300), Answer{Node: "c", Nonce: n.nonce, After: 5, Revision: 5, Highest: 5})
+		n.HandleAnswer(at(300), Answer{Node: "b", Nonce: n.nonce, After: 5, Revision: 5, Highest: 6})
+		n.HandleAnswer(at(300), Answer{Node: "c", Nonce: n.nonce, After: 5, Revision: 5, Highest: 5})
 		require.False(t, n.Ready(at(300)), "a peer knows of revision 6")
-		n.Answered(at(400), Answer{Node: "c", Nonce: n.nonce, After: 5, Revision: 6, Highest: 6})
+		n.HandleAnswer(at(400), Answer{Node: "c", Nonce: n.nonce, After: 5, Revision: 6, Highest: 6})
 		require.True(t, n.Ready(at(400)))
 	})
 	t.Run("behind", func(t *testing.T) {
 		n := fresh(true)
-		n.Heard(at(0), "b", 6, 6)
+		n.ObserveRevision(at(0), "b", 6, 6)
 		run(n, 100, 1900)
 		require.True(t, n.Ready(at(1900)))
-		n.Heard(at(2000), "b", 6, 6)
+		n.ObserveRevision(at(2000), "b", 6, 6)
 		require.False(t, n.Ready(at(2000)))
-		n.Pushed(at(2100), Push{From: "b", Root: "b", After: 6, Revision: 7})
+		n.HandlePush(at(2100), Push{From: "b", Root: "b", After: 6, Revision: 7})
 		require.False(t, n.Ready(at(2100)), "changes that leave a gap are not applied")
 		require.EqualValues(t, 5, n.Revision())
-		n.Pushed(at(2200), Push{From: "b", Root: "b", After: 5, Revision: 7})
+		n.HandlePush(at(2200), Push{From: "b", Root: "b", After: 5, Revision: 7})
 		require.True(t, n.Ready(at(2200)))
 	})
 	t.Run("cut off", func(t *testing.T) {
@@ -246,7 +246,7 @@
 		require.True(t, n.Ready(at(9900)))
 		run(n, 10_000, 10_000)
 		require.False(t, n.Ready(at(10_000)))
-		n.Heard(at(10_100), "b", 5, 5)
+		n.ObserveRevision(at(10_100), "b", 5, 5)
 		require.True(t, n.Ready(at(10_100)))
 	})
 	t.Run("table outage", func(t *testing.T) {
@@ -265,7 +265,7 @@
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	asks := func(actions []Action) (n int) {
 		for _, action := range actions {
-			if _, ok := action.(AskPeer); ok {
+			if _, ok := action.(QueryPeer); ok {
 				n++
 			}
 		}
@@ -273,15 +273,15 @@
 	}
 	n := New(DefaultConfig(self), at(0), 5, true)
 	n.SetMembers(at(0), peers)
-	require.Equal(t, 1, asks(n.Heard(at(0), "b", 6, 6)))
+	require.Equal(t, 1, asks(n.ObserveRevision(at(0), "b", 6, 6)))
 	nonce, ms := n.nonce, 0
 	for ; ms < 5000; ms += 100 {
-		require.Zero(t, asks(n.Answering(at(ms), nonce)))
+		require.Zero(t, asks(n.HandlePartialAnswer(at(ms), nonce)))
 		require.Zero(t, asks(n.Tick(at(ms))))
 	}
 	stalled := 0
 	for end := ms + int(n.config.AnswerTimeout.Milliseconds()); ms <= end; ms += 100 {
-		stalled += asks(n.Answering(at(ms), nonce-1)) + asks(n.Tick(at(ms)))
+		stalled += asks(n.HandlePartialAnswer(at(ms), nonce-1)) + asks(n.Tick(at(ms)))
 	}
 	require.Equal(t, 1, stalled, "parts of another answer do not keep the query open")
 }
--- a/core/spread/tree.go
+++ b/core/spread/tree.go
@@ -34,9 +34,9 @@
 	After, Revision document.Revision
 }
 
-// Pushed handles a push. The node relays it even if it already has the revision, because
+// HandlePush handles a push. The node relays it even if it already has the revision, because
 // the nodes below it in the tree may not, but only once for each root and revision.
-func (n *Node) Pushed(now time.Time, push Push) []Action {
+func (n *Node) HandlePush(now time.Time, push Push) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
 	actions := n.applyChanges(now, nil, push.After, push.Revision)
@@ -55,8 +55,8 @@
 	return n.finishEvent(now, actions)
 }
 
-// Acked handles acknowledgements from nodes below in the tree.
-func (n *Node) Acked(now time.Time, root NodeID, revision document.Revision, nodes []NodeID) []Action {
+// HandleAck handles acknowledgements from nodes below in the tree.
+func (n *Node) HandleAck(now time.Time, root NodeID, revision document.Revision, nodes []NodeID) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
 	if root == n.config.Self.ID {
@@ -173,9 +173,9 @@
 	n.trackers = append(n.trackers, newAckTracker(n.config, now, after, revision, n.peers))
 }
 
-// InForce returns the tracker of a revision that this node wrote. It returns nil if there is
+// Tracker returns the tracker of a revision that this node wrote. It returns nil if there is
 // none or if maxTrackers later writes have replaced it.
-func (n *Node) InForce(revision document.Revision) *AckTracker {
+func (n *Node) Tracker(revision document.Revision) *AckTracker {
 	for _, tracker := range n.trackers {
 		if tracker.revision == revision {
 			return tracker
--- a/entry/capacity/control_test.go
+++ b/entry/capacity/control_test.go
@@ -116,7 +116,7 @@
 	for _, vm := range vms {
 		list = append(list, membership.VM{ID: membership.ID(vm.ID), Zone: vm.Zone, Link: vm.Link, Service: vm.Service})
 	}
-	view.Listed(now, list)
+	view.HandleList(now, list)
 	return view
 }
 
@@ -159,7 +159,7 @@
 	now := time.Unix(1_000, 0)
 	view := members(now, vms)
 	for _, vm := range vms[:failed] {
-		view.Silent(now, membership.ID(vm.ID), now)
+		view.HandleTimeout(now, membership.ID(vm.ID), now)
 	}
 	for i := range 900 {
 		now = now.Add(tick)
@@ -168,7 +168,7 @@
 			if !ok {
 				continue
 			}
-			view.Silent(now, probe.VM.ID, now)
+			view.HandleTimeout(now, probe.VM.ID, now)
 			switch {
 			case i < 20:
 				first++
--- a/entry/capacity/platform_test.go
+++ b/entry/capacity/platform_test.go
@@ -23,7 +23,7 @@
 		switch action := m.Next(reading); action.Kind {
 		case lease.Read:
 			l.reads++
-			m.RowRead(reading, l.row)
+			m.HandleRow(reading, l.row)
 		case lease.Write:
 			l.write(m, reading, action.Write)
 		default:
@@ -32,14 +32,14 @@
 	}
 }
 
-func (l *leasing) write(m *lease.Machine, now lease.Reading, order lease.WriteOrder) {
+func (l *leasing) write(m *lease.Machine, now lease.Reading, order lease.ConditionalWrite) {
 	l.writes++
 	if order.IfVersion != l.row.Version {
-		m.Written(now, lease.Conflict, 0)
+		m.HandleWrite(now, lease.Conflict, 0)
 		return
 	}
 	l.row = lease.Row{Version: l.row.Version + 1, Token: order.Token, Record: order.Record}
-	m.Written(now, lease.Applied, l.row.Version)
+	m.HandleWrite(now, lease.Applied, l.row.Version)
 }
 
 // BenchmarkCapacityLease reports the reads and writes that one lease costs the table a
--- a/entry/capacity/spread_test.go
+++ b/entry/capacity/spread_test.go
@@ -107,13 +107,15 @@
 			s.push(from, a)
 		case spread.AckTo:
 			s.send(from, a.Node, &link.ConfigAck{Root: string(a.Root), Revision: uint64(a.Revision), Nodes: names(a.Nodes)},
-				func(n *spread.Node, now time.Time) []spread.Action { return n.Acked(now, a.Root, a.Revision, a.Nodes) })
-		case spread.AskPeer:
+				func(n *spread.Node, now time.Time) []spread.Action {
+					return n.HandleAck(now, a.Root, a.Revision, a.Nodes)
+				})
+		case spread.QueryPeer:
 			s.ask(from, a)
 		case spread.PollTable:
 			s.polls++
 			s.later(linkDelay, func(now time.Time) {
-				s.do(from, s.nodes[from].Polled(now, spread.Poll{Nonce: a.Nonce, OK: true, After: a.After, Revision: s.table}))
+				s.do(from, s.nodes[from].HandlePoll(now, spread.PollResult{Nonce: a.Nonce, OK: true, After: a.After, Revision: s.table}))
 			})
 		}
 	}
@@ -131,18 +133,18 @@
 	message := &link.ConfigPush{Root: string(a.Root), Zone: a.Zone, After: uint64(a.After), Revision: uint64(a.Revision), Changes: s.changes}
 	push := spread.Push{From: from, Root: a.Root, Zone: a.Zone, After: a.After, Revision: a.Revision}
 	for _, to := range a.Nodes {
-		s.send(from, to, message, func(n *spread.Node, now time.Time) []spread.Action { return n.Pushed(now, push) })
+		s.send(from, to, message, func(n *spread.Node, now time.Time) []spread.Action { return n.HandlePush(now, push) })
 	}
 }
 
 // ask sends a question and its answer, which goes back on the link of the question.
-func (s *spreading) ask(from spread.NodeID, a spread.AskPeer) {
+func (s *spreading) ask(from spread.NodeID, a spread.QueryPeer) {
 	s.send(from, a.Node, &link.ConfigAsk{After: uint64(a.After), Nonce: a.Nonce}, func(n *spread.Node, _ time.Time) []spread.Action {
-		answer := spread.Answer{Node: a.Node, Nonce: a.Nonce, After: a.After, Revision: n.Revision(), Highest: n.Highest()}
+		answer := spread.Answer{Node: a.Node, Nonce: a.Nonce, After: a.After, Revision: n.Revision(), Highest: n.HighestSeen()}
 		message := &link.ConfigAnswer{Nonce: a.Nonce, After: uint64(a.After), Revision: uint64(answer.Revision), Highest: uint64(answer.Highest), Parts: 1}
 		s.messages++
 		s.bytes += frameBytes(s.t, message)
-		s.later(linkDelay, func(now time.Time) { s.do(from, s.nodes[from].Answered(now, answer)) })
+		s.later(linkDelay, func(now time.Time) { s.do(from, s.nodes[from].HandleAnswer(now, answer)) })
 		return nil
 	})
 }
@@ -175,7 +177,7 @@
 	root := s.members[0].ID
 	s.table++
 	revision := s.table
-	s.do(root, s.nodes[root].Written(s.now, revision-1, revision))
+	s.do(root, s.nodes[root].HandleWrite(s.now, revision-1, revision))
 	inForce = s.run(settle, func() bool {
 		for _, node := range s.nodes {
 			if node.Revision() < revision {
@@ -184,7 +186,7 @@
 		}
 		return true
 	})
-	known = inForce + s.run(settle, s.nodes[root].InForce(revision).Accepted)
+	known = inForce + s.run(settle, s.nodes[root].Tracker(revision).Complete)
 	return inForce, known
 }
 
--- a/entry/config/actions.go
+++ b/entry/config/actions.go
@@ -22,7 +22,7 @@
 		case spread.AckTo:
 			message := &link.ConfigAck{Root: string(a.Root), Revision: uint64(a.Revision), Nodes: names(a.Nodes)}
 			sends = append(sends, m.sending(a.Node, message))
-		case spread.AskPeer:
+		case spread.QueryPeer:
 			message := &link.ConfigAsk{After: uint64(a.After), Nonce: a.Nonce}
 			sends = append(sends, m.sending(a.Node, message))
 		case spread.PollTable:
@@ -80,28 +80,28 @@
 func (m *Manager) poll(ctx context.Context, a spread.PollTable) {
 	u, outcome := m.readTable(ctx, a.After)
 	outcome.Nonce = a.Nonce
-	report := func(now time.Time) []spread.Action { return m.node.Polled(now, outcome) }
+	report := func(now time.Time) []spread.Action { return m.node.HandlePoll(now, outcome) }
 	if !m.event(ctx, u, report) {
-		outcome = spread.Poll{Nonce: a.Nonce}
+		outcome = spread.PollResult{Nonce: a.Nonce}
 		m.event(ctx, nil, report)
 	}
 }
 
-func (m *Manager) readTable(ctx context.Context, after document.Revision) (*update, spread.Poll) {
+func (m *Manager) readTable(ctx context.Context, after document.Revision) (*update, spread.PollResult) {
 	changes, err := m.readChanges(ctx, after)
 	if err == nil {
 		revision := after
 		if len(changes) > 0 {
 			revision = changes[len(changes)-1].Revision
 		}
-		return &update{changes: changes}, spread.Poll{OK: true, After: after, Revision: revision}
+		return &update{changes: changes}, spread.PollResult{OK: true, After: after, Revision: revision}
 	}
 	if !errors.Is(err, documents.ErrCompacted) {
 		m.log.Warn().Err(err).Msg("the table could not be read; the revision in force stands")
-		return nil, spread.Poll{}
+		return nil, spread.PollResult{}
 	}
 	if !m.loading.CompareAndSwap(false, true) {
-		return nil, spread.Poll{} // A second load would slow the first.
+		return nil, spread.PollResult{} // A second load would slow the first.
 	}
 	defer m.loading.Store(false)
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
@@ -109,9 +109,9 @@
 	whole, err := m.config.Store.Load(ctx)
 	if err != nil {
 		m.log.Warn().Err(err).Msg("the documents could not be loaded; the revision in force stands")
-		return nil, spread.Poll{}
+		return nil, spread.PollResult{}
 	}
-	return &update{whole: whole}, spread.Poll{OK: true, Revision: whole.Revision()}
+	return &update{whole: whole}, spread.PollResult{OK: true, Revision: whole.Revision()}
 }
 
 func (m *Manager) readChanges(ctx context.Context, after document.Revision) ([]documents.Change, error) {
@@ -137,7 +137,7 @@
 	if !outcome.OK {
 		return table.ErrUnavailable
 	}
-	m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.Polled(now, outcome) })
+	m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.HandlePoll(now, outcome) })
 	return nil
 }
 
@@ -157,12 +157,12 @@
 	changes, err := m.config.Store.Changes(ctx, before)
 	if err != nil || len(changes) == 0 {
 		m.log.Warn().Err(err).Msg("the changes just written could not be read back; pollers will find them")
-		m.event(ctx, nil, func(now time.Time) []spread.Action { return m.node.Heard(now, "", revision, 0) })
+		m.event(ctx, nil, func(now time.Time) []spread.Action { return m.node.ObserveRevision(now, "", revision, 0) })
 		return
 	}
 	last := changes[len(changes)-1].Revision
 	m.event(ctx, &update{changes: changes}, func(now time.Time) []spread.Action {
-		return m.node.Written(now, before, last)
+		return m.node.HandleWrite(now, before, last)
 	})
 }
 
@@ -171,10 +171,10 @@
 // asks all of them first.
 func (m *Manager) Missing(ctx context.Context, revision document.Revision) []string {
 	m.event(ctx, nil, func(now time.Time) []spread.Action {
-		if m.node.InForce(revision) != nil || m.node.Revision() < revision {
+		if m.node.Tracker(revision) != nil || m.node.Revision() < revision {
 			return nil
 		}
-		return m.node.Written(now, revision, revision)
+		return m.node.HandleWrite(now, revision, revision)
 	})
 	for {
 		m.mu.Lock()
@@ -182,10 +182,10 @@
 			m.mu.Unlock()
 			return []string{string(m.config.Self.ID)}
 		}
-		tracker := m.node.InForce(revision)
+		tracker := m.node.Tracker(revision)
 		changed := m.waiting
 		var missing []string
-		if tracker != nil && !tracker.Accepted() {
+		if tracker != nil && !tracker.Complete() {
 			missing = names(tracker.Missing())
 		}
 		m.mu.Unlock()
--- a/entry/config/manager.go
+++ b/entry/config/manager.go
@@ -86,7 +86,7 @@
 // lock: it is on the path of each request.
 func (m *Manager) Ready() bool {
 	quiet := time.Since(m.started) - time.Duration(m.lastEvent.Load())
-	return m.ready.Load() && quiet <= spread.DefaultConfig(m.config.Self).PauseBound
+	return m.ready.Load() && quiet <= spread.DefaultConfig(m.config.Self).MaxPause
 }
 
 // Run keeps the state up to date until ctx ends.
--- a/entry/config/messages.go
+++ b/entry/config/messages.go
@@ -45,11 +45,13 @@
 	changes, err := decodeChanges(a.Changes)
 	u := &update{changes: changes}
 	usable := len(changes) > 0 || push.After == push.Revision
-	if err == nil && usable && m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.Pushed(now, push) }) {
+	if err == nil && usable && m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.HandlePush(now, push) }) {
 		return
 	}
 	// Without usable changes the push still tells that the revision exists.
-	m.event(ctx, nil, func(now time.Time) []spread.Action { return m.node.Heard(now, from, push.Revision, push.Revision) })
+	m.event(ctx, nil, func(now time.Time) []spread.Action {
+		return m.node.ObserveRevision(now, from, push.Revision, push.Revision)
+	})
 }
 
 func decodeChanges(data []byte) ([]documents.Change, error) {
@@ -67,7 +69,7 @@
 		nodes = append(nodes, spread.NodeID(node))
 	}
 	m.event(ctx, nil, func(now time.Time) []spread.Action {
-		return m.node.Acked(now, spread.NodeID(a.Root), document.Revision(a.Revision), nodes)
+		return m.node.HandleAck(now, spread.NodeID(a.Root), document.Revision(a.Revision), nodes)
 	})
 }
 
@@ -78,7 +80,7 @@
 		return
 	}
 	m.event(context.Background(), nil, func(now time.Time) []spread.Action {
-		return m.node.Heard(now, spread.NodeID(from), document.Revision(highest), 0)
+		return m.node.ObserveRevision(now, spread.NodeID(from), document.Revision(highest), 0)
 	})
 }
 
@@ -97,7 +99,7 @@
 		Nonce:    a.Nonce,
 		After:    a.After,
 		Revision: uint64(state.Revision()),
-		Highest:  uint64(m.node.Highest()),
+		Highest:  uint64(m.node.HighestSeen()),
 		Parts:    1,
 	}
 	current := a.After == answer.Revision
@@ -146,7 +148,7 @@
 	case a.Parts > 1 || a.After == 0 && len(a.Changes) > 0:
 		data := m.assemble(a)
 		if data == nil {
-			m.event(ctx, nil, func(now time.Time) []spread.Action { return m.node.Answering(now, a.Nonce) })
+			m.event(ctx, nil, func(now time.Time) []spread.Action { return m.node.HandlePartialAnswer(now, a.Nonce) })
 			return
 		}
 		if m.hand(a.Nonce, data) {
@@ -173,7 +175,7 @@
 		Revision: document.Revision(a.Revision),
 		Highest:  document.Revision(a.Highest),
 	}
-	m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.Answered(now, answer) })
+	m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.HandleAnswer(now, answer) })
 }
 
 // assemble adds a part; it returns the whole data once all parts are there.
--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -106,7 +106,7 @@
 // New returns a Keeper; Run starts it.
 func New(config Config) *Keeper {
 	if config.Role == nil {
-		config.Role = func() follow.Role { return follow.Alone }
+		config.Role = func() follow.Role { return follow.Standalone }
 	}
 	if config.Tell == nil {
 		config.Tell = func(*link.News) {}
@@ -250,7 +250,7 @@
 	return told
 }
 
-func (k *Keeper) readRoutes(ctx context.Context, after follow.Place, wait time.Duration) (*link.News, error) {
+func (k *Keeper) readRoutes(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error) {
 	got, err := k.config.Source.Routes(ctx, uint64(after), wait)
 	return &link.News{To: got.Cursor, Routes: got.Value}, err
 }
@@ -259,7 +259,7 @@
 	return len(news.Routes) == 0 || k.offer(offer{news.Routes, from, now})
 }
 
-func (k *Keeper) readUpstreams(ctx context.Context, after follow.Place, wait time.Duration) (*link.News, error) {
+func (k *Keeper) readUpstreams(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error) {
 	got, err := k.config.Source.Upstreams(ctx, uint64(after), wait)
 	if err == nil {
 		k.tellFaults(time.Now(), got.Faults)
--- a/entry/directory/feed.go
+++ b/entry/directory/feed.go
@@ -32,7 +32,7 @@
 	config *Config
 	log    zerolog.Logger
 	// read reads what came after a place, or everything after zero.
-	read func(ctx context.Context, after follow.Place, wait time.Duration) (*link.News, error)
+	read func(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error)
 	// apply puts news in force; it reports false where they could not be taken up.
 	apply func(now time.Time, news *link.News, from origin) bool
 	// outgoing returns news as they are passed on, inForce the version of the content in force, which
@@ -54,7 +54,7 @@
 	lost time.Time
 }
 
-func (k *Keeper) newFeed(name link.Feed, read func(context.Context, follow.Place, time.Duration) (*link.News, error),
+func (k *Keeper) newFeed(name link.Feed, read func(context.Context, follow.Position, time.Duration) (*link.News, error),
 	apply func(time.Time, *link.News, origin) bool,
 ) *feed {
 	return &feed{
@@ -103,7 +103,7 @@
 	now := time.Now()
 	f.mu.Lock()
 	f.settle()
-	until, ok := f.state.Listens(now, role)
+	until, ok := f.state.CanListen(now, role)
 	f.mu.Unlock()
 	f.tellListening(ok, role)
 	if !ok {
@@ -122,7 +122,7 @@
 // settle notes what has come into force on another way than the feed. It is called with mu held.
 func (f *feed) settle() {
 	if f.inForce != nil {
-		f.state.InForce(f.inForce())
+		f.state.ContentApplied(f.inForce())
 	}
 }
 
@@ -133,7 +133,7 @@
 	if listening {
 		f.log.Info().Msg("listening to the entries that follow the feed")
 	} else {
-		f.log.Info().Bool("listener", role == follow.Listens).Msg("reading the feed: no follower is heard, or news were missed")
+		f.log.Info().Bool("listener", role == follow.Listener).Msg("reading the feed: no follower is heard, or news were missed")
 	}
 }
 
@@ -141,13 +141,13 @@
 // were news. paused is the time since the last read.
 func (f *feed) readOnce(ctx context.Context, role follow.Role, paused time.Duration) (bool, error) {
 	wait := f.config.Wait
-	if role != follow.Alone {
+	if role != follow.Standalone {
 		// The pause is a part of the time in which others hear nothing.
-		wait = min(wait, follow.ListenedWait-paused)
+		wait = min(wait, follow.FollowerReadWait-paused)
 	}
 	f.mu.Lock()
 	f.settle()
-	from := f.state.Place()
+	from := f.state.Position()
 	f.mu.Unlock()
 	began := time.Now()
 	news, err := f.read(ctx, from, wait)
@@ -162,11 +162,11 @@
 		f.lost = time.Time{}
 	}
 	f.mu.Lock()
-	if f.state.Read(follow.Place(news.To)) && !f.apply(time.Now(), news, fromStore) {
-		f.state.Miss()
+	if f.state.Read(follow.Position(news.To)) && !f.apply(time.Now(), news, fromStore) {
+		f.state.Revert()
 	}
 	f.mu.Unlock()
-	if role == follow.Follows {
+	if role == follow.Follower {
 		f.config.Tell(f.outgoing(news))
 	}
 	return news.To != news.From, nil
@@ -185,8 +185,8 @@
 func (f *feed) failed(role follow.Role, err error) {
 	if errors.Is(err, table.ErrHistoryGone) {
 		f.mu.Lock()
-		f.log.Warn().Uint64("after", uint64(f.state.Place())).Msg("the store has dropped its history; reading all")
-		f.state.Restart()
+		f.log.Warn().Uint64("after", uint64(f.state.Position())).Msg("the store has dropped its history; reading all")
+		f.state.Reset()
 		f.mu.Unlock()
 		return
 	}
@@ -195,7 +195,7 @@
 	}
 	f.log.Warn().Err(err).Msg("store lost; going on with what is known")
 	f.lost = time.Now()
-	if role == follow.Follows {
+	if role == follow.Follower {
 		f.config.Tell(&link.News{Feed: f.name, Lost: true})
 	}
 }
@@ -205,28 +205,28 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if news.Lost {
-		f.state.Lost(follower)
+		f.state.DropFollower(follower)
 		f.wake()
 		return
 	}
-	fresh := f.state.Heard(now, follower, follow.Place(news.From), follow.Place(news.To))
+	fresh := f.state.HandleUpdate(now, follower, follow.Position(news.From), follow.Position(news.To))
 	version := news.OmittedVersion()
 	switch {
 	case !fresh:
 	case version > 0 && f.inForce != nil:
-		f.state.Expect(now, version)
+		f.state.ExpectContent(now, version)
 		f.settle()
 	case news.Omitted || !f.apply(now, news, fromEntry):
-		f.state.Miss()
+		f.state.Revert()
 	}
-	if f.state.Behind() || version > 0 {
+	if f.state.MissedUpdate() || version > 0 {
 		f.wake()
 	}
 }
 
 func (f *feed) gone(entry string) {
 	f.mu.Lock()
-	f.state.Lost(entry)
+	f.state.DropFollower(entry)
 	f.mu.Unlock()
 	f.wake()
 }
--- a/entry/directory/feed_test.go
+++ b/entry/directory/feed_test.go
@@ -67,7 +67,7 @@
 }
 
 func TestFollowerPassesOnWhatItReads(t *testing.T) {
-	inRole(t, follow.Follows, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
+	inRole(t, follow.Follower, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
 		time.Sleep(settle)
 		s.routes <- answer{version: 2, cursor: 12}
 		require.Equal(t, uint64(2), version(k))
@@ -87,17 +87,17 @@
 // Symptom: listeners read by themselves every other second. Cause: a calm feed says nothing for
 // longer than they rely on silence.
 func TestFollowerSpeaksWhileNothingChanges(t *testing.T) {
-	inRole(t, follow.Follows, func(t *testing.T, _ *Keeper, _ *source, _ *upstreams, told *told) {
+	inRole(t, follow.Follower, func(t *testing.T, _ *Keeper, _ *source, _ *upstreams, told *told) {
 		before := len(told.all())
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		feeds := 2
-		require.GreaterOrEqual(t, len(told.all())-before, feeds*int(10*time.Second/follow.OverdueAfter))
+		require.GreaterOrEqual(t, len(told.all())-before, feeds*int(10*time.Second/follow.FollowerTimeout))
 	})
 }
 
 func TestFollowerTellsThatItHasLostTheStore(t *testing.T) {
-	inRole(t, follow.Follows, func(t *testing.T, _ *Keeper, s *source, _ *upstreams, told *told) {
+	inRole(t, follow.Follower, func(t *testing.T, _ *Keeper, s *source, _ *upstreams, told *told) {
 		time.Sleep(settle)
 		s.routes <- answer{err: table.ErrUnavailable}
 		s.routes <- answer{err: table.ErrUnavailable}
@@ -128,7 +128,7 @@
 }
 
 func TestListenerReadsNothingAndHearsOfChanges(t *testing.T) {
-	inRole(t, follow.Listens, func(t *testing.T, k *Keeper, s *source, u *upstreams, _ *told) {
+	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, u *upstreams, _ *told) {
 		listen(k, t)
 		calls := len(s.calls())
 		place := uint64(10)
@@ -137,7 +137,7 @@
 			place += 5
 			k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: uint64(n - 1), To: uint64(n), Changes: make([]dispatch.Change, 1)})
 			require.Equal(t, uint64(n), version(k))
-			time.Sleep(follow.ListenedWait)
+			time.Sleep(follow.FollowerReadWait)
 		}
 		require.Len(t, s.calls(), calls, "the store is not asked")
 		require.GreaterOrEqual(t, u.applied, 10)
@@ -147,12 +147,12 @@
 // Symptom: an entry goes on by an old configuration. Sequence: its follower freezes; the
 // configuration changes. Cause: it relied on who said nothing.
 func TestListenerReadsWhenNobodyIsHeard(t *testing.T) {
-	inRole(t, follow.Listens, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
+	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
 		listen(k, t)
 		silent := time.Now()
 		s.routes <- answer{version: 7, cursor: 30}
 		require.Equal(t, uint64(7), version(k))
-		require.LessOrEqual(t, time.Since(silent), follow.OverdueAfter)
+		require.LessOrEqual(t, time.Since(silent), follow.FollowerTimeout)
 		require.Equal(t, uint64(10), s.calls()[len(s.calls())-1], "from where it stood")
 	})
 }
@@ -167,7 +167,7 @@
 		"a word was missed":            func(k *Keeper) { k.Heard("a", routesNews(15, 20, 0)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inRole(t, follow.Listens, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
+			inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
 				listen(k, t)
 				began := time.Now()
 				event(k)
@@ -184,7 +184,7 @@
 // away, registrations lapsed, and a listener hears of their removal from its follower. Cause: only
 // who had lost the store itself doubted what vanishes just then.
 func TestListenerDoubtsWhatVanishesAtTheStoresReturn(t *testing.T) {
-	inRole(t, follow.Listens, func(t *testing.T, k *Keeper, _ *source, u *upstreams, _ *told) {
+	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, _ *source, u *upstreams, _ *told) {
 		listen(k, t)
 		before := u.lost
 		k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 9, Returned: true, Changes: make([]dispatch.Change, 1)})
@@ -195,7 +195,7 @@
 // Symptom: an entry goes on by an old configuration until the next change. Sequence: tables come
 // faster than they are decoded; one is dropped. Cause: the feed went on behind it.
 func TestDroppedRoutesAreReadAgain(t *testing.T) {
-	inRole(t, follow.Alone, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
+	inRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
 		synctest.Wait()
 		free := k.routes.apply
 		k.routes.mu.Lock()
@@ -214,9 +214,9 @@
 }
 
 func TestListenerFollowsWhenItIsChosen(t *testing.T) {
-	inRole(t, follow.Listens, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
+	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
 		listen(k, t)
-		told.role.Store(uint32(follow.Follows))
+		told.role.Store(uint32(follow.Follower))
 		k.Gone("a")
 		s.routes <- answer{version: 3, cursor: 30}
 		require.Equal(t, uint64(3), version(k))
@@ -253,16 +253,16 @@
 
 // Guards against all entries reading a large table from the store that few need to read.
 func TestListenerLeavesLargeRoutesToOthers(t *testing.T) {
-	inRole(t, follow.Listens, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
+	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
 		listen(k, t)
 		calls := len(s.calls())
 		k.Heard("a", omitted(10, 20, 7))
-		time.Sleep(follow.ExpectFor - time.Millisecond)
+		time.Sleep(follow.ContentTimeout - time.Millisecond)
 		require.True(t, k.Offer([]byte("7")))
 		require.Equal(t, uint64(7), version(k))
 		k.Heard("a", routesNews(20, 30, 8))
 		require.Equal(t, uint64(8), version(k))
-		time.Sleep(follow.ExpectFor)
+		time.Sleep(follow.ContentTimeout)
 		synctest.Wait()
 		require.Len(t, s.calls(), calls)
 	})
@@ -276,17 +276,17 @@
 		"and a newer one is told":  func(k *Keeper, _ *told) { k.Heard("a", omitted(20, 25, 9)) },
 		"and an older one comes":   func(k *Keeper, _ *told) { k.Offer([]byte("6")) },
 		"and followers are silent": func(k *Keeper, _ *told) { k.Gone("a") },
-		"and it is chosen to read": func(k *Keeper, told *told) { told.role.Store(uint32(follow.Follows)); k.Gone("a") },
+		"and it is chosen to read": func(k *Keeper, told *told) { told.role.Store(uint32(follow.Follower)); k.Gone("a") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inRole(t, follow.Listens, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
+			inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
 				listen(k, t)
 				k.Heard("a", omitted(10, 20, 7))
 				began := time.Now()
 				then(k, told)
 				s.routes <- answer{version: 9, cursor: 30}
 				require.Equal(t, uint64(9), version(k))
-				require.LessOrEqual(t, time.Since(began), follow.ExpectFor)
+				require.LessOrEqual(t, time.Since(began), follow.ContentTimeout)
 				require.Equal(t, uint64(10), s.calls()[len(s.calls())-1], "from before the change")
 			})
 		})
@@ -295,7 +295,7 @@
 
 // Guards against a large table being decoded as often as it is offered.
 func TestTableInForceIsNotDecodedAgain(t *testing.T) {
-	inRole(t, follow.Alone, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
+	inRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
 		k.Offer([]byte("5"))
 		require.Equal(t, uint64(5), version(k))
 		decoded := s.decoded.Load()
--- a/entry/fleet/evidence.go
+++ b/entry/fleet/evidence.go
@@ -68,7 +68,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer := c.Peer()
-	v.apply(v.members.Left(time.Now(), membership.ID(peer.VM), peer.Incarnation))
+	v.apply(v.members.HandleLeaving(time.Now(), membership.ID(peer.VM), peer.Incarnation))
 }
 
 // Replied records a sign of life. It counts from when its bytes came: were it dated later,
@@ -77,13 +77,13 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer := c.Peer()
-	v.apply(v.members.Replied(c.Heard(), membership.ID(peer.VM), peer.Incarnation))
+	v.apply(v.members.HandleReply(c.Heard(), membership.ID(peer.VM), peer.Incarnation))
 }
 
 func (v *View) silent(vm string, sent time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.apply(v.members.Silent(time.Now(), membership.ID(vm), sent))
+	v.apply(v.members.HandleTimeout(time.Now(), membership.ID(vm), sent))
 }
 
 // failed turns a failed connection into evidence. Only a refusal proves that nothing
@@ -95,7 +95,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.apply(v.members.Refused(time.Now(), membership.ID(vm)))
+	v.apply(v.members.HandleRefusal(time.Now(), membership.ID(vm)))
 }
 
 // probe looks for a sign of life over a link of its own if there is none.
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -85,8 +85,8 @@
 			Leaving: vm.Leaving,
 		})
 	}
-	v.apply(v.members.Listed(now, list))
-	if v.members.Doubted() {
+	v.apply(v.members.HandleList(now, list))
+	if v.members.ListRejected() {
 		v.log.Warn().Int("listed", len(list)).Msg("the list of VMs lacks most of the fleet and is doubted")
 	}
 }
@@ -120,17 +120,17 @@
 func (v *View) apply(actions []membership.Action) {
 	for _, action := range actions {
 		switch m := action.(type) {
-		case membership.Changed:
+		case membership.StateChanged:
 			v.setState(m)
 		case membership.Probe:
 			go v.probe(string(m.VM.ID), m.VM.Link)
-		case membership.Forgotten:
+		case membership.Removed:
 			v.forget(string(m.ID))
 		}
 	}
 }
 
-func (v *View) setState(m membership.Changed) {
+func (v *View) setState(m membership.StateChanged) {
 	id := string(m.VM.ID)
 	v.log.Info().Str("peer", id).Int("state", int(m.State)).Str("reason", string(m.Reason)).Msg("member changed")
 	if a := v.agents[id]; a != nil {
@@ -209,7 +209,7 @@
 		a.group.finished(report.Agent, true)
 	}
 	if report.Leaving {
-		v.apply(v.members.Left(time.Now(), membership.ID(report.Agent), report.Incarnation))
+		v.apply(v.members.HandleLeaving(time.Now(), membership.ID(report.Agent), report.Incarnation))
 	}
 }
 
@@ -258,7 +258,7 @@
 	incarnation := c.Peer().Incarnation
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.apply(v.members.Replied(c.Heard(), membership.ID(vm), incarnation))
+	v.apply(v.members.HandleReply(c.Heard(), membership.ID(vm), incarnation))
 	a := v.agents[vm]
 	if a == nil {
 		return
--- a/entry/flight/crash.go
+++ b/entry/flight/crash.go
@@ -27,7 +27,7 @@
 func (r *Registry) SetQuarantine(q Quarantine) { r.quarantine = q }
 
 // verdictAfter is the time from a crash to a verdict on the requests that were in hand.
-const verdictAfter = corequarantine.Settle + 50*time.Millisecond
+const verdictAfter = corequarantine.VerdictDelay + 50*time.Millisecond
 
 // heldBack returns the refusal of a request that is held back. One under which an upstream has just
 // crashed waits for the verdict, if one more crash is enough for it.
--- a/entry/gateway/admit.go
+++ b/entry/gateway/admit.go
@@ -32,10 +32,10 @@
 }
 
 func (e *exchange) authorize(table *routes.Table) *result.Error {
-	if e.route.Anonymous || !table.Restricted() {
+	if e.route.Anonymous || !table.RequiresKeys() {
 		return nil
 	}
-	e.caller = table.Caller(e.meta.Key)
+	e.caller = table.OrganisationOf(e.meta.Key)
 	if e.caller == nil {
 		return fault(result.BadKey, result.NotRun, "the key belongs to no organisation")
 	}
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -154,8 +154,8 @@
 		Service:      e.service.Name,
 		PromptTokens: e.meta.PromptTokens,
 		OutputTokens: e.meta.OutputTokens,
-		Aim:          e.route.Aim - waited,
-		GapAim:       e.route.GapAim,
+		Aim:          e.route.TargetLatency - waited,
+		GapAim:       e.route.TargetGap,
 		Left:         e.deadline.Sub(now),
 		Patience:     patience(e.route) - waited,
 		Rank:         e.rank(),
@@ -168,7 +168,7 @@
 
 // rank is the request's priority: its organisation's where that has one, else its route's.
 func (e *exchange) rank() int {
-	if e.caller != nil && e.caller.Ranked {
+	if e.caller != nil && e.caller.HasPriority {
 		return e.caller.Priority
 	}
 	return e.route.Priority
@@ -185,7 +185,7 @@
 
 // patience returns how long callers of a route wait for a first event.
 func patience(route *routes.Route) time.Duration {
-	return max(patienceLeast, patienceAims*route.Aim, patienceGaps*route.GapAim)
+	return max(patienceLeast, patienceAims*route.TargetLatency, patienceGaps*route.TargetGap)
 }
 
 // awaitTurn waits until the request's turn may have come, or its caller is gone.
--- a/entry/gateway/heldback.go
+++ b/entry/gateway/heldback.go
@@ -61,7 +61,7 @@
 }
 
 // verdictAfter is the time from a broken answer to a verdict on the requests that were in hand.
-const verdictAfter = confirmAfter + corequarantine.Settle + 50*time.Millisecond
+const verdictAfter = confirmAfter + corequarantine.VerdictDelay + 50*time.Millisecond
 
 // awaitVerdict waits, before a request is sent again whose answer has just broken off, until it is
 // known whether an upstream has crashed under it: if one more crash would have it held back, that
--- a/entry/gateway/metrics.go
+++ b/entry/gateway/metrics.go
@@ -94,7 +94,7 @@
 	m.requests.WithLabelValues(kind, result.Lookup(code).Name, string(execution)).Inc()
 	m.seconds.WithLabelValues(kind).Observe(took.Seconds())
 	if !e.first.IsZero() {
-		aim := strconv.FormatInt(e.route.Aim.Milliseconds(), 10)
+		aim := strconv.FormatInt(e.route.TargetLatency.Milliseconds(), 10)
 		m.first.WithLabelValues(aim).Observe(e.first.Sub(e.arrived).Seconds())
 	}
 }
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -97,7 +97,7 @@
 		Settings: s.Quarantine.Ledger(),
 		Store:    peer.Store,
 		Table:    peer.Quarantine,
-		Unlinked: func() bool { return n.Peers.Unlinked() && n.Peers.Role() != follow.Listens },
+		Unlinked: func() bool { return n.Peers.Unlinked() && n.Peers.Role() != follow.Listener },
 		Log:      log,
 	})
 	n.Peers = share.New(share.Config{
--- a/entry/gateway/stall.go
+++ b/entry/gateway/stall.go
@@ -37,9 +37,9 @@
 	case !e.route.Repeatable() || !e.mayRetry():
 		return 0
 	case e.route.Kind == routes.Streaming:
-		return stallGaps * e.route.GapAim
+		return stallGaps * e.route.TargetGap
 	default:
-		return stallAims * e.route.Aim
+		return stallAims * e.route.TargetLatency
 	}
 }
 
--- a/entry/gateway/trail.go
+++ b/entry/gateway/trail.go
@@ -76,7 +76,7 @@
 	}
 	if e.route != nil {
 		line = line.Str("route", e.route.Name).Uint64("routes", e.version).
-			Int64("allowed_ms", e.deadline.Sub(e.arrived).Milliseconds()).Int64("aim_ms", e.route.Aim.Milliseconds())
+			Int64("allowed_ms", e.deadline.Sub(e.arrived).Milliseconds()).Int64("aim_ms", e.route.TargetLatency.Milliseconds())
 	}
 	if e.caller != nil {
 		line = line.Str("organisation", e.caller.Name)
@@ -88,7 +88,7 @@
 		line = line.Int("prompt_tokens", e.meta.PromptTokens)
 	}
 	if e.pause > 0 {
-		line = line.Int64("pause_ms", e.pause.Milliseconds()).Int64("good_pause_ms", e.route.GapAim.Milliseconds())
+		line = line.Int64("pause_ms", e.pause.Milliseconds()).Int64("good_pause_ms", e.route.TargetGap.Milliseconds())
 	}
 	if len(e.tries) > 0 {
 		line = line.Array("tries", tries(e.tries)).Bool("headed", e.headed).Str("last_event", e.lastEvent)
@@ -117,7 +117,7 @@
 	case !e.first.IsZero():
 		took = e.first.Sub(e.arrived)
 	}
-	if e.route.Aim > 0 && took > e.route.Aim || e.route.GapAim > 0 && e.pause > e.route.GapAim {
+	if e.route.TargetLatency > 0 && took > e.route.TargetLatency || e.route.TargetGap > 0 && e.pause > e.route.TargetGap {
 		return endedLate
 	}
 	return endedWell
--- a/entry/quarantine/keeper.go
+++ b/entry/quarantine/keeper.go
@@ -125,7 +125,7 @@
 func (k *Keeper) Doubtful(print fingerprint.Print) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.ledger.Crashes(print)) >= k.config.Settings.Crashes-1
+	return len(k.ledger.Crashes(print)) >= k.config.Settings.MinCrashes-1
 }
 
 // Ended takes the requests that this entry had at an upstream that has crashed.
@@ -135,13 +135,13 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range under {
-		if !k.ledger.Strike(now, corequarantine.Crash{Upstream: tag, At: now, Again: s.Again}, s.Print) {
+		if !k.ledger.RecordCrash(now, corequarantine.Crash{Upstream: tag, At: now, Repeated: s.Again}, s.Print) {
 			continue
 		}
 		k.seen[s.Print] = s
-		kind := corequarantine.Struck
+		kind := corequarantine.CrashReport
 		if s.Again {
-			kind = corequarantine.StruckAgain
+			kind = corequarantine.RepeatedCrashReport
 		}
 		k.report(corequarantine.Report{Kind: kind, Print: s.Print, Upstream: tag})
 		k.record(now, s.Print)
@@ -160,11 +160,11 @@
 	now, p := time.Now(), print()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wasHeld := !k.ledger.Held(now, p).IsZero()
+	wasHeld := !k.ledger.HeldUntil(now, p).IsZero()
 	if !k.ledger.Clear(now, p) {
 		return
 	}
-	k.report(corequarantine.Report{Kind: corequarantine.Answered, Print: p})
+	k.report(corequarantine.Report{Kind: corequarantine.AnswerReport, Print: p})
 	k.dismiss(p, k.rows.listed[p]...)
 	if wasHeld {
 		k.config.Log.Warn().Stringer("fingerprint", p).Msg("request is no longer held back: an upstream has answered it")
@@ -220,14 +220,14 @@
 
 func held(now time.Time, print fingerprint.Print, h corequarantine.Hold) corequarantine.Report {
 	return corequarantine.Report{
-		Kind: corequarantine.Held, Print: print, LeftMs: h.Until.Sub(now).Milliseconds(), Times: h.Times,
+		Kind: corequarantine.HoldReport, Print: print, LeftMs: h.Until.Sub(now).Milliseconds(), Times: h.Times,
 	}
 }
 
 // publish lets requests see what is held back. It is called with mu held.
 func (k *Keeper) publish() {
 	all := make(map[fingerprint.Print]time.Time)
-	for print, h := range k.ledger.Holds(time.Now()) {
+	for print, h := range k.ledger.ActiveHolds(time.Now()) {
 		all[print] = h.Until
 	}
 	if old := k.held.Load(); old == nil || !maps.Equal(*old, all) {
--- a/entry/quarantine/keeper_test.go
+++ b/entry/quarantine/keeper_test.go
@@ -338,7 +338,7 @@
 		one.crash(1, "rare")
 		one.crash(2, "rare")
 		require.Len(t, s.names(), 1)
-		time.Sleep(corequarantine.Memory + 2*rereadEvery)
+		time.Sleep(corequarantine.Retention + 2*rereadEvery)
 		require.Empty(t, s.names())
 		_, suspected := one.Counts()
 		require.Zero(t, suspected)
@@ -361,7 +361,7 @@
 		settle()
 		require.Zero(t, s.calls["put"])
 		require.LessOrEqual(t, s.calls["all"], 2)
-		require.LessOrEqual(t, len(one.Reports()), corequarantine.MostReports)
+		require.LessOrEqual(t, len(one.Reports()), corequarantine.MaxReports)
 	})
 }
 
--- a/entry/quarantine/record.go
+++ b/entry/quarantine/record.go
@@ -67,8 +67,8 @@
 	if latest := max(row.HeldUntilMs, row.ReleasedMs, row.WrittenMs); latest > latestMs {
 		return Row{}, errors.Errorf("row %.80q: the time %d is no Unix millisecond", r.Key.Row, latest)
 	}
-	if row.Times < 0 || row.Times > corequarantine.MostTimes {
-		return Row{}, errors.Errorf("row %.80q: times is %d, allowed are 0 to %d", r.Key.Row, row.Times, corequarantine.MostTimes)
+	if row.Times < 0 || row.Times > corequarantine.MaxHoldTimes {
+		return Row{}, errors.Errorf("row %.80q: times is %d, allowed are 0 to %d", r.Key.Row, row.Times, corequarantine.MaxHoldTimes)
 	}
 	return row, nil
 }
@@ -81,9 +81,9 @@
 			last = at
 		}
 	}
-	over := last.Add(corequarantine.Memory)
+	over := last.Add(corequarantine.Retention)
 	if r.HeldUntilMs > 0 {
-		probation := time.UnixMilli(r.HeldUntilMs).Add(settings.Length(max(r.Times, 1)))
+		probation := time.UnixMilli(r.HeldUntilMs).Add(settings.HoldLength(max(r.Times, 1)))
 		over = slices.MaxFunc([]time.Time{over, probation}, time.Time.Compare)
 	}
 	return now.After(over)
--- a/entry/quarantine/share.go
+++ b/entry/quarantine/share.go
@@ -9,7 +9,7 @@
 
 // mostReports bounds the reports that wait to be told. Beyond them the oldest are dropped: what
 // counts stands in the store as well.
-const mostReports = corequarantine.MostReports
+const mostReports = corequarantine.MaxReports
 
 // report is a Report that waits to be told, with its time.
 type report struct {
@@ -39,7 +39,7 @@
 	told := make([]corequarantine.Report, len(k.reports))
 	for i, r := range k.reports {
 		told[i] = r.Report
-		if r.Kind == corequarantine.Struck || r.Kind == corequarantine.StruckAgain {
+		if r.Kind == corequarantine.CrashReport || r.Kind == corequarantine.RepeatedCrashReport {
 			told[i].AgeMs = time.Since(r.at).Milliseconds()
 		}
 	}
@@ -53,7 +53,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var reports []corequarantine.Report
-	for print, h := range k.ledger.Holds(now) {
+	for print, h := range k.ledger.ActiveHolds(now) {
 		if len(reports) >= mostReports {
 			break
 		}
@@ -73,15 +73,15 @@
 	kept, dropped := corequarantine.Check(reports)
 	k.dropped += uint64(dropped)
 	for _, r := range kept {
-		if !k.ledger.Hear(now, r) {
+		if !k.ledger.HandleReport(now, r) {
 			continue
 		}
 		switch r.Kind {
-		case corequarantine.Struck, corequarantine.StruckAgain:
+		case corequarantine.CrashReport, corequarantine.RepeatedCrashReport:
 			k.record(now, r.Print)
-		case corequarantine.Held:
+		case corequarantine.HoldReport:
 			k.logHeld(vm, r.Print, r.LeftMs)
-		case corequarantine.Answered:
+		case corequarantine.AnswerReport:
 			k.dismiss(r.Print)
 			k.config.Log.Info().Stringer("fingerprint", r.Print).Str("said_by", vm).
 				Msg("nothing is held against a request any more: an upstream has answered it")
--- a/entry/quarantine/store.go
+++ b/entry/quarantine/store.go
@@ -81,9 +81,9 @@
 	}
 	record := Record{WrittenMs: now.UnixMilli(), Request: s.Request, Route: s.Route, Organisation: s.Organisation}
 	for _, c := range crashes {
-		record.Crashes = append(record.Crashes, RecordedCrash{Upstream: c.Upstream, AtMs: c.At.UnixMilli(), Again: c.Again})
+		record.Crashes = append(record.Crashes, RecordedCrash{Upstream: c.Upstream, AtMs: c.At.UnixMilli(), Again: c.Repeated})
 	}
-	if h, ok := k.ledger.Holds(now)[print]; ok {
+	if h, ok := k.ledger.ActiveHolds(now)[print]; ok {
 		record.HeldUntilMs, record.Times = h.Until.UnixMilli(), h.Times
 	}
 	k.rows.own[print] = record
@@ -131,9 +131,9 @@
 
 // forget drops what is too old to count. It is called with mu held.
 func (k *Keeper) forget(now time.Time) {
-	k.ledger.Forget(now)
+	k.ledger.Expire(now)
 	for print := range k.seen {
-		if !k.ledger.Suspected(print) && k.ledger.Held(now, print).IsZero() {
+		if !k.ledger.Suspected(print) && k.ledger.HeldUntil(now, print).IsZero() {
 			delete(k.seen, print)
 			k.rows.drop(print)
 		}
@@ -277,11 +277,11 @@
 	}
 	for _, c := range r.Crashes {
 		if c.AtMs > released {
-			k.ledger.Recall(now, corequarantine.Crash{Upstream: c.Upstream, At: time.UnixMilli(c.AtMs), Again: c.Again}, r.Print)
+			k.ledger.RestoreCrash(now, corequarantine.Crash{Upstream: c.Upstream, At: time.UnixMilli(c.AtMs), Repeated: c.Again}, r.Print)
 		}
 	}
 	until := time.UnixMilli(r.HeldUntilMs)
-	if k.ledger.Take(now, r.Print, corequarantine.Hold{Until: until, Times: r.Times}) {
+	if k.ledger.ApplyHold(now, r.Print, corequarantine.Hold{Until: until, Times: r.Times}) {
 		k.logHeld(r.Writer, r.Print, until.Sub(now).Milliseconds())
 	}
 }
--- a/entry/settings/gateway.go
+++ b/entry/settings/gateway.go
@@ -82,13 +82,13 @@
 
 // DefaultQuarantine has the decision's own defaults.
 var DefaultQuarantine = Quarantine{
-	Crashes: quarantine.DefaultSettings.Crashes,
+	Crashes: quarantine.DefaultSettings.MinCrashes,
 	HoldS:   int(quarantine.DefaultSettings.Hold.Seconds()),
 }
 
 // Ledger returns the settings of the decision.
 func (q Quarantine) Ledger() quarantine.Settings {
-	return quarantine.Settings{Crashes: q.Crashes, Hold: time.Duration(q.HoldS) * time.Second}
+	return quarantine.Settings{MinCrashes: q.Crashes, Hold: time.Duration(q.HoldS) * time.Second}
 }
 
 // GatewayLimits bounds what requests may hold in memory.
--- a/entry/share/routes.go
+++ b/entry/share/routes.go
@@ -36,7 +36,7 @@
 func (p *Peers) hearRoutes(c *link.Conn, routes *link.Routes) {
 	inForce, peer := p.version(), c.Peer()
 	p.mu.Lock()
-	p.fetch.Announced(time.Now(), inForce, peer.VM, peer.Zone == p.config.Self.Zone, routes.Version)
+	p.fetch.Announce(time.Now(), inForce, peer.VM, peer.Zone == p.config.Self.Zone, routes.Version)
 	p.mu.Unlock()
 	p.pursue()
 }
@@ -48,7 +48,7 @@
 	defer p.mu.Unlock()
 	ask, vm, again := p.fetch.Next(now, inForce)
 	for vm != "" && !p.askPart(vm, ask, now, inForce) {
-		p.fetch.Gone(vm)
+		p.fetch.RemoveHolder(vm)
 		ask, vm, again = p.fetch.Next(now, inForce)
 	}
 	if !again.IsZero() {
@@ -58,7 +58,7 @@
 
 // askPart asks an entry for a part; it reports false where there is no link. It is called with mu
 // held.
-func (p *Peers) askPart(vm string, ask fetch.Ask, now time.Time, inForce uint64) bool {
+func (p *Peers) askPart(vm string, ask fetch.Request, now time.Time, inForce uint64) bool {
 	known := p.known[vm]
 	if known == nil || known.conn == nil {
 		return false
@@ -76,7 +76,7 @@
 func (p *Peers) hearPart(c *link.Conn, part *link.RoutesPart) {
 	inForce := p.version()
 	p.mu.Lock()
-	packed, version := p.fetch.Received(time.Now(), inForce, c.Peer().VM, (*fetch.Part)(part))
+	packed, version := p.fetch.Receive(time.Now(), inForce, c.Peer().VM, (*fetch.Part)(part))
 	p.mu.Unlock()
 	if packed != nil {
 		// Not on the link's event loop: a large table takes long to unpack.
@@ -95,13 +95,13 @@
 		return
 	}
 	p.mu.Lock()
-	p.fetch.Dropped(time.Now(), version)
+	p.fetch.Reject(time.Now(), version)
 	p.mu.Unlock()
 	p.pursue()
 }
 
 // sendPart answers an entry that has asked for a part of the routes in force.
-func (p *Peers) sendPart(c *link.Conn, ask fetch.Ask) {
+func (p *Peers) sendPart(c *link.Conn, ask fetch.Request) {
 	value, version := p.config.Routes()
 	if value == nil {
 		return
@@ -130,10 +130,10 @@
 // shelf packs each version once, when it is first asked for.
 type shelf struct {
 	mu sync.Mutex
-	*fetch.Shelf
+	*fetch.Server
 }
 
-func (s *shelf) get(vm string, ask fetch.Ask, value []byte, version uint64) (*fetch.Part, error) {
+func (s *shelf) get(vm string, ask fetch.Request, value []byte, version uint64) (*fetch.Part, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.Newest() {
--- a/entry/share/routes_test.go
+++ b/entry/share/routes_test.go
@@ -29,13 +29,13 @@
 }
 
 func TestRoutesArePackedOncePerVersion(t *testing.T) {
-	s := shelf{Shelf: fetch.NewShelf()}
-	first, err := s.get("a", fetch.Ask{}, []byte("one"), 1)
+	s := shelf{Server: fetch.NewServer()}
+	first, err := s.get("a", fetch.Request{}, []byte("one"), 1)
 	require.NoError(t, err)
-	again, err := s.get("b", fetch.Ask{}, []byte("not packed"), 1)
+	again, err := s.get("b", fetch.Request{}, []byte("not packed"), 1)
 	require.NoError(t, err)
 	require.Equal(t, first, again)
-	newer, err := s.get("a", fetch.Ask{}, []byte("two"), 2)
+	newer, err := s.get("a", fetch.Request{}, []byte("two"), 2)
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), newer.Version)
 }
--- a/entry/share/share.go
+++ b/entry/share/share.go
@@ -101,7 +101,7 @@
 	mu    sync.Mutex
 	known map[string]*peer
 	// fetch is what is missing of the routes that others have announced.
-	fetch *fetch.Fetch
+	fetch *fetch.Fetcher
 
 	// pursuit calls pursue when something is due.
 	pursuit *time.Timer
@@ -122,7 +122,7 @@
 
 // New returns Peers; Run starts them.
 func New(config Config) *Peers {
-	p := &Peers{config: config, known: make(map[string]*peer), shelf: shelf{Shelf: fetch.NewShelf()}}
+	p := &Peers{config: config, known: make(map[string]*peer), shelf: shelf{Server: fetch.NewServer()}}
 	p.fetch = fetch.New(rand.New(rand.NewPCG(uint64(config.Self.Incarnation), 0)))
 	p.pursuit = time.AfterFunc(never, p.pursue)
 	return p
@@ -276,7 +276,7 @@
 	}
 	known.conn = nil
 	known.unreachable = time.Now()
-	p.fetch.Gone(vm)
+	p.fetch.RemoveHolder(vm)
 	p.mu.Unlock()
 	p.pursue()
 	p.config.Gone(vm)
--- a/peers/link/control_message.go
+++ b/peers/link/control_message.go
@@ -181,7 +181,7 @@
 	Reports    []evidence.Report
 	Quarantine []quarantine.Report
 	// Ask, if not nil, asks the receiver for a part of the routes that it has in force.
-	Ask *fetch.Ask
+	Ask *fetch.Request
 }
 
 // RoutesPart is a part of the compressed encoding of a table of routes; see core/fetch. It is sent
--- a/peers/link/link_test.go
+++ b/peers/link/link_test.go
@@ -138,9 +138,9 @@
 func FuzzDecode(f *testing.F) {
 	w := newFrameWriter()
 	for _, m := range []Message{&Offer{Service: "s", Body: []byte("x")}, &Chunk{Data: []byte("d")}, &Ack{Seq: 4}, &End{Detail: "e"},
-		&RoutesPart{Version: 2, Parts: 1, Data: []byte("p")}, &Works{Ask: &fetch.Ask{Version: 2, Part: 1}},
+		&RoutesPart{Version: 2, Parts: 1, Data: []byte("p")}, &Works{Ask: &fetch.Request{Version: 2, Part: 1}},
 		&Works{Origin: 1, Reports: []evidence.Report{{Tag: 7, Kind: evidence.Absent, AgeMs: 3}}},
-		&Works{Origin: 1, Quarantine: []quarantine.Report{{Kind: quarantine.Held, LeftMs: 5}}}} {
+		&Works{Origin: 1, Quarantine: []quarantine.Report{{Kind: quarantine.HoldReport, LeftMs: 5}}}} {
 		w.buf = w.buf[:0]
 		require.NoError(f, w.append(m))
 		f.Add(byte(m.Type()), append([]byte(nil), w.buf[headerBytes:]...))
@@ -311,10 +311,10 @@
 
 	print := fingerprint.Of(fingerprint.Request{Path: "/ask"})
 	held := []quarantine.Report{
-		{Kind: quarantine.StruckAgain, Print: print, Upstream: 1 << 31, AgeMs: 9},
-		{Kind: quarantine.Held, Print: print, LeftMs: quarantine.MostHold.Milliseconds(), Times: 3},
+		{Kind: quarantine.RepeatedCrashReport, Print: print, Upstream: 1 << 31, AgeMs: 9},
+		{Kind: quarantine.HoldReport, Print: print, LeftMs: quarantine.MaxHold.Milliseconds(), Times: 3},
 	}
-	ask := &fetch.Ask{Version: 1 << 40, Part: 3}
+	ask := &fetch.Request{Version: 1 << 40, Part: 3}
 	newer, err := encodeArray(&Works{Origin: 3, Events: events, Reports: reports, Quarantine: held, Ask: ask})
 	require.NoError(t, err)
 	message, err = newFrameReader().decode(TypeWorks, newer)
--- a/peers/link/works.go
+++ b/peers/link/works.go
@@ -77,7 +77,7 @@
 		case quarantined:
 			m.Quarantine = append(m.Quarantine, quarantineOf(&e))
 		case asked:
-			m.Ask = &fetch.Ask{Version: e.Number, Part: e.Rank}
+			m.Ask = &fetch.Request{Version: e.Number, Part: e.Rank}
 		default:
 			m.Events = append(m.Events, e)
 		}
--- a/peers/table/leaserow/leaserow.go
+++ b/peers/table/leaserow/leaserow.go
@@ -103,20 +103,20 @@
 	defer r.mu.Unlock()
 	r.lastErr = err
 	if err != nil {
-		r.machine.ReadFailed(r.reading())
+		r.machine.HandleReadFailure(r.reading())
 		return
 	}
-	r.machine.RowRead(r.reading(), row)
+	r.machine.HandleRow(r.reading(), row)
 }
 
-func (r *Runner) write(ctx context.Context, order lease.WriteOrder) {
+func (r *Runner) write(ctx context.Context, order lease.ConditionalWrite) {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.RenewEvery)
 	defer cancel()
 	version, err := commit(ctx, r.store, r.key, order)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastErr = err
-	r.machine.Written(r.reading(), outcomeOf(err), version)
+	r.machine.HandleWrite(r.reading(), outcomeOf(err), version)
 }
 
 func (r *Runner) reading() lease.Reading {
@@ -158,7 +158,7 @@
 	return lease.Row{Version: row.Version, Token: row.Token, Record: record}, nil
 }
 
-func commit(ctx context.Context, store table.Store, key table.Key, order lease.WriteOrder) (uint64, error) {
+func commit(ctx context.Context, store table.Store, key table.Key, order lease.ConditionalWrite) (uint64, error) {
 	value, err := json.Marshal(order.Record)
 	if err != nil {
 		return 0, errors.WithMessage(table.ErrInvalid, err.Error())
