--- a/core/quarantine/report.go
+++ b/core/quarantine/report.go
@@ -7,55 +7,56 @@
 	"acaciacleat.example/core/fingerprint"
 )
 
-// Kind says what an entry tells the others of a request.
+// Kind is the kind of a Report.
 type Kind uint8
 
 // The kinds of report.
 const (
-	// Struck: an upstream crashed with it in hand.
-	Struck Kind = iota + 1
-	// StruckAgain: the same, after it had come there from another upstream that crashed.
-	StruckAgain
-	// Answered: an upstream has answered it, so that it is not what crashed others.
-	Answered
-	// Held: it is held back.
-	Held
+	// CrashReport reports that an upstream crashed with the request in flight.
+	CrashReport Kind = iota + 1
+	// RepeatedCrashReport reports the same for a request that was sent there after another upstream
+	// had crashed while running it.
+	RepeatedCrashReport
+	// AnswerReport reports that an upstream has answered the request, so that it is not the cause of
+	// crashes.
+	AnswerReport
+	// HoldReport reports that the request is held back.
+	HoldReport
 )
 
 // String returns the kind's name for logs.
 func (k Kind) String() string {
 	names := [...]string{"", "struck", "struck again", "answered", "held"}
-	if k < Struck || int(k) >= len(names) {
+	if k < CrashReport || int(k) >= len(names) {
 		return "kind " + strconv.Itoa(int(k))
 	}
 	return names[k]
 }
 
-// Report is what an entry tells the others of a request.
+// Report is a report on a request, sent by one entry to the others.
 type Report struct {
 	Kind  Kind
 	Print fingerprint.Print
-	// Upstream is the tag of the incarnation that crashed, and AgeMs how long ago that was, in
-	// milliseconds; set for strikes. Clocks of entries differ, so that no time is told.
+	// Upstream is the tag of the incarnation that crashed, and AgeMs how long ago it crashed, in
+	// milliseconds; set for crashes. It is an age and not a time because the entries' clocks differ.
 	Upstream uint32
 	AgeMs    int64
-	// LeftMs is how much longer the request is held back, in milliseconds, and Times for how many
-	// times in a row; set for Held.
+	// LeftMs is how much longer the request is held back, in milliseconds, and Times how many times
+	// in a row it has been; set for HoldReport.
 	LeftMs int64
 	Times  int
 }
 
-// MostReports bounds the reports of one message.
-const MostReports = 1024
+// MaxReports bounds the reports of one message.
+const MaxReports = 1024
 
-// MostTimes bounds how often in a row a request can have been held back; the last hold is by then
-// as long as any.
-const MostTimes = 100
+// MaxHoldTimes bounds how many times in a row a request can have been held back. The length of a hold
+// reaches its maximum long before.
+const MaxHoldTimes = 100
 
-// Check returns the reports that can be taken up, and the number of those that no entry should
-// have sent.
+// Check returns the valid reports, and the number of invalid ones.
 func Check(reports []Report) (kept []Report, dropped int) {
-	for _, r := range reports[:min(len(reports), MostReports)] {
+	for _, r := range reports[:min(len(reports), MaxReports)] {
 		if r.valid() {
 			kept = append(kept, r)
 		}
@@ -64,24 +65,24 @@
 }
 
 func (r *Report) valid() bool {
-	return r.Kind >= Struck && r.Kind <= Held &&
-		r.AgeMs >= 0 && r.AgeMs <= Memory.Milliseconds() &&
-		r.LeftMs >= 0 && r.LeftMs <= MostHold.Milliseconds() &&
-		r.Times >= 0 && r.Times <= MostTimes
+	return r.Kind >= CrashReport && r.Kind <= HoldReport &&
+		r.AgeMs >= 0 && r.AgeMs <= Retention.Milliseconds() &&
+		r.LeftMs >= 0 && r.LeftMs <= MaxHold.Milliseconds() &&
+		r.Times >= 0 && r.Times <= MaxHoldTimes
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Hear takes up a checked report. It reports whether the report was news.
-func (l *Ledger) Hear(now time.Time, r Report) bool {
+// HandleReport handles a report that Check has returned. It reports whether the report was new.
+func (l *Ledger) HandleReport(now time.Time, r Report) bool {
 	switch r.Kind {
-	case Struck, StruckAgain:
-		seen := Crash{Upstream: r.Upstream, At: now.Add(-milliseconds(r.AgeMs)), Again: r.Kind == StruckAgain}
-		return l.Strike(now, seen, r.Print)
-	case Answered:
+	case CrashReport, RepeatedCrashReport:
+		seen := Crash{Upstream: r.Upstream, At: now.Add(-milliseconds(r.AgeMs)), Repeated: r.Kind == RepeatedCrashReport}
+		return l.RecordCrash(now, seen, r.Print)
+	case AnswerReport:
 		return l.Clear(now, r.Print)
-	case Held:
-		return l.Take(now, r.Print, Hold{Until: now.Add(milliseconds(r.LeftMs)), Times: r.Times})
+	case HoldReport:
+		return l.ApplyHold(now, r.Print, Hold{Until: now.Add(milliseconds(r.LeftMs)), Times: r.Times})
 	default:
 		return false
 	}
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -156,8 +156,8 @@
 		Service:          e.service.Name,
 		PromptTokens:     e.meta.PromptTokens,
 		OutputTokens:     e.meta.OutputTokens,
-		FirstEventTarget: e.route.Aim - waited,
-		GapTarget:        e.route.GapAim,
+		FirstEventTarget: e.route.TargetLatency - waited,
+		GapTarget:        e.route.TargetGap,
 		TimeToDeadline:   e.deadline.Sub(now),
 		Patience:         patience(e.route) - waited,
 		Priority:         e.priority(),
@@ -171,7 +171,7 @@
 // priority returns the request's priority: the organisation's if it has one, otherwise the
 // route's.
 func (e *exchange) priority() int {
-	if e.caller != nil && e.caller.Ranked {
+	if e.caller != nil && e.caller.HasPriority {
 		return e.caller.Priority
 	}
 	return e.route.Priority
@@ -188,7 +188,7 @@
 
 // patience returns how long callers of a route wait for the first event.
 func patience(route *routes.Route) time.Duration {
-	return max(minPatience, patienceTargets*route.Aim, patienceGaps*route.GapAim)
+	return max(minPatience, patienceTargets*route.TargetLatency, patienceGaps*route.TargetGap)
 }
 
 // awaitQueuePosition waits until the request may be due or its queue position has changed, or
--- a/entry/gateway/heldback.go
+++ b/entry/gateway/heldback.go
@@ -63,7 +63,7 @@
 
 // verdictDelay is the time from a broken answer to a verdict on the requests that were in
 // flight.
-const verdictDelay = confirmDelay + corequarantine.Settle + 50*time.Millisecond
+const verdictDelay = confirmDelay + corequarantine.VerdictDelay + 50*time.Millisecond
 
 // awaitVerdict delays a retry after a broken answer until it is known whether the upstream
 // crashed, if one more crash would cause the request to be held back.
--- a/entry/gateway/metrics.go
+++ b/entry/gateway/metrics.go
@@ -94,7 +94,7 @@
 	m.requests.WithLabelValues(kind, result.Lookup(code).Name, string(execution)).Inc()
 	m.duration.WithLabelValues(kind).Observe(took.Seconds())
 	if !e.firstEventAt.IsZero() {
-		aim := strconv.FormatInt(e.route.Aim.Milliseconds(), 10)
+		aim := strconv.FormatInt(e.route.TargetLatency.Milliseconds(), 10)
 		m.firstEvent.WithLabelValues(aim).Observe(e.firstEventAt.Sub(e.arrived).Seconds())
 	}
 }
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -101,7 +101,7 @@
 		Settings: s.Quarantine.Ledger(),
 		Store:    backend.Store,
 		Table:    backend.Quarantine,
-		Unlinked: func() bool { return n.Peers.Unlinked() && n.Peers.Role() != follow.Listens },
+		Unlinked: func() bool { return n.Peers.Unlinked() && n.Peers.Role() != follow.Listener },
 		Log:      log,
 	})
 	n.Peers = share.New(share.Config{
--- a/entry/gateway/stall.go
+++ b/entry/gateway/stall.go
@@ -39,9 +39,9 @@
 	case !e.route.Repeatable() || !e.mayRetry():
 		return 0
 	case e.route.Kind == routes.Streaming:
-		return stallGaps * e.route.GapAim
+		return stallGaps * e.route.TargetGap
 	default:
-		return stallTargets * e.route.Aim
+		return stallTargets * e.route.TargetLatency
 	}
 }
 
--- a/entry/quarantine/keeper.go
+++ b/entry/quarantine/keeper.go
@@ -130,7 +130,7 @@
 func (k *Keeper) Doubtful(print fingerprint.Print) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.ledger.Crashes(print)) >= k.config.Settings.Crashes-1
+	return len(k.ledger.Crashes(print)) >= k.config.Settings.MinCrashes-1
 }
 
 // Ended records the requests that this entry had in flight at an upstream that crashed.
@@ -140,13 +140,13 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range affected {
-		if !k.ledger.Strike(now, corequarantine.Crash{Upstream: tag, At: now, Again: s.AfterCrash}, s.Print) {
+		if !k.ledger.RecordCrash(now, corequarantine.Crash{Upstream: tag, At: now, Repeated: s.AfterCrash}, s.Print) {
 			continue
 		}
 		k.suspects[s.Print] = s
-		kind := corequarantine.Struck
+		kind := corequarantine.CrashReport
 		if s.AfterCrash {
-			kind = corequarantine.StruckAgain
+			kind = corequarantine.RepeatedCrashReport
 		}
 		k.queueReport(corequarantine.Report{Kind: kind, Print: s.Print, Upstream: tag})
 		k.queueRecord(now, s.Print)
@@ -165,11 +165,11 @@
 	now, p := time.Now(), print()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wasHeld := !k.ledger.Held(now, p).IsZero()
+	wasHeld := !k.ledger.HeldUntil(now, p).IsZero()
 	if !k.ledger.Clear(now, p) {
 		return
 	}
-	k.queueReport(corequarantine.Report{Kind: corequarantine.Answered, Print: p})
+	k.queueReport(corequarantine.Report{Kind: corequarantine.AnswerReport, Print: p})
 	k.clearRequest(p, k.rows.listed[p]...)
 	if wasHeld {
 		k.config.Log.Warn().Stringer("fingerprint", p).Msg("request is no longer held back: an upstream has answered it")
@@ -227,14 +227,14 @@
 
 func holdReport(now time.Time, print fingerprint.Print, h corequarantine.Hold) corequarantine.Report {
 	return corequarantine.Report{
-		Kind: corequarantine.Held, Print: print, LeftMs: h.Until.Sub(now).Milliseconds(), Times: h.Times,
+		Kind: corequarantine.HoldReport, Print: print, LeftMs: h.Until.Sub(now).Milliseconds(), Times: h.Times,
 	}
 }
 
 // publish makes the current holds visible to requests. It is called with mu held.
 func (k *Keeper) publish() {
 	all := make(map[fingerprint.Print]time.Time)
-	for print, h := range k.ledger.Holds(time.Now()) {
+	for print, h := range k.ledger.ActiveHolds(time.Now()) {
 		all[print] = h.Until
 	}
 	if old := k.held.Load(); old == nil || !maps.Equal(*old, all) {
--- a/entry/quarantine/keeper_test.go
+++ b/entry/quarantine/keeper_test.go
@@ -340,7 +340,7 @@
 		one.crash(1, "rare")
 		one.crash(2, "rare")
 		require.Len(t, s.names(), 1)
-		time.Sleep(corequarantine.Memory + 2*defaultRereadInterval)
+		time.Sleep(corequarantine.Retention + 2*defaultRereadInterval)
 		require.Empty(t, s.names())
 		_, suspected := one.Counts()
 		require.Zero(t, suspected)
@@ -364,7 +364,7 @@
 		waitOneSecond()
 		require.Zero(t, s.calls["put"])
 		require.LessOrEqual(t, s.calls["all"], 2)
-		require.LessOrEqual(t, len(one.Reports()), corequarantine.MostReports)
+		require.LessOrEqual(t, len(one.Reports()), corequarantine.MaxReports)
 	})
 }
 
--- a/entry/share/routes.go
+++ b/entry/share/routes.go
@@ -38,7 +38,7 @@
 func (p *Peers) onRoutesAnnounced(c *link.Conn, routes *link.Routes) {
 	inForce, peer := p.version(), c.Peer()
 	p.mu.Lock()
-	p.fetch.Announced(time.Now(), inForce, peer.VM, peer.Zone == p.config.Self.Zone, routes.Version)
+	p.fetch.Announce(time.Now(), inForce, peer.VM, peer.Zone == p.config.Self.Zone, routes.Version)
 	p.mu.Unlock()
 	p.fetchNext()
 }
@@ -50,7 +50,7 @@
 	defer p.mu.Unlock()
 	ask, vm, again := p.fetch.Next(now, inForce)
 	for vm != "" && !p.requestPart(vm, ask, now, inForce) {
-		p.fetch.Gone(vm)
+		p.fetch.RemoveHolder(vm)
 		ask, vm, again = p.fetch.Next(now, inForce)
 	}
 	if !again.IsZero() {
@@ -60,7 +60,7 @@
 
 // requestPart requests a part from an entry. It reports false if there is no link to the entry
 // or the request can't be sent. It is called with mu held.
-func (p *Peers) requestPart(vm string, ask fetch.Ask, now time.Time, inForce uint64) bool {
+func (p *Peers) requestPart(vm string, ask fetch.Request, now time.Time, inForce uint64) bool {
 	known := p.known[vm]
 	if known == nil || known.conn == nil {
 		return false
@@ -78,7 +78,7 @@
 func (p *Peers) onRoutesPart(c *link.Conn, part *link.RoutesPart) {
 	inForce := p.version()
 	p.mu.Lock()
-	packed, version := p.fetch.Received(time.Now(), inForce, c.Peer().VM, (*fetch.Part)(part))
+	packed, version := p.fetch.Receive(time.Now(), inForce, c.Peer().VM, (*fetch.Part)(part))
 	p.mu.Unlock()
 	if packed != nil {
 		// Unpacking a large table takes too long for the link's event loop.
@@ -97,13 +97,13 @@
 		return
 	}
 	p.mu.Lock()
-	p.fetch.Dropped(time.Now(), version)
+	p.fetch.Reject(time.Now(), version)
 	p.mu.Unlock()
 	p.fetchNext()
 }
 
 // sendPart sends the part of the routes in force that an entry has requested.
-func (p *Peers) sendPart(c *link.Conn, ask fetch.Ask) {
+func (p *Peers) sendPart(c *link.Conn, ask fetch.Request) {
 	value, version := p.config.Routes()
 	if value == nil {
 		return
@@ -133,10 +133,10 @@
 // packedRoutes compresses each version of the routes once, when it is first requested.
 type packedRoutes struct {
 	mu sync.Mutex
-	*fetch.Shelf
+	*fetch.Server
 }
 
-func (s *packedRoutes) part(vm string, ask fetch.Ask, value []byte, version uint64) (*fetch.Part, error) {
+func (s *packedRoutes) part(vm string, ask fetch.Request, value []byte, version uint64) (*fetch.Part, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.Newest() {
--- a/entry/share/routes_test.go
+++ b/entry/share/routes_test.go
@@ -29,13 +29,13 @@
 }
 
 func TestRoutesArePackedOncePerVersion(t *testing.T) {
-	s := packedRoutes{Shelf: fetch.NewShelf()}
-	first, err := s.part("a", fetch.Ask{}, []byte("one"), 1)
+	s := packedRoutes{Server: fetch.NewServer()}
+	first, err := s.part("a", fetch.Request{}, []byte("one"), 1)
 	require.NoError(t, err)
-	again, err := s.part("b", fetch.Ask{}, []byte("not packed"), 1)
+	again, err := s.part("b", fetch.Request{}, []byte("not packed"), 1)
 	require.NoError(t, err)
 	require.Equal(t, first, again)
-	newer, err := s.part("a", fetch.Ask{}, []byte("two"), 2)
+	newer, err := s.part("a", fetch.Request{}, []byte("two"), 2)
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), newer.Version)
 }
--- a/entry/share/share.go
+++ b/entry/share/share.go
@@ -104,7 +104,7 @@
 	mu    sync.Mutex
 	known map[string]*peer
 	// fetch tracks the announced routes that are still missing here.
-	fetch *fetch.Fetch
+	fetch *fetch.Fetcher
 
 	// fetchTimer calls fetchNext when the next request is due.
 	fetchTimer *time.Timer
@@ -125,7 +125,7 @@
 
 // New returns Peers. Run starts them.
 func New(config Config) *Peers {
-	p := &Peers{config: config, known: make(map[string]*peer), packed: packedRoutes{Shelf: fetch.NewShelf()}}
+	p := &Peers{config: config, known: make(map[string]*peer), packed: packedRoutes{Server: fetch.NewServer()}}
 	p.fetch = fetch.New(rand.New(rand.NewPCG(uint64(config.Self.Incarnation), 0)))
 	p.fetchTimer = time.AfterFunc(never, p.fetchNext)
 	return p
@@ -281,7 +281,7 @@
 	}
 	known.conn = nil
 	known.unreachableSince = time.Now()
-	p.fetch.Gone(vm)
+	p.fetch.RemoveHolder(vm)
 	p.mu.Unlock()
 	p.fetchNext()
 	p.config.OnLinkLost(vm)
