--- a/entry/command/gateway.go
+++ b/entry/command/gateway.go
@@ -56,7 +56,7 @@
 
 // greet tells how to call the gateway.
 func (c *gatewayCommand) greet(n *node.Node) {
-	fmt.Fprint(c.stderr, standin.Greeting(n.CallersAddr(), n.MetricsAddr()))
+	fmt.Fprint(c.stderr, standin.UsageText(n.CallersAddr(), n.MetricsAddr()))
 }
 
 func openPlatform(store settings.Store) node.Backend {
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -24,7 +24,7 @@
 		timeGiven: routesTime,
 		header:    http.Header{"Retry-After": {"1"}},
 	}
-	standin.Mark(a.header, a.id, "seal")
+	standin.SetOrigin(a.header, a.id, "seal")
 	return a
 }
 
@@ -41,8 +41,8 @@
 	}{
 		{"own and whole", http.StatusOK, ownAnswer, nil, ""},
 		{"not whole", http.StatusOK, ownAnswer[:5], nil, Short},
-		{"of another", http.StatusOK, ownAnswer, func(a *answer, _ *caller) { standin.Mark(a.header, "other", "seal") }, Foreign},
-		{"of no upstream", http.StatusOK, ownAnswer, func(a *answer, _ *caller) { standin.Mark(a.header, a.id, "") }, Foreign},
+		{"of another", http.StatusOK, ownAnswer, func(a *answer, _ *caller) { standin.SetOrigin(a.header, "other", "seal") }, Foreign},
+		{"of no upstream", http.StatusOK, ownAnswer, func(a *answer, _ *caller) { standin.SetOrigin(a.header, a.id, "") }, Foreign},
 		{"called wrong", http.StatusNotFound, "", nil, Denied},
 		{"refused without advice", http.StatusServiceUnavailable, "", func(a *answer, _ *caller) { a.header.Del("Retry-After") }, Unadvised},
 		{"refused", http.StatusServiceUnavailable, "", nil, ""},
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -107,7 +107,7 @@
 	}
 	old := engine.ID
 	name, _, _ := strings.Cut(old, "+")
-	if err := engine.Revive(fmt.Sprintf("%s+%d", name, time.Now().UnixMilli())); err != nil {
+	if err := engine.RestartAs(fmt.Sprintf("%s+%d", name, time.Now().UnixMilli())); err != nil {
 		w.book.broken(Unwell, "%s can't be started again: %v", old, err)
 		return
 	}
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -88,7 +88,9 @@
 
 // other returns a second misdeed for Misbehave, which follows from the event as the first
 // one is given.
-func (e *Event) other() standin.Misdeed { return standin.Misdeeds[e.AtMs%len(standin.Misdeeds)] }
+func (e *Event) other() standin.ReplicaFault {
+	return standin.ReplicaFaults[e.AtMs%len(standin.ReplicaFaults)]
+}
 
 // Plan is all that a run does, apart from the order in which processes get their turn.
 type Plan struct {
@@ -133,7 +135,7 @@
 		kind := kinds[random.IntN(len(kinds))]
 		p.Events = append(p.Events, Event{
 			AtMs: int(at.Milliseconds()), ForMs: int(span().Milliseconds()), Kind: kind,
-			Target: random.IntN(1 << 16), How: string(standin.Misdeeds[random.IntN(len(standin.Misdeeds))]),
+			Target: random.IntN(1 << 16), How: string(standin.ReplicaFaults[random.IntN(len(standin.ReplicaFaults))]),
 		})
 	}
 	p.settleTargets()
--- a/soak/strike.go
+++ b/soak/strike.go
@@ -69,25 +69,25 @@
 	case CrashingRequest:
 		w.crashing(ctx, fmt.Sprintf("%s%d", fatalPrefix, event.AtMs), lasts)
 	case Misbehave:
-		w.misbehave(ctx, event.Target, [2]standin.Misdeed{standin.Misdeed(event.How), event.other()}, lasts)
+		w.misbehave(ctx, event.Target, [2]standin.ReplicaFault{standin.ReplicaFault(event.How), event.other()}, lasts)
 	}
 }
 
 // misbehave makes the upstreams of a service treat their next requests wrong in two ways by
 // turns, whichever of them is asked: a second try then meets another misdeed than the first.
-func (w *world) misbehave(ctx context.Context, target int, misdeeds [2]standin.Misdeed, lasts time.Duration) {
+func (w *world) misbehave(ctx context.Context, target int, misdeeds [2]standin.ReplicaFault, lasts time.Duration) {
 	defer w.book.disturb(hopUpstreams, everyEntry)()
 	replicas := w.standins.Plains
 	if target < len(w.standins.Engines) {
 		replicas = w.standins.Engines
 	}
-	shared := standin.InTurn(slices.Repeat(misdeeds[:], badRequests/len(misdeeds))...)
+	shared := standin.FaultQueue(slices.Repeat(misdeeds[:], badRequests/len(misdeeds))...)
 	for _, replica := range replicas {
-		replica.Share(shared)
+		replica.ShareFaults(shared)
 	}
 	wait(ctx, lasts)
 	for _, replica := range replicas {
-		replica.Behave()
+		replica.ClearFaults()
 	}
 }
 
@@ -219,7 +219,7 @@
 		replica.Restart(began.UnixMilli(), silent)
 		replica.Register(w.standins.Store, "ready")
 		wait(ctx, lasts+toldOf)
-		if n := replica.Outliving(); n > 0 && ctx.Err() == nil && w.allCalm(began, time.Now()) {
+		if n := replica.StaleRequests(); n > 0 && ctx.Err() == nil && w.allCalm(began, time.Now()) {
 			w.book.broken(Outlived, "%d requests still wait for an earlier life of %s", n, replica.ID)
 		}
 	}
--- a/soak/world.go
+++ b/soak/world.go
@@ -65,7 +65,7 @@
 
 func (w *world) startUpstreams() error {
 	for _, engine := range w.standins.Engines {
-		engine.Events, engine.EventEvery = streamEvents, eventEvery
+		engine.Events, engine.EventInterval = streamEvents, eventEvery
 		engine.CrashOn(func(run standin.Run) bool { return strings.HasPrefix(run.URI, fatalPrefix) })
 	}
 	w.rows = make(map[*standin.Replica]*sync.Mutex)
