--- a/entry/front/admission.go
+++ b/entry/front/admission.go
@@ -29,11 +29,11 @@
 	return c
 }
 
-// admit refuses a request that can not start before its deadline.
-func (a *admissions) admit(service string, work call.TokenDemand, predicted time.Duration, deadline time.Time) *result.Error {
+// admit refuses a request that can't start before its deadline.
+func (a *admissions) admit(service string, demand call.TokenDemand, predicted time.Duration, deadline time.Time) *result.Error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	err := a.controller(service).Admit(admission.Request{Demand: work, Predicted: predicted, Deadline: deadline}, time.Now())
+	err := a.controller(service).Admit(admission.Request{Demand: demand, Predicted: predicted, Deadline: deadline}, time.Now())
 	var refused *result.Error
 	if errors.As(err, &refused) {
 		return refused
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// observe tells how long a request took to its first token, or waited in vain.
+// observe records how long a request took to its first token, or how long it waited without
+// getting one.
 func (a *admissions) observe(service string, class call.Class, predicted, actual time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,4 +1,4 @@
-// Package front is the entry's HTTP face towards callers: it authenticates, parses,
+// Package front implements the entry's HTTP interface for callers. It authenticates, parses,
 // admits and routes each request, and relays the answer.
 package front
 
@@ -21,17 +21,17 @@
 	"github.com/rs/zerolog"
 )
 
-// Limits bounds what one request may hold in memory.
+// Limits bounds the memory for bodies and answers.
 type Limits struct {
-	// BodyBytes bounds a request's body. A million-token prompt has about 4 to 7 MB.
+	// BodyBytes bounds a request's body. A prompt of a million tokens has about 4 to 7 MB.
 	BodyBytes int64
-	// WholeAnswerBytes bounds an answer that is not streamed, which is held whole.
+	// WholeAnswerBytes bounds an answer that is not streamed and therefore held in memory.
 	WholeAnswerBytes int
-	// BodiesBytes bounds all bodies held at once; requests beyond it are refused.
+	// BodiesBytes bounds the bodies of all requests together; further requests are refused.
 	BodiesBytes int64
 }
 
-// DefaultLimits let a million-token prompt through.
+// DefaultLimits admit a prompt of a million tokens.
 var DefaultLimits = Limits{
 	BodyBytes:        16 << 20,
 	WholeAnswerBytes: 8 << 20,
@@ -41,8 +41,8 @@
 // Quota decides whether an organisation may make one more request. quota.Enforcer
 // implements it.
 type Quota interface {
-	// Admit returns nil or why the request is refused. Release must follow its end if it
-	// was admitted.
+	// Admit returns nil or the reason why the request is refused. Release must be called at
+	// the end of an admitted request.
 	Admit(key limits.Key, bounds *document.Limits, tokens int) *result.Error
 	Release(key limits.Key, bounds *document.Limits)
 }
@@ -51,32 +51,32 @@
 type Config struct {
 	Zone     string
 	Registry *flight.Registry
-	// Current reports whether the documents in force are certain to be current.
+	// Current reports whether the documents in force are known to be current.
 	Current func() bool
 	Store   table.Store
 	Records *record.Ring
 	Limits  Limits
-	// Quota keeps organisations within their limits.
+	// Quota enforces the limits of organisations.
 	Quota Quota
-	// Tracer makes the spans of this hop; nil makes none.
+	// Tracer creates the spans of this hop; if nil, there are none.
 	Tracer *collector.Tracer
 	Log    zerolog.Logger
 }
 
-// Front serves callers. It is safe for concurrent use.
+// Front is the HTTP handler for callers. It is safe for concurrent use.
 type Front struct {
 	config    Config
 	snapshot  atomic.Pointer[document.Snapshot]
 	ready     atomic.Bool
 	bodies    bodyBudget
 	retries   retryPolicies
-	estimates sharedEstimator
+	estimates lockedEstimator
 	admission admissions
 	metrics   *Metrics
 	mux       *http.ServeMux
 }
 
-// New returns a Front that is not ready until SetSnapshot.
+// New returns a Front that is not ready until SetSnapshot and SetReady are called.
 func New(config Config) *Front {
 	if config.Limits == (Limits{}) {
 		config.Limits = DefaultLimits
@@ -84,12 +84,12 @@
 	f := &Front{config: config, mux: http.NewServeMux(), metrics: NewMetrics()}
 	f.bodies.limit = config.Limits.BodiesBytes
 	f.retries.byService = make(map[string]*lockedRetries)
-	f.retries.floor = retry.NewSharedBudget()
+	f.retries.sharedBudget = retry.NewSharedBudget()
 	f.estimates.estimator = tokens.New()
 	f.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { f.generate(w, r, true) })
 	f.mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { f.generate(w, r, false) })
 	f.mux.HandleFunc("GET /v1/models", f.models)
-	f.mux.HandleFunc("/v1/services/{service}/{path...}", f.service)
+	f.mux.HandleFunc("/v1/services/{service}/{path...}", f.callService)
 	f.mux.HandleFunc("/", f.unknownPath)
 	return f
 }
@@ -97,16 +97,16 @@
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
 
-// SetSnapshot puts a revision of the documents in force for requests that begin from now.
+// SetSnapshot sets the revision of the documents for requests that start from now on.
 func (f *Front) SetSnapshot(s *document.Snapshot) { f.snapshot.Store(s) }
 
 // Snapshot returns the revision in force, or nil before the first.
 func (f *Front) Snapshot() *document.Snapshot { return f.snapshot.Load() }
 
-// SetReady says whether new requests are taken.
+// SetReady sets whether new requests are accepted.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
-// Ready reports whether new requests are taken.
+// Ready reports whether new requests are accepted.
 func (f *Front) Ready() bool {
 	return f.ready.Load() && f.snapshot.Load() != nil && f.config.Current()
 }
@@ -114,13 +114,13 @@
 // Metrics returns the counters of this front.
 func (f *Front) Metrics() *Metrics { return f.metrics }
 
-// bodyBudget bounds the bodies held at once over all requests.
+// bodyBudget bounds the memory for the bodies of all requests.
 type bodyBudget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-func (b *bodyBudget) take(n int64) bool {
+func (b *bodyBudget) acquire(n int64) bool {
 	if b.used.Add(n) > b.limit {
 		b.used.Add(-n)
 		return false
@@ -128,19 +128,19 @@
 	return true
 }
 
-func (b *bodyBudget) give(n int64) { b.used.Add(-n) }
+func (b *bodyBudget) release(n int64) { b.used.Add(-n) }
 
-// retryPolicies holds each service's retry budget.
+// retryPolicies holds the retry policy of each service.
 type retryPolicies struct {
-	mu        sync.Mutex
-	byService map[string]*lockedRetries
-	floor     *retry.SharedBudget
-	// policies guards all budgets and the floor.
-	policies sync.Mutex
+	mu           sync.Mutex
+	byService    map[string]*lockedRetries
+	sharedBudget *retry.SharedBudget
+	// budgetMu guards the budgets of all services and sharedBudget.
+	budgetMu sync.Mutex
 }
 
-// lockedRetries makes a retry.Policy safe for concurrent use. All services share one lock,
-// because they share the floor.
+// lockedRetries makes a retry.Policy safe for concurrent use. All services share one lock
+// because they share the sharedBudget.
 type lockedRetries struct {
 	mu     *sync.Mutex
 	policy retry.Policy
@@ -160,40 +160,40 @@
 	return l.policy.Delay(n)
 }
 
-func (l *lockedRetries) first(now time.Time, ratio float64) {
+func (l *lockedRetries) recordFirst(now time.Time, ratio float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.policy.SetRatio(ratio)
 	l.policy.RecordFirst(now)
 }
 
-// sharedEstimator makes a tokens.Estimator safe for concurrent use.
-type sharedEstimator struct {
+// lockedEstimator makes a tokens.Estimator safe for concurrent use.
+type lockedEstimator struct {
 	mu        sync.Mutex
 	estimator *tokens.Estimator
 }
 
-func (e *sharedEstimator) tokens(model string, bytes int) int {
+func (e *lockedEstimator) tokens(model string, bytes int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.estimator.Tokens(model, bytes)
 }
 
-// upper estimates a number of tokens that is seldom exceeded.
-func (e *sharedEstimator) upper(model string, bytes int) int {
+// upperBound returns an estimate of the tokens that is seldom exceeded.
+func (e *lockedEstimator) upperBound(model string, bytes int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.estimator.UpperBound(model, bytes)
 }
 
-func (e *sharedEstimator) observe(model string, bytes, promptTokens int) {
+func (e *lockedEstimator) observe(model string, bytes, promptTokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.estimator.Observe(model, bytes, promptTokens)
 }
 
-// TokenEstimateErrors returns the running relative error of the estimate for each of the
-// models, for operators.
+// TokenEstimateErrors returns the moving average of the relative error of the token estimate
+// for each model.
 func (f *Front) TokenEstimateErrors() map[string]float64 {
 	errors := make(map[string]float64)
 	snapshot := f.snapshot.Load()
@@ -210,12 +210,12 @@
 	return errors
 }
 
-// errNotReady refuses a request before anything is read of it.
+// errNotReady returns the refusal of a request while the entry is not ready.
 func errNotReady() *result.Error { return result.New(result.NotReady, result.NotRun, "") }
 
-// Metrics counts requests by outcome and time to first token by length class.
+// Metrics counts requests by result and records the time to first token by length class.
 type Metrics struct {
-	Requests atomic.Int64
-	byCode   sync.Map
-	first    [call.NumClasses]firstToken
+	Requests   atomic.Int64
+	byCode     sync.Map
+	firstToken [call.NumClasses]firstTokenHistogram
 }
--- a/entry/front/generate.go
+++ b/entry/front/generate.go
@@ -17,10 +17,10 @@
 	"acaciacleat.example/peers/link"
 )
 
-// defaultMaxTokens is reserved for an answer whose length the caller did not bound.
+// defaultMaxTokens is reserved for an answer if the caller sets no maximum length.
 const defaultMaxTokens = 1024
 
-// maxRetries bounds the agents tried after the first for one request.
+// maxRetries bounds the agents that are tried after the first for one request.
 const maxRetries = 4
 
 // generate serves a completion or chat completion.
@@ -29,7 +29,7 @@
 	if q == nil {
 		return
 	}
-	defer q.release()
+	defer q.releaseBody()
 	if err := q.readBody(); err != nil {
 		q.fail(err)
 		return
@@ -53,27 +53,27 @@
 		q.fail(err)
 		return
 	}
-	defer q.leave()
+	defer q.releaseQuota()
 	q.runGeneration(g, ref, spec)
 }
 
-// generationSpec turns a parsed request into what flight carries.
+// generationSpec returns the flight.Spec of a parsed request.
 func (q *request) generationSpec(g *caller.Generation, ref *document.ModelRef) (flight.Spec, *result.Error) {
-	work := call.TokenDemand{
+	demand := call.TokenDemand{
 		PromptTokens: q.front.estimates.tokens(g.Model, len(g.Prompt)),
 		MaxTokens:    g.MaxTokens,
 	}
-	if work.MaxTokens == 0 {
-		work.MaxTokens = min(defaultMaxTokens, ref.Model.ContextTokens)
+	if demand.MaxTokens == 0 {
+		demand.MaxTokens = min(defaultMaxTokens, ref.Model.ContextTokens)
 	}
-	if work.Tokens() > ref.Model.ContextTokens {
+	if demand.Tokens() > ref.Model.ContextTokens {
 		return flight.Spec{}, result.New(result.PromptTooLong, result.NotRun,
-			"about %d prompt tokens and %d for the answer, at most %d in all", work.PromptTokens, work.MaxTokens, ref.Model.ContextTokens)
+			"about %d prompt tokens and %d for the answer, at most %d in all", demand.PromptTokens, demand.MaxTokens, ref.Model.ContextTokens)
 	}
-	class := call.ClassOf(work.PromptTokens)
-	// An engine refuses a group whose shares are a token too small for the prompt as it
-	// counts it, so memory is asked for by the upper estimate.
-	work.PromptTokens = q.front.estimates.upper(g.Model, len(g.Prompt))
+	class := call.ClassOf(demand.PromptTokens)
+	// An engine refuses a group if its memory is even one token too small for the prompt as
+	// the engine counts it, so memory is requested for the upper bound of the estimate.
+	demand.PromptTokens = q.front.estimates.upperBound(g.Model, len(g.Prompt))
 	allowed, err := deadline.Parse(q.http.Header.Get(deadline.Header), deadline.BoundsFor(ref.Service, class))
 	if err != nil {
 		return flight.Spec{}, err
@@ -81,7 +81,7 @@
 	q.record.Update(func(r *record.Request) {
 		r.Service = ref.Service.Name
 		r.Model = g.Model
-		r.PromptTokens = work.PromptTokens
+		r.PromptTokens = demand.PromptTokens
 		r.Class = class.String()
 		r.Deadline = allowed.String()
 	})
@@ -96,8 +96,8 @@
 			Organisation: q.principal.Organisation,
 			Chat:         g.Chat,
 			Repeatable:   true,
-			PromptTokens: work.PromptTokens,
-			MaxTokens:    work.MaxTokens,
+			PromptTokens: demand.PromptTokens,
+			MaxTokens:    demand.MaxTokens,
 			Prefix:       digests,
 			Objective:    string(ref.Service.Objective),
 			Revision:     uint64(q.snapshot.Revision),
@@ -107,7 +107,7 @@
 			Service:      ref.Service.Name,
 			Model:        g.Model,
 			Organisation: q.principal.Organisation,
-			Work:         work,
+			Work:         demand,
 			Zone:         q.front.config.Zone,
 			Objective:    ref.Service.Objective,
 			Prefix:       digests,
@@ -119,10 +119,10 @@
 	}, nil
 }
 
-// runGeneration carries the request and answers, streamed or whole.
+// runGeneration runs the request and sends the answer, streamed or whole.
 func (q *request) runGeneration(g *caller.Generation, ref *document.ModelRef, spec flight.Spec) {
 	shape := caller.NewShape(g, q.id.String(), q.started.Unix())
-	sink := &generationSink{request: q, shape: shape, stream: g.Stream, limit: q.front.config.Limits.WholeAnswerBytes}
+	sink := &generationSink{request: q, shape: shape, stream: g.Stream, maxBytes: q.front.config.Limits.WholeAnswerBytes}
 	sink.class = call.ClassOf(spec.Route.Work.PromptTokens)
 	sink.service = ref.Service.Name
 	spec.Admit = func(predicted time.Duration) *result.Error {
@@ -131,7 +131,7 @@
 	}
 	outcome := flight.New(q.front.config.Registry, spec, sink).Run(q.http.Context())
 	if outcome.Err == nil && sink.tooLarge {
-		outcome.Err = result.New(result.AnswerTooLarge, result.Ran, "over %d bytes", sink.limit)
+		outcome.Err = result.New(result.AnswerTooLarge, result.Ran, "over %d bytes", sink.maxBytes)
 	}
 	if outcome.Err != nil {
 		sink.fail(outcome.Err)
@@ -144,20 +144,20 @@
 		r.CachedTokens = end.CachedTokens
 	})
 	completion := max(outcome.Delivered, end.CompletionTokens)
-	sink.close(end.FinishReason, caller.NewUsage(end.PromptTokens, end.CachedTokens, completion), g.IncludeUsage)
+	sink.finish(end.FinishReason, caller.NewUsage(end.PromptTokens, end.CachedTokens, completion), g.IncludeUsage)
 	q.finish(nil)
 }
 
-// generationSink renders an answer for the caller. It implements flight.Sink.
+// generationSink writes an answer to the caller. It implements flight.Sink.
 type generationSink struct {
 	request  *request
 	shape    *caller.Shape
 	stream   bool
 	service  string
 	class    call.Class
-	limit    int
+	maxBytes int
 	buf      []byte
-	begun    bool
+	started  bool
 	tooLarge bool
 }
 
@@ -166,14 +166,14 @@
 
 // Data implements flight.Sink.
 func (s *generationSink) Data(_ uint32, data []byte) error {
-	if !s.begun {
-		s.first()
+	if !s.started {
+		s.onFirstToken()
 	}
 	if s.stream {
 		s.buf = s.shape.AppendChunk(s.buf, data)
 		return nil
 	}
-	if len(s.buf)+len(data) > s.limit {
+	if len(s.buf)+len(data) > s.maxBytes {
 		s.tooLarge = true
 		return nil
 	}
@@ -181,17 +181,17 @@
 	return nil
 }
 
-// first marks the first token and, for a streamed answer, opens the stream.
-func (s *generationSink) first() {
-	s.begun = true
+// onFirstToken records the time to first token and, for a streamed answer, opens the stream.
+func (s *generationSink) onFirstToken() {
+	s.started = true
 	took := time.Since(s.request.started)
-	s.request.front.metrics.firstTokenAfter(s.class, took)
+	s.request.front.metrics.recordFirstToken(s.class, took)
 	s.request.front.admission.observe(s.service, s.class, s.request.predicted, took)
 	s.request.record.Update(func(r *record.Request) { r.FirstMs = float64(took.Microseconds()) / 1000 })
-	s.open()
+	s.openStream()
 }
 
-func (s *generationSink) open() {
+func (s *generationSink) openStream() {
 	if !s.stream {
 		return
 	}
@@ -215,17 +215,17 @@
 	return http.NewResponseController(s.request.writer).Flush()
 }
 
-// close writes the end of a good answer.
-func (s *generationSink) close(finishReason string, usage *caller.Usage, includeUsage bool) {
+// finish writes the end of a successful answer.
+func (s *generationSink) finish(finishReason string, usage *caller.Usage, includeUsage bool) {
 	if !s.stream {
 		h := s.request.writer.Header()
 		h.Set("Content-Type", "application/json")
 		_, _ = s.request.writer.Write(s.shape.Whole(s.buf, finishReason, usage))
 		return
 	}
-	if !s.begun {
-		s.begun = true
-		s.open()
+	if !s.started {
+		s.started = true
+		s.openStream()
 	}
 	if !includeUsage {
 		usage = nil
@@ -234,13 +234,13 @@
 	_ = s.Flush()
 }
 
-// fail answers with an error, inside the stream when it has begun.
+// fail answers with an error, within the stream if it has started.
 func (s *generationSink) fail(err *result.Error) {
-	if !s.begun && err.Code == result.DeadlinePassed {
-		// Without the requests that were given up only the lucky would be counted.
+	if !s.started && err.Code == result.DeadlinePassed {
+		// If requests without a first token were left out, the observed times would be too short.
 		s.request.front.admission.observe(s.service, s.class, s.request.predicted, time.Since(s.request.started))
 	}
-	if !s.begun || !s.stream {
+	if !s.started || !s.stream {
 		s.request.fail(err)
 		return
 	}
--- a/entry/front/metrics.go
+++ b/entry/front/metrics.go
@@ -11,15 +11,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of the histograms: 10 microseconds to an hour, with two significant digits.
+// The range of the histograms: 10 microseconds to 1 hour, with two significant digits.
 const (
 	firstTokenLowest  = 10
 	firstTokenHighest = int64(time.Hour / time.Microsecond)
 	significantDigits = 2
 )
 
-// firstToken is the time to first token of one length class, in microseconds.
-type firstToken struct {
+// firstTokenHistogram is the time to first token of one length class, in microseconds.
+type firstTokenHistogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
@@ -27,13 +27,13 @@
 // NewMetrics returns empty metrics.
 func NewMetrics() *Metrics {
 	m := &Metrics{}
-	for i := range m.first {
-		m.first[i].histogram = hdrhistogram.New(firstTokenLowest, firstTokenHighest, significantDigits)
+	for i := range m.firstToken {
+		m.firstToken[i].histogram = hdrhistogram.New(firstTokenLowest, firstTokenHighest, significantDigits)
 	}
 	return m
 }
 
-func (m *Metrics) count(code result.Code) {
+func (m *Metrics) countResult(code result.Code) {
 	counter, ok := m.byCode.Load(code)
 	if !ok {
 		counter, _ = m.byCode.LoadOrStore(code, new(atomic.Int64))
@@ -41,16 +41,16 @@
 	counter.(*atomic.Int64).Add(1)
 }
 
-func (m *Metrics) firstTokenAfter(class call.Class, d time.Duration) {
-	f := &m.first[class]
+func (m *Metrics) recordFirstToken(class call.Class, d time.Duration) {
+	f := &m.firstToken[class]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// A value out of range is not worth failing a request for.
+	// A value out of range is not recorded; the request must not fail because of it.
 	_ = f.histogram.RecordValue(d.Microseconds())
 }
 
-// FirstToken is a summary of times to first token, in milliseconds.
-type FirstToken struct {
+// FirstTokenSummary summarises times to first token, in milliseconds.
+type FirstTokenSummary struct {
 	Count int64   `json:"count"`
 	P50Ms float64 `json:"p50_ms"`
 	P95Ms float64 `json:"p95_ms"`
@@ -58,12 +58,12 @@
 }
 
 // FirstTokens returns the summary of each length class.
-func (m *Metrics) FirstTokens() map[string]FirstToken {
-	all := make(map[string]FirstToken, len(m.first))
-	for i := range m.first {
-		f := &m.first[i]
+func (m *Metrics) FirstTokens() map[string]FirstTokenSummary {
+	all := make(map[string]FirstTokenSummary, len(m.firstToken))
+	for i := range m.firstToken {
+		f := &m.firstToken[i]
 		f.mu.Lock()
-		all[call.Class(i).String()] = FirstToken{
+		all[call.Class(i).String()] = FirstTokenSummary{
 			Count: f.histogram.TotalCount(),
 			P50Ms: float64(f.histogram.ValueAtQuantile(50)) / 1000,
 			P95Ms: float64(f.histogram.ValueAtQuantile(95)) / 1000,
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -28,10 +28,11 @@
 	HeaderExecution = "X-Execution"
 )
 
-// retryMinimum lets a service with little traffic retry at all.
-const retryMinimum = retry.DefaultMinInterval
+// minRetryInterval is the time after which a service may always retry once more. Without it,
+// the ratio would allow almost no retries to a service with little traffic.
+const minRetryInterval = retry.DefaultMinInterval
 
-// request is one HTTP request on its way through the front.
+// request is the state of one HTTP request.
 type request struct {
 	front     *Front
 	writer    http.ResponseWriter
@@ -43,15 +44,16 @@
 	record    *record.Request
 	openAI    bool
 	body      []byte
-	held      int64
+	heldBytes int64
 	predicted time.Duration
 	span      collector.Span
-	// quotaKey and bounds are those that the request was admitted under.
+	// quotaKey and bounds are the key and limits under which the request was admitted.
 	quotaKey limits.Key
 	bounds   *document.Limits
 }
 
-// begin identifies and authenticates a request; nil when it has been answered.
+// begin gives a request its ID and authenticates it. It returns nil if it has answered the
+// request with an error.
 func (f *Front) begin(w http.ResponseWriter, r *http.Request, openAI bool) *request {
 	q := &request{front: f, writer: w, http: r, started: time.Now(), openAI: openAI}
 	// crypto/rand.Read never fails on the systems that Go supports.
@@ -87,18 +89,19 @@
 	return nil
 }
 
-// readBody reads the whole body within its bounds. release must be called afterwards.
+// readBody reads the whole body within the limits. releaseBody must be called at the end of
+// the request.
 func (q *request) readBody() *result.Error {
 	limit := q.front.config.Limits.BodyBytes
 	if q.http.ContentLength > limit {
 		return result.New(result.BodyTooLarge, result.NotRun, "%d bytes, at most %d", q.http.ContentLength, limit)
 	}
-	q.held = max(q.http.ContentLength, 0)
+	q.heldBytes = max(q.http.ContentLength, 0)
 	if q.http.ContentLength < 0 {
-		q.held = limit
+		q.heldBytes = limit
 	}
-	if !q.front.bodies.take(q.held) {
-		q.held = 0
+	if !q.front.bodies.acquire(q.heldBytes) {
+		q.heldBytes = 0
 		return result.New(result.QueueFull, result.NotRun, "the entry holds too many bodies")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(q.writer, q.http.Body, limit))
@@ -113,31 +116,31 @@
 	return nil
 }
 
-// fingerprint stands for the request's content. Entries are known by many hosts, which doesn't make
-// another request of it.
+// fingerprint returns the fingerprint of the request's content. It leaves out the host, because
+// entries are reached under many host names.
 func (q *request) fingerprint() fingerprint.Print {
 	return fingerprint.Of(fingerprint.Request{
 		Method: q.http.Method, Path: q.http.RequestURI, Caller: q.principal.Organisation, Body: q.body,
 	})
 }
 
-func (q *request) release() { q.front.bodies.give(q.held) }
+func (q *request) releaseBody() { q.front.bodies.release(q.heldBytes) }
 
-// admit takes one request of the organisation's limits in a service. It counts as a first
-// attempt for the retry budget only then: refused requests would raise the budget without
-// bound. leave must follow if it returns nil.
+// admit admits a request under the limits of its organisation in a service. Only an admitted
+// request counts as a first attempt for the retry budget: refused requests would raise the
+// budget without bound. releaseQuota must be called at the end if admit returns nil.
 func (q *request) admit(service *document.Service, spec *flight.Spec) *result.Error {
 	q.quotaKey = limits.Key{Service: service.Name, Organisation: q.principal.Organisation}
 	q.bounds = &q.principal.In(service.Name).Limits
 	if err := q.front.config.Quota.Admit(q.quotaKey, q.bounds, spec.Route.Work.Tokens()); err != nil {
 		return err
 	}
-	spec.Retries = q.front.retriesOf(service)
+	spec.Retries = q.front.retryPolicy(service)
 	return nil
 }
 
-// leave gives back the concurrency that admit took.
-func (q *request) leave() { q.front.config.Quota.Release(q.quotaKey, q.bounds) }
+// releaseQuota releases the concurrency that admit acquired.
+func (q *request) releaseQuota() { q.front.config.Quota.Release(q.quotaKey, q.bounds) }
 
 // fail answers with an error and closes the record.
 func (q *request) fail(err *result.Error) {
@@ -156,14 +159,14 @@
 	_, _ = q.writer.Write(body)
 }
 
-// finish closes the record, counts and logs the outcome; err is nil on success.
+// finish closes the record, and counts and logs the result; err is nil on success.
 func (q *request) finish(err *result.Error) {
 	q.record.Finish(err)
 	code := result.OK
 	if err != nil {
 		code = err.Code
 	}
-	q.front.metrics.count(code)
+	q.front.metrics.countResult(code)
 	q.span.End(q.id.String(), code)
 	event := q.front.config.Log.Info()
 	if code >= result.DeadlinePassed {
@@ -178,22 +181,22 @@
 
 func (q *request) observe(step flight.Step) { q.record.Add(step.Name, step.Agent, step.Detail) }
 
-// retriesOf returns the retry budget of a service, and counts a first attempt. The ratio
-// is taken from each request's own document: kept from the first one, a change of it has
-// no effect until the entry restarts, and an operator who lowers it in an outage sees
-// the retries go on.
-func (f *Front) retriesOf(service *document.Service) *lockedRetries {
+// retryPolicy returns the retry policy of a service and counts a first attempt. It sets the
+// ratio from the document of each request. If the ratio of the first request were kept, a
+// change would have no effect until the entry restarts, and an operator could not reduce the
+// retries during an outage.
+func (f *Front) retryPolicy(service *document.Service) *lockedRetries {
 	f.retries.mu.Lock()
 	l := f.retries.byService[service.Name]
 	if l == nil {
 		source := mathrand.New(mathrand.NewPCG(mathrand.Uint64(), mathrand.Uint64()))
-		budget := retry.NewBudget(service.RetryRatio, retryMinimum)
-		budget.UseShared(f.retries.floor)
-		l = &lockedRetries{mu: &f.retries.policies, policy: retry.Policy{Budget: budget, Backoff: retry.NewBackoff(source)}}
+		budget := retry.NewBudget(service.RetryRatio, minRetryInterval)
+		budget.UseShared(f.retries.sharedBudget)
+		l = &lockedRetries{mu: &f.retries.budgetMu, policy: retry.Policy{Budget: budget, Backoff: retry.NewBackoff(source)}}
 		f.retries.byService[service.Name] = l
 	}
 	f.retries.mu.Unlock()
-	l.first(time.Now(), service.RetryRatio)
+	l.recordFirst(time.Now(), service.RetryRatio)
 	return l
 }
 
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -16,21 +16,21 @@
 	"acaciacleat.example/peers/link"
 )
 
-// HeaderIdempotencyKey is the request header that makes a repeat recognisable.
+// HeaderIdempotencyKey is the request header by which a repeated call is recognised.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
 // maxKeyBytes bounds an Idempotency-Key.
 const maxKeyBytes = 255
 
-// service serves a call of a plain service.
-func (f *Front) service(w http.ResponseWriter, r *http.Request) {
+// callService handles a call of a plain service.
+func (f *Front) callService(w http.ResponseWriter, r *http.Request) {
 	q := f.begin(w, r, false)
 	if q == nil {
 		return
 	}
-	defer q.release()
+	defer q.releaseBody()
 	service := q.snapshot.Service(r.PathValue("service"))
-	if err := q.allowed(service); err != nil {
+	if err := q.authorize(service); err != nil {
 		q.fail(err)
 		return
 	}
@@ -47,7 +47,7 @@
 		q.fail(err)
 		return
 	}
-	defer q.leave()
+	defer q.releaseQuota()
 	sink := &serviceSink{request: q}
 	outcome := flight.New(f.config.Registry, spec, sink).Run(r.Context())
 	if outcome.Err == nil {
@@ -57,7 +57,7 @@
 	sink.fail(outcome.Err)
 }
 
-func (q *request) allowed(service *document.Service) *result.Error {
+func (q *request) authorize(service *document.Service) *result.Error {
 	name := q.http.PathValue("service")
 	if service == nil || service.Kind != document.KindPlain {
 		return result.New(result.UnknownService, result.NotRun, "service %q", name)
@@ -75,7 +75,7 @@
 	}
 	path := servicePath(q.http, service.Name)
 	repeatable := service.Repeatable(q.http.Method, path)
-	key, err := q.key(service, path, repeatable)
+	key, err := q.idempotencyKey(service, path, repeatable)
 	if err != nil {
 		return flight.Spec{}, err
 	}
@@ -110,7 +110,7 @@
 	}, nil
 }
 
-// servicePath is the escaped path below the service, with the query.
+// servicePath returns the escaped path below the service, with the query.
 func servicePath(r *http.Request, service string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), "/v1/services/"+service)
 	if path == "" {
@@ -122,9 +122,9 @@
 	return path
 }
 
-// key reads Idempotency-Key. A repeatable call needs no row in the table: running it
-// again does no harm.
-func (q *request) key(service *document.Service, path string, repeatable bool) (*flight.Key, *result.Error) {
+// idempotencyKey reads the Idempotency-Key. It returns nil for a repeatable call, which needs
+// no row in the table because it may run more than once.
+func (q *request) idempotencyKey(service *document.Service, path string, repeatable bool) (*flight.Key, *result.Error) {
 	values, present := q.http.Header[HeaderIdempotencyKey]
 	if !present {
 		return nil, nil
@@ -155,8 +155,9 @@
 	return true
 }
 
-// hopHeaders belong to one connection or to this system and are not passed on.
-var hopHeaders = map[string]bool{
+// unforwardedHeaders are the headers of one connection or of this system. They are not
+// forwarded.
+var unforwardedHeaders = map[string]bool{
 	"Authorization": true, "Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Host": true, "Content-Length": true, HeaderRequestID: true, HeaderExecution: true, deadline.Header: true,
@@ -165,7 +166,7 @@
 func forwardedHeaders(header http.Header) []link.HeaderField {
 	var fields []link.HeaderField
 	for name, values := range header {
-		if hopHeaders[name] {
+		if unforwardedHeaders[name] {
 			continue
 		}
 		for _, value := range values {
@@ -175,18 +176,18 @@
 	return fields
 }
 
-// serviceSink relays a plain service's answer. It implements flight.Sink.
+// serviceSink relays the answer of a plain service. It implements flight.Sink.
 type serviceSink struct {
-	request *request
-	begun   bool
+	request     *request
+	headWritten bool
 }
 
 // Head implements flight.Sink.
 func (s *serviceSink) Head(head *link.Head) error {
-	s.begun = true
+	s.headWritten = true
 	h := s.request.writer.Header()
 	for _, field := range head.Header {
-		if !hopHeaders[field.Name] || field.Name == "Content-Length" {
+		if !unforwardedHeaders[field.Name] || field.Name == "Content-Length" {
 			h.Add(field.Name, field.Value)
 		}
 	}
@@ -206,10 +207,10 @@
 	return http.NewResponseController(s.request.writer).Flush()
 }
 
-// fail answers with an error. Once the head is out there is no place for one: the
-// connection is cut, so that the caller can't take half an answer for a whole one.
+// fail answers with an error. After the head was written it aborts the connection instead, so
+// that the caller can't take a partial answer for a complete one.
 func (s *serviceSink) fail(err *result.Error) {
-	if !s.begun {
+	if !s.headWritten {
 		s.request.fail(err)
 		return
 	}
