--- a/entry/quota/ask.go
+++ b/entry/quota/ask.go
@@ -9,93 +9,94 @@
 	"acaciacleat.example/peers/link"
 )
 
-// question is one that an owner has not answered yet. Its fields but done belong to the
-// shard's lock until done is closed.
-type question struct {
-	want   limits.GrantRequest
-	owner  string
-	bounds *document.Limits
-	// verdict is on the request that asked. It is made under the lock that takes the
-	// grant: another request would otherwise use up what was granted for this one.
-	verdict limits.Decision
-	done    chan struct{}
+// pendingRequest is a grant request that the owner has not answered yet. The shard's lock guards
+// all fields except done until done is closed.
+type pendingRequest struct {
+	request limits.GrantRequest
+	owner   string
+	bounds  *document.Limits
+	// decision is the decision on the request for which the grant was requested. It is made
+	// under the same lock under which the grant is handled; otherwise another request could use
+	// the grant.
+	decision limits.Decision
+	done     chan struct{}
 }
 
-// askUntilDecided asks the owner for a request and waits.
-func (e *Enforcer) askUntilDecided(s *shard, key limits.Key, bounds *document.Limits, tokens int) limits.Decision {
-	line := time.NewTimer(lineTimeout)
-	defer line.Stop()
+// requestUntilDecided sends grant requests to the owner until the request is decided.
+func (e *Enforcer) requestUntilDecided(s *shard, key limits.Key, bounds *document.Limits, tokens int) limits.Decision {
+	timer := time.NewTimer(pendingTimeout)
+	defer timer.Stop()
 	for {
-		verdict, q, mine := s.decideOrAsk(key, bounds, tokens)
+		decision, q, created := s.decideOrRequest(key, bounds, tokens)
 		switch {
 		case q == nil:
-			return verdict
-		case mine:
-			e.ask(s, q)
-			if q.verdict.Outcome != limits.AskOwner {
-				return q.verdict
+			return decision
+		case created:
+			e.awaitGrant(s, q)
+			if q.decision.Outcome != limits.AskOwner {
+				return q.decision
 			}
 		}
 		select {
 		case <-q.done:
-		case <-line.C:
-			return limits.Decision{Outcome: limits.Refused, RetryAfter: lineRetry}
+		case <-timer.C:
+			return limits.Decision{Outcome: limits.Refused, RetryAfter: pendingRetryAfter}
 		}
 	}
 }
 
-// decideOrAsk decides again, or returns the organisation's open question; mine tells that
-// it was opened for this request.
-func (s *shard) decideOrAsk(key limits.Key, bounds *document.Limits, tokens int) (verdict limits.Decision, q *question, mine bool) {
+// decideOrRequest decides again or returns the organisation's pending grant request; created is
+// set if it was created for this request.
+func (s *shard) decideOrRequest(key limits.Key, bounds *document.Limits, tokens int) (decision limits.Decision, q *pendingRequest, created bool) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict = s.entry.Decide(now, key, bounds, tokens)
-	if verdict.Outcome != limits.AskOwner {
-		return verdict, nil, false
+	decision = s.entry.Decide(now, key, bounds, tokens)
+	if decision.Outcome != limits.AskOwner {
+		return decision, nil, false
 	}
-	if q := s.questions[key]; q != nil {
-		return verdict, q, false
+	if q := s.pending[key]; q != nil {
+		return decision, q, false
 	}
-	q = &question{
-		want:   s.entry.NewGrantRequest(now, key, tokens),
-		owner:  verdict.Owner,
-		bounds: bounds,
-		done:   make(chan struct{}),
+	q = &pendingRequest{
+		request: s.entry.NewGrantRequest(now, key, tokens),
+		owner:   decision.Owner,
+		bounds:  bounds,
+		done:    make(chan struct{}),
 	}
-	s.questions[key] = q
-	return verdict, q, true
+	s.pending[key] = q
+	return decision, q, true
 }
 
-// ask sends a question and returns once it is answered or given up.
-func (e *Enforcer) ask(s *shard, q *question) {
+// awaitGrant sends a grant request and returns once it is answered or has timed out.
+func (e *Enforcer) awaitGrant(s *shard, q *pendingRequest) {
 	e.Counters.Asked.Add(1)
-	go e.send(s, q)
-	timer := time.NewTimer(askTimeout)
+	go e.sendRequest(s, q)
+	timer := time.NewTimer(grantTimeout)
 	defer timer.Stop()
 	select {
 	case <-q.done:
 	case <-timer.C:
-		e.silent(s, q)
+		e.ownerTimedOut(s, q)
 	}
 }
 
-// send sends a question. A link whose peer has gone silent takes questions and never
-// answers them, as long as TCP allows: one notices it by every question timing out. So
-// after a time-out the link must prove that it lives, or it is closed and the next
-// question dials anew.
-func (e *Enforcer) send(s *shard, q *question) {
+// sendRequest sends a grant request. If the peer of a link no longer responds, TCP keeps the
+// link open for a long time, and every grant request over it times out. Therefore the link is
+// checked after a timeout and closed if the peer does not answer, so that the next grant
+// request dials a new one.
+func (e *Enforcer) sendRequest(s *shard, q *pendingRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), link.DefaultTiming.Silence)
 	defer cancel()
 	c, err := e.connect(ctx, q.owner)
 	if err == nil {
-		err = c.Send(askMessage(&q.want))
+		err = c.Send(requestMessage(&q.request))
 	}
 	if err != nil {
-		e.silent(s, q)
+		e.ownerTimedOut(s, q)
 		return
 	}
-	timer := time.NewTimer(askTimeout)
+	timer := time.NewTimer(grantTimeout)
 	defer timer.Stop()
 	select {
 	case <-q.done:
@@ -107,75 +108,76 @@
 	}
 }
 
-// silent gives a question up: all organisations of its owner go on with shares for a while.
-func (e *Enforcer) silent(s *shard, q *question) {
+// ownerTimedOut ends a grant request without an answer. All organisations of its owner use
+// local shares for a while.
+func (e *Enforcer) ownerTimedOut(s *shard, q *pendingRequest) {
 	s.mu.Lock()
-	open := s.open(q)
+	pending := s.isPending(q)
 	s.mu.Unlock()
-	if !open {
+	if !pending {
 		return
 	}
 	now := time.Now()
 	for i := range e.shards {
-		e.shards[i].ownerSilent(now, q.owner)
+		e.shards[i].ownerTimedOut(now, q.owner)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open(q) {
+	if s.isPending(q) {
 		e.Counters.Silent.Add(1)
-		s.settle(now, q)
+		s.complete(now, q)
 	}
 }
 
-func (s *shard) ownerSilent(now time.Time, owner string) {
+func (s *shard) ownerTimedOut(now time.Time, owner string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entry.OwnerTimedOut(now, owner)
 }
 
-// open is called with mu held.
-func (s *shard) open(q *question) bool { return s.questions[q.want.Key] == q }
+// isPending reports whether q has no answer yet. It is called with mu held.
+func (s *shard) isPending(q *pendingRequest) bool { return s.pending[q.request.Key] == q }
 
-// settle decides on the request that asked and lets those behind it go on. It is called
-// with mu held.
-func (s *shard) settle(now time.Time, q *question) {
-	q.verdict = s.entry.Decide(now, q.want.Key, q.bounds, int(q.want.Tokens))
-	delete(s.questions, q.want.Key)
+// complete decides on the request for which q was created, and wakes the requests that wait
+// for q. It is called with mu held.
+func (s *shard) complete(now time.Time, q *pendingRequest) {
+	q.decision = s.entry.Decide(now, q.request.Key, q.bounds, int(q.request.Tokens))
+	delete(s.pending, q.request.Key)
 	close(q.done)
 }
 
-// OnMessage takes the messages of this package's concern; false when it is another's. It
-// runs on event loops and doesn't block.
+// OnMessage handles the messages about limits. It returns false for all other messages. It runs
+// on event loops and does not block.
 func (e *Enforcer) OnMessage(from string, c Link, message link.Message) bool {
 	switch m := message.(type) {
 	case *link.LimitAsk:
-		e.onAsk(from, c, m)
+		e.handleGrantRequest(from, c, m)
 	case *link.LimitGrant:
-		e.onGrant(m)
+		e.handleGrant(m)
 	case *link.LimitRenew:
-		e.onRenew(from, m)
+		e.handleRenewal(from, m)
 	default:
 		return false
 	}
 	return true
 }
 
-func (e *Enforcer) onAsk(from string, c Link, m *link.LimitAsk) {
-	want := wantOf(m)
+func (e *Enforcer) handleGrantRequest(from string, c Link, m *link.LimitAsk) {
+	request := requestOf(m)
 	e.Counters.Answered.Add(1)
-	grant := e.answer(from, &want)
+	grant := e.grant(from, &request)
 	_ = c.Send(grantMessage(&grant))
 }
 
-func (e *Enforcer) answer(from string, want *limits.GrantRequest) limits.Grant {
-	bounds := e.config.Limits(want.Key)
-	s := e.shard(want.Key)
+func (e *Enforcer) grant(from string, request *limits.GrantRequest) limits.Grant {
+	bounds := e.config.Limits(request.Key)
+	s := e.shard(request.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.entry.HandleGrantRequest(time.Now(), from, want, bounds)
+	return s.entry.HandleGrantRequest(time.Now(), from, request, bounds)
 }
 
-func (e *Enforcer) onGrant(m *link.LimitGrant) {
+func (e *Enforcer) handleGrant(m *link.LimitGrant) {
 	grant := grantOf(m)
 	e.Counters.Granted.Add(1)
 	now := time.Now()
@@ -183,15 +185,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entry.HandleGrant(now, &grant)
-	if q := s.questions[grant.Key]; q != nil && q.want.Sequence == grant.Sequence {
-		s.settle(now, q)
+	if q := s.pending[grant.Key]; q != nil && q.request.Sequence == grant.Sequence {
+		s.complete(now, q)
 	}
 }
 
-func (e *Enforcer) onRenew(from string, m *link.LimitRenew) {
+func (e *Enforcer) handleRenewal(from string, m *link.LimitRenew) {
 	for i := range m.Holds {
 		h := &m.Holds[i]
-		e.answer(from, &limits.GrantRequest{
+		e.grant(from, &limits.GrantRequest{
 			Key:      limits.Key{Service: h.Service, Organisation: h.Organisation},
 			Sequence: h.Sequence,
 			Held:     h.Held,
--- a/entry/quota/messages.go
+++ b/entry/quota/messages.go
@@ -7,19 +7,19 @@
 	"acaciacleat.example/peers/link"
 )
 
-func askMessage(want *limits.GrantRequest) *link.LimitAsk {
+func requestMessage(request *limits.GrantRequest) *link.LimitAsk {
 	return &link.LimitAsk{
-		Service:      want.Key.Service,
-		Organisation: want.Key.Organisation,
-		Sequence:     want.Sequence,
-		Tokens:       want.Tokens,
-		Held:         want.Held,
-		MoreRequests: want.MoreRequests,
-		MoreTokens:   want.MoreTokens,
+		Service:      request.Key.Service,
+		Organisation: request.Key.Organisation,
+		Sequence:     request.Sequence,
+		Tokens:       request.Tokens,
+		Held:         request.Held,
+		MoreRequests: request.MoreRequests,
+		MoreTokens:   request.MoreTokens,
 	}
 }
 
-func wantOf(m *link.LimitAsk) limits.GrantRequest {
+func requestOf(m *link.LimitAsk) limits.GrantRequest {
 	return limits.GrantRequest{
 		Key:          limits.Key{Service: m.Service, Organisation: m.Organisation},
 		Sequence:     m.Sequence,
@@ -30,7 +30,7 @@
 	}
 }
 
-// grantMessage rounds the wait up: a caller sent away for too short is refused again.
+// grantMessage rounds RetryAfter up, because a caller that retries too early is refused again.
 func grantMessage(grant *limits.Grant) *link.LimitGrant {
 	return &link.LimitGrant{
 		Service:      grant.Key.Service,
@@ -58,11 +58,11 @@
 	}
 }
 
-func hold(want *limits.GrantRequest) link.LimitHold {
+func holdMessage(request *limits.GrantRequest) link.LimitHold {
 	return link.LimitHold{
-		Service:      want.Key.Service,
-		Organisation: want.Key.Organisation,
-		Sequence:     want.Sequence,
-		Held:         want.Held,
+		Service:      request.Key.Service,
+		Organisation: request.Key.Organisation,
+		Sequence:     request.Sequence,
+		Held:         request.Held,
 	}
 }
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -1,10 +1,9 @@
-// Package quota keeps organisations within their fleet-wide limits at one entry: it
-// carries out the decisions of core/limits over links between entries.
+// Package quota enforces the fleet-wide limits of organisations at one entry. It performs the
+// decisions of core/limits over links between entries.
 //
 // Most requests are decided under one short lock and without a message. A request that no
-// grant covers waits for the owner's answer, askTimeout at most; an owner that stays
-// silent longer is passed over, and the entry goes on with its own share of the limits.
-// Nothing here touches the store.
+// grant covers waits at most grantTimeout for the owner's answer. If the owner does not answer
+// in time, the entry uses its local share of the limits. The package does not use the store.
 package quota
 
 import (
@@ -24,26 +23,28 @@
 )
 
 const (
-	// askTimeout is how long a request waits for an owner. A round trip between zones
-	// takes about 3 ms, so that a live owner answers long before; a caller who waits for
-	// a dead one hardly notices it.
-	askTimeout = 200 * time.Millisecond
-	// lineTimeout bounds a request's wait behind other questions about its organisation.
-	lineTimeout = time.Second
-	// lineRetry is the time after which a request that waited so long may come again.
-	lineRetry = 500 * time.Millisecond
-	// tickEvery is how often concurrency is given back, as core/limits asks for.
-	tickEvery = 100 * time.Millisecond
-	// membersEvery is how often the live entries are read from the fleet's view.
-	membersEvery = time.Second
-	// shardCount keeps requests of different organisations from waiting for one lock.
+	// grantTimeout is how long a request waits for an owner. A round trip between zones takes
+	// about 3 ms, so a live owner answers long before, and the wait for a dead one delays the
+	// caller only a little.
+	grantTimeout = 200 * time.Millisecond
+	// pendingTimeout bounds the time that a request waits for the pending requests to the owner
+	// of its organisation.
+	pendingTimeout = time.Second
+	// pendingRetryAfter is the RetryAfter of a request that waited for pendingTimeout.
+	pendingRetryAfter = 500 * time.Millisecond
+	// tickInterval is the time between two releases of concurrency; see limits.Entry.Tick.
+	tickInterval = 100 * time.Millisecond
+	// membersInterval is the time between two reads of the live entries.
+	membersInterval = time.Second
+	// shardCount is the number of locks, which keeps requests of different organisations from
+	// waiting for each other.
 	shardCount = 16
 )
 
 // Link is an open link to another entry. link.Conn implements it.
 type Link interface {
 	Send(message link.Message) error
-	// Refresh proves that the peer answers, unless it did within maxAge.
+	// Refresh checks that the peer answers, unless it did so within maxAge.
 	Refresh(ctx context.Context, maxAge time.Duration) error
 	Close(reason error)
 }
@@ -56,22 +57,22 @@
 	Entries func() []fleet.Entry
 	// Connect returns an open link to an entry.
 	Connect func(ctx context.Context, vm, addr string) (Link, error)
-	// Limits returns an organisation's limits in this entry's documents.
+	// Limits returns an organisation's limits according to this entry's documents.
 	Limits func(key limits.Key) *document.Limits
 }
 
 // Counters count what an Enforcer did.
 type Counters struct {
-	// Asked and Granted are questions to owners and those that were answered; Silent are
-	// those that weren't in time.
+	// Asked counts the grant requests to owners, Granted those that were answered, and Silent
+	// those that were not answered in time.
 	Asked, Granted, Silent atomic.Int64
-	// Answered are other entries' questions.
+	// Answered counts the grant requests of other entries.
 	Answered atomic.Int64
-	// Refused are requests over a limit.
+	// Refused counts the requests over a limit.
 	Refused atomic.Int64
 }
 
-// Map returns the counters by name, for operators.
+// Map returns the counters by name.
 func (c *Counters) Map() map[string]int64 {
 	return map[string]int64{
 		"asked":    c.Asked.Load(),
@@ -91,29 +92,30 @@
 	members atomic.Pointer[members]
 }
 
-// members are the live entries, this one among them, in the order of their names.
+// members are the live entries, including this one, sorted by name.
 type members struct {
 	names     []string
 	addresses map[string]string
 }
 
-// shard is the state of a part of the organisations.
+// shard holds the state of a part of the organisations.
 type shard struct {
 	mu    sync.Mutex
 	entry *limits.Entry
-	// questions are those that wait for an answer, one at a time for an organisation:
-	// each grants a single slot of concurrency, and only the newest answer counts.
-	questions map[limits.Key]*question
+	// pending holds the grant requests without an answer. There is at most one for each
+	// organisation, because each grants a single slot of concurrency and only the newest
+	// answer counts.
+	pending map[limits.Key]*pendingRequest
 }
 
 // New returns an Enforcer that knows no other entry until Run.
 func New(config Config) *Enforcer {
 	e := &Enforcer{config: config}
-	// No earlier process of this name can have numbered its messages as high.
+	// Higher than any sequence number of an earlier process of this name.
 	sequence := uint64(time.Now().UnixNano())
 	for i := range e.shards {
 		e.shards[i].entry = limits.NewEntry(config.Self, sequence)
-		e.shards[i].questions = make(map[limits.Key]*question)
+		e.shards[i].pending = make(map[limits.Key]*pendingRequest)
 	}
 	e.members.Store(&members{names: []string{config.Self}})
 	return e
@@ -123,18 +125,18 @@
 	return &e.shards[rendezvous.Hash(key.Organisation)%shardCount]
 }
 
-// Admit decides on a request of the given tokens; nil lets it go on, and Release must
-// follow at its end. It allocates nothing when no question to an owner is needed and the
-// request isn't refused.
+// Admit decides on a request of the given tokens. It returns nil if the request is admitted;
+// Release must then be called at its end. It does not allocate if the request is admitted
+// without a grant request to an owner.
 func (e *Enforcer) Admit(key limits.Key, bounds *document.Limits, tokens int) *result.Error {
 	s := e.shard(key)
 	s.mu.Lock()
-	verdict := s.entry.Decide(time.Now(), key, bounds, tokens)
+	decision := s.entry.Decide(time.Now(), key, bounds, tokens)
 	s.mu.Unlock()
-	if verdict.Outcome == limits.AskOwner {
-		verdict = e.askUntilDecided(s, key, bounds, tokens)
+	if decision.Outcome == limits.AskOwner {
+		decision = e.requestUntilDecided(s, key, bounds, tokens)
 	}
-	if verdict.Outcome == limits.Admitted {
+	if decision.Outcome == limits.Admitted {
 		return nil
 	}
 	e.Counters.Refused.Add(1)
@@ -142,11 +144,11 @@
 		Code:       result.OrganisationLimit,
 		Execution:  result.NotRun,
 		Detail:     key.Organisation,
-		RetryAfter: verdict.RetryAfter,
+		RetryAfter: decision.RetryAfter,
 	}
 }
 
-// Release takes the end of a request that was admitted under these limits.
+// Release records the end of a request that was admitted under these limits.
 func (e *Enforcer) Release(key limits.Key, bounds *document.Limits) {
 	s := e.shard(key)
 	s.mu.Lock()
@@ -162,31 +164,32 @@
 	return s.entry.Owner(key)
 }
 
-// Members is the number of live entries that take part, this one included.
+// Members returns the number of live entries, including this one.
 func (e *Enforcer) Members() int { return len(e.members.Load().names) }
 
-// Run keeps the live entries up to date and gives concurrency back until ctx ends.
+// Run updates the live entries and releases concurrency until ctx ends.
 func (e *Enforcer) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	read := time.NewTicker(membersEvery)
+	read := time.NewTicker(membersInterval)
 	defer read.Stop()
-	e.readMembers()
+	e.updateMembers()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-read.C:
-			e.readMembers()
+			e.updateMembers()
 		case <-tick.C:
 			e.tick(ctx)
 		}
 	}
 }
 
-// readMembers hands changed members on. Unchanged ones are not, for each change makes
-// every account look for its owner anew.
-func (e *Enforcer) readMembers() {
+// updateMembers reads the live entries and sets them in all shards if they have changed. It
+// leaves the shards alone otherwise, because each call makes every account determine its owner
+// again.
+func (e *Enforcer) updateMembers() {
 	next := &members{names: []string{e.config.Self}, addresses: make(map[string]string)}
 	for _, entry := range e.config.Entries() {
 		next.names = append(next.names, entry.ID)
@@ -205,7 +208,7 @@
 	}
 }
 
-// tick sends each owner what this entry holds.
+// tick sends each owner the concurrency that this entry holds.
 func (e *Enforcer) tick(ctx context.Context) {
 	holds := make(map[string][]link.LimitHold)
 	now := time.Now()
@@ -215,23 +218,23 @@
 		renewals := s.entry.Tick(now)
 		s.mu.Unlock()
 		for _, renewal := range renewals {
-			holds[renewal.Owner] = append(holds[renewal.Owner], hold(&renewal.Request))
+			holds[renewal.Owner] = append(holds[renewal.Owner], holdMessage(&renewal.Request))
 		}
 	}
 	for owner, list := range holds {
-		go e.renew(ctx, owner, list)
+		go e.sendRenewals(ctx, owner, list)
 	}
 }
 
-// holdsPerMessage keeps a renewal within a frame.
-const holdsPerMessage = 1000
+// maxHoldsPerMessage bounds a renewal so that it fits into a frame.
+const maxHoldsPerMessage = 1000
 
-func (e *Enforcer) renew(ctx context.Context, owner string, list []link.LimitHold) {
+func (e *Enforcer) sendRenewals(ctx context.Context, owner string, list []link.LimitHold) {
 	c, err := e.connect(ctx, owner)
 	if err != nil {
 		return
 	}
-	for part := range slices.Chunk(list, holdsPerMessage) {
+	for part := range slices.Chunk(list, maxHoldsPerMessage) {
 		_ = c.Send(&link.LimitRenew{Holds: part})
 	}
 }
@@ -239,7 +242,7 @@
 func (e *Enforcer) connect(ctx context.Context, owner string) (Link, error) {
 	addr, known := e.members.Load().addresses[owner]
 	if !known {
-		return nil, errors.Errorf("quota: %s is no live entry", owner)
+		return nil, errors.Errorf("quota: %s is not a live entry", owner)
 	}
 	return e.config.Connect(ctx, owner, addr)
 }
--- a/entry/quota/quota_test.go
+++ b/entry/quota/quota_test.go
@@ -19,17 +19,17 @@
 
 var key = limits.Key{Service: "parts", Organisation: "omuti"}
 
-// cluster joins enforcers by links that deliver at once. A silent entry takes messages
+// cluster connects enforcers by links that deliver immediately. A silent entry accepts messages
 // and answers none.
 type cluster struct {
-	bounds document.Limits
-	all    map[string]*Enforcer
-	silent map[string]*atomic.Bool
-	closed atomic.Int64
+	bounds    document.Limits
+	enforcers map[string]*Enforcer
+	silent    map[string]*atomic.Bool
+	closed    atomic.Int64
 }
 
 func newCluster(t testing.TB, entries int, bounds document.Limits) *cluster {
-	c := &cluster{bounds: bounds, all: make(map[string]*Enforcer), silent: make(map[string]*atomic.Bool)}
+	c := &cluster{bounds: bounds, enforcers: make(map[string]*Enforcer), silent: make(map[string]*atomic.Bool)}
 	var live []fleet.Entry
 	for i := range entries {
 		name := fmt.Sprint("entry-", i)
@@ -37,13 +37,13 @@
 		c.silent[name] = &atomic.Bool{}
 	}
 	for _, entry := range live {
-		c.all[entry.ID] = New(Config{
+		c.enforcers[entry.ID] = New(Config{
 			Self:    entry.ID,
 			Entries: func() []fleet.Entry { return others(live, entry.ID) },
-			Connect: func(_ context.Context, vm, _ string) (Link, error) { return &wire{c, entry.ID, vm}, nil },
+			Connect: func(_ context.Context, vm, _ string) (Link, error) { return &fakeLink{c, entry.ID, vm}, nil },
 			Limits:  func(limits.Key) *document.Limits { return &c.bounds },
 		})
-		c.all[entry.ID].readMembers()
+		c.enforcers[entry.ID].updateMembers()
 	}
 	return c
 }
@@ -57,32 +57,32 @@
 	return all
 }
 
-// wire is one entry's end of a link.
-type wire struct {
+// fakeLink is one entry's end of a link.
+type fakeLink struct {
 	cluster  *cluster
 	from, to string
 }
 
-func (w *wire) Send(message link.Message) error {
-	if !w.cluster.silent[w.to].Load() {
-		w.cluster.all[w.to].OnMessage(w.from, &wire{w.cluster, w.to, w.from}, message)
+func (l *fakeLink) Send(message link.Message) error {
+	if !l.cluster.silent[l.to].Load() {
+		l.cluster.enforcers[l.to].OnMessage(l.from, &fakeLink{l.cluster, l.to, l.from}, message)
 	}
 	return nil
 }
 
-func (w *wire) Refresh(ctx context.Context, _ time.Duration) error {
-	if !w.cluster.silent[w.to].Load() {
+func (l *fakeLink) Refresh(ctx context.Context, _ time.Duration) error {
+	if !l.cluster.silent[l.to].Load() {
 		return nil
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (w *wire) Close(error) { w.cluster.closed.Add(1) }
+func (l *fakeLink) Close(error) { l.cluster.closed.Add(1) }
 
 // notOwner returns an entry that doesn't own the key.
 func (c *cluster) notOwner() *Enforcer {
-	for name, e := range c.all {
+	for name, e := range c.enforcers {
 		if name != e.Owner(key) {
 			return e
 		}
@@ -95,7 +95,7 @@
 		c := newCluster(t, 4, document.Limits{RequestsPerSecond: 5})
 		admitted := 0
 		for range 20 {
-			for _, e := range c.all {
+			for _, e := range c.enforcers {
 				err := e.Admit(key, &c.bounds, 1)
 				if err == nil {
 					admitted++
@@ -107,26 +107,26 @@
 			}
 		}
 		require.LessOrEqual(t, admitted, 10, "the burst of two seconds, once for the fleet")
-		require.GreaterOrEqual(t, admitted, 8, "all but what batches leave unused")
+		require.GreaterOrEqual(t, admitted, 8, "all except those in unused batches")
 	})
 }
 
-func TestSlotsOfConcurrencyComeBack(t *testing.T) {
+func TestReleasedConcurrencyIsAvailableAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, document.Limits{Concurrency: 2})
 		ctx, stop := context.WithCancel(t.Context())
-		for _, e := range c.all {
+		for _, e := range c.enforcers {
 			go e.Run(ctx)
 		}
 		for range 5 {
-			for _, e := range c.all {
+			for _, e := range c.enforcers {
 				for range 2 {
 					require.Nil(t, e.Admit(key, &c.bounds, 1))
 				}
 				require.NotNil(t, e.Admit(key, &c.bounds, 1))
 				e.Release(key, &c.bounds)
 				e.Release(key, &c.bounds)
-				time.Sleep(lineRetry + tickEvery)
+				time.Sleep(pendingRetryAfter + tickInterval)
 				synctest.Wait()
 			}
 		}
@@ -134,21 +134,20 @@
 	})
 }
 
-// Symptom: requests of one organisation hang at an entry.
-// Sequence: the owner's link goes silent without closing; questions are sent on it.
-// Cause: waiting for an answer without a bound, and keeping the dead link.
-func TestSilentOwnerIsPassedOver(t *testing.T) {
+// Guards against requests that hang because the owner no longer answers while its link stays
+// open: the wait must be bounded and the dead link must be closed.
+func TestSilentOwnerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4, document.Limits{RequestsPerSecond: 4})
 		e := c.notOwner()
 		c.silent[e.Owner(key)].Store(true)
-		began := time.Now()
-		require.Nil(t, e.Admit(key, &c.bounds, 1), "the share lets one of four through")
-		require.Equal(t, askTimeout, time.Since(began))
+		started := time.Now()
+		require.Nil(t, e.Admit(key, &c.bounds, 1), "the local share admits one of four")
+		require.Equal(t, grantTimeout, time.Since(started))
 		for range 3 {
 			_ = e.Admit(key, &c.bounds, 1)
 		}
-		require.Equal(t, askTimeout, time.Since(began), "the owner is not asked again at once")
+		require.Equal(t, grantTimeout, time.Since(started), "no request is sent to the owner again immediately")
 		require.Equal(t, int64(1), e.Counters.Silent.Load())
 		time.Sleep(link.DefaultTiming.Silence)
 		synctest.Wait()
@@ -156,26 +155,24 @@
 
 		c.silent[e.Owner(key)].Store(false)
 		require.Nil(t, e.Admit(key, &c.bounds, 1))
-		require.Equal(t, int64(1), e.Counters.Granted.Load(), "the owner is asked again")
+		require.Equal(t, int64(1), e.Counters.Granted.Load(), "a request is sent to the owner again")
 	})
 }
 
-func TestUnreachableOwnerCostsNoWait(t *testing.T) {
+func TestUnreachableOwnerCausesNoDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2, document.Limits{RequestsPerSecond: 4})
 		e := c.notOwner()
 		e.config.Connect = func(context.Context, string, string) (Link, error) { return nil, errors.New("refused") }
-		began := time.Now()
+		started := time.Now()
 		require.Nil(t, e.Admit(key, &c.bounds, 1))
-		require.Zero(t, time.Since(began))
+		require.Zero(t, time.Since(started))
 	})
 }
 
-// Symptom: of many requests that arrive at once, some are refused although the limit has
-// room.
-// Sequence: one's grant is used by another, which asked at the same time.
-// Cause: taking a grant and deciding on the request that asked under two locks.
-func TestRequestsAtOnceAllGetTheirSlot(t *testing.T) {
+// Guards against refusals below the limit: if a grant were handled and the request for which it
+// was requested decided under separate locks, a concurrent request could use the grant.
+func TestConcurrentRequestsUseTheWholeLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, document.Limits{Concurrency: 60, RequestsPerSecond: 1000, TokensPerSecond: 1e6})
 		e := c.notOwner()
@@ -193,12 +190,12 @@
 	})
 }
 
-func (c *cluster) owner() *Enforcer { return c.all[c.notOwner().Owner(key)] }
+func (c *cluster) owner() *Enforcer { return c.enforcers[c.notOwner().Owner(key)] }
 
-var plenty = document.Limits{RequestsPerSecond: 1e9, TokensPerSecond: 1e12, Concurrency: 1000}
+var highLimits = document.Limits{RequestsPerSecond: 1e9, TokensPerSecond: 1e12, Concurrency: 1000}
 
 func TestDecisionDoesNotAllocate(t *testing.T) {
-	c := newCluster(t, 2, plenty)
+	c := newCluster(t, 2, highLimits)
 	e := c.owner()
 	require.Nil(t, e.Admit(key, &c.bounds, 1))
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
@@ -208,7 +205,7 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	for _, bounds := range []document.Limits{{}, plenty} {
+	for _, bounds := range []document.Limits{{}, highLimits} {
 		b.Run(fmt.Sprintf("unlimited=%t", bounds == document.Limits{}), func(b *testing.B) {
 			c := newCluster(b, 2, bounds)
 			e := c.owner()
