--- a/entry/fleet/choose.go
+++ b/entry/fleet/choose.go
@@ -11,10 +11,11 @@
 	"acaciacleat.example/peers/vmlist"
 )
 
-// stampAge is the greatest age of an agent's clock stamp in an offer. Agents refuse after
-// 2 minutes (idempotency.Limits.OfferAge), so that neither the write of a key's row nor a
-// slow link turns it too old on the way.
-const stampAge = 10 * time.Second
+// maxStampAge is the maximum age of an agent's clock stamp when an agent is chosen. It is far
+// below the 2 minutes after which agents refuse an offer (idempotency.Limits.OfferAge), so
+// that the stamp does not expire while a key's row is written or a slow link delivers the
+// offer.
+const maxStampAge = 10 * time.Second
 
 // Target is an agent chosen for a call, with an open link to it.
 type Target struct {
@@ -30,15 +31,15 @@
 type Decision struct {
 	Agent     string
 	Predicted time.Duration
-	// Live is the number of replicas that could be chosen.
+	// Live is the number of live replicas.
 	Live int
-	// ByAdvice is set when a refusing agent named this one.
-	ByAdvice bool
+	// Recommended is set if an agent that refused the call named this one.
+	Recommended bool
 }
 
-// Choose routes a request and opens the link to the chosen agent. Agents that can not
-// be reached are passed over: nothing has been sent to them. observe, if not nil, is
-// told of each choice.
+// Choose routes a request and opens a link to the chosen agent. It skips agents that can't be
+// reached, since nothing has been sent to them. observe, if not nil, is called for each
+// choice.
 func (v *View) Choose(ctx context.Context, request *routing.Request, better string, observe func(Decision)) (Target, *result.Error) {
 	for {
 		chosen, ok := v.pick(request, better, observe)
@@ -64,35 +65,35 @@
 	}
 }
 
-type pick struct {
+type candidate struct {
 	vm        vmlist.VM
 	predicted time.Duration
 }
 
-func (v *View) pick(request *routing.Request, better string, observe func(Decision)) (pick, bool) {
+func (v *View) pick(request *routing.Request, better string, observe func(Decision)) (candidate, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	g := v.services[request.Service]
 	if g == nil || len(g.replicas) == 0 {
-		return pick{}, false
+		return candidate{}, false
 	}
-	choice := v.advised(g, request, better)
-	byAdvice := choice.Index >= 0
-	if !byAdvice {
+	choice := v.recommended(g, request, better)
+	recommended := choice.Index >= 0
+	if !recommended {
 		choice = g.choose(request)
 	}
 	if choice.Index < 0 {
-		return pick{}, false
+		return candidate{}, false
 	}
 	replica := &g.replicas[choice.Index]
 	if observe != nil {
-		observe(Decision{Agent: replica.Agent, Predicted: choice.Predicted, Live: g.live(), ByAdvice: byAdvice})
+		observe(Decision{Agent: replica.Agent, Predicted: choice.Predicted, Live: g.liveCount(), Recommended: recommended})
 	}
-	return pick{vm: v.agents[replica.Agent].vm, predicted: choice.Predicted}, true
+	return candidate{vm: v.agents[replica.Agent].vm, predicted: choice.Predicted}, true
 }
 
-// advised follows a refusing agent's advice if the replica may be used.
-func (v *View) advised(g *group, request *routing.Request, better string) routing.Choice {
+// recommended chooses the agent that a refusing agent named, if that replica may be used.
+func (v *View) recommended(g *serviceGroup, request *routing.Request, better string) routing.Choice {
 	a := v.agents[better]
 	if a == nil || a.group != g || !routing.Usable(request, &g.replicas[a.index]) {
 		return routing.Choice{Index: -1}
@@ -100,9 +101,10 @@
 	return routing.Choice{Index: a.index}
 }
 
-// choose asks the policy. When no replica is live, the suspected ones are tried: a
-// fault at this entry makes all of them look silent, and a link that opens is proof.
-func (g *group) choose(request *routing.Request) routing.Choice {
+// choose calls the routing policy. If it finds no live replica, the suspected ones are tried
+// as well: a fault at this entry makes all replicas look unresponsive, and a link that opens
+// proves that one is alive.
+func (g *serviceGroup) choose(request *routing.Request) routing.Choice {
 	now := time.Now()
 	choice := g.policy.Choose(request, g.replicas, now)
 	if choice.Index >= 0 {
@@ -117,7 +119,7 @@
 	return g.policy.Choose(request, suspects, now)
 }
 
-func (g *group) live() int {
+func (g *serviceGroup) liveCount() int {
 	n := 0
 	for i := range g.replicas {
 		if g.replicas[i].State == routing.Live {
@@ -127,25 +129,25 @@
 	return n
 }
 
-// Connect returns an open link to a VM whose clock stamp is fresh. Its outcome is
-// evidence of whether the VM lives.
+// Connect returns an open link to a VM with a fresh clock stamp. Its outcome is evidence of
+// whether the VM is alive.
 func (v *View) Connect(ctx context.Context, vm, addr string) (*link.Conn, error) {
 	sent := time.Now()
 	conn, err := v.dialer.Dial(ctx, vm, addr)
 	if err != nil {
-		v.failed(vm, sent, err)
+		v.recordDialFailure(vm, sent, err)
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, link.DefaultTiming.Silence)
 	defer cancel()
-	if err := conn.Refresh(ctx, stampAge); err != nil {
+	if err := conn.Refresh(ctx, maxStampAge); err != nil {
 		conn.Close(link.ErrSilent)
-		v.failed(vm, sent, err)
+		v.recordDialFailure(vm, sent, err)
 		return nil, err
 	}
-	// A link that was open before is no sign of life by itself.
+	// A link that was already open is no evidence of liveness by itself.
 	if conn.Heard().After(sent) {
-		v.learn(vm, conn)
+		v.recordIncarnation(vm, conn)
 	}
 	return conn, nil
 }
--- a/entry/fleet/evidence.go
+++ b/entry/fleet/evidence.go
@@ -11,32 +11,32 @@
 	"github.com/pkg/errors"
 )
 
-// tickEvery is how often suspicions are judged and probes sent.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is the time between two checks of the members, which may send probes.
+const tickInterval = 100 * time.Millisecond
 
-// Watch reads the list of VMs every interval and keeps judging the members until ctx
-// ends. While the list is down the last one read stands.
-func (v *View) Watch(ctx context.Context, lister vmlist.Lister, every time.Duration) {
-	list := time.NewTicker(every)
+// Watch reads the list of VMs at each interval and checks the members until ctx ends. While the
+// list can't be read, the last one stays in use.
+func (v *View) Watch(ctx context.Context, lister vmlist.Lister, interval time.Duration) {
+	list := time.NewTicker(interval)
 	defer list.Stop()
-	judge := time.NewTicker(tickEvery)
-	defer judge.Stop()
-	v.readList(ctx, lister, every)
+	check := time.NewTicker(tickInterval)
+	defer check.Stop()
+	v.readList(ctx, lister, interval)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-list.C:
-			// A list that hangs must not keep dead VMs from being noticed.
-			go v.readList(ctx, lister, every)
-		case <-judge.C:
+			// A read that hangs must not delay the detection of dead VMs.
+			go v.readList(ctx, lister, interval)
+		case <-check.C:
 			v.tick()
 		}
 	}
 }
 
-func (v *View) readList(ctx context.Context, lister vmlist.Lister, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (v *View) readList(ctx context.Context, lister vmlist.Lister, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	vms, err := lister.List(ctx)
 	if err != nil {
@@ -52,45 +52,46 @@
 	v.apply(v.members.Tick(time.Now()))
 }
 
-// Lost records that an open link ended. A peer that closed it may have died: it gets no
-// work until a probe finds it alive. The dialler alone closes idle links, so the loss of
-// one that was accepted is evidence of nothing.
-func (v *View) Lost(c *link.Conn, reason error) {
+// RecordLinkLoss records that an open link closed. The peer may have died, so it gets no
+// requests until a probe succeeds. Only the dialing side closes idle links, so the loss of an
+// accepted link is no evidence.
+func (v *View) RecordLinkLoss(c *link.Conn, reason error) {
 	if !c.Dialed() || errors.Is(reason, link.ErrIdle) {
 		return
 	}
-	// Whatever was sent before the last sign of life has been answered by it.
-	v.silent(c.Peer().VM, c.Heard())
+	// The last received bytes prove that the peer was alive at that time.
+	v.recordTimeout(c.Peer().VM, c.Heard())
 }
 
-// Left records an agent's own word that it takes no new work.
-func (v *View) Left(c *link.Conn) {
+// RecordLeaving records an agent's notice that it accepts no new requests.
+func (v *View) RecordLeaving(c *link.Conn) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer := c.Peer()
 	v.apply(v.members.HandleLeaving(time.Now(), membership.ID(peer.VM), peer.Incarnation))
 }
 
-// Replied records a sign of life. It counts from when its bytes came: were it dated later,
-// the link's loss would seem older than a reply and be ignored, and the death with it.
-func (v *View) Replied(c *link.Conn) {
+// RecordReply records a message from a peer as evidence of liveness. It counts from the time
+// at which its bytes arrived: with a later time, a loss of the link would seem older than the
+// reply and be ignored, and the peer's death would go unnoticed.
+func (v *View) RecordReply(c *link.Conn) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer := c.Peer()
 	v.apply(v.members.HandleReply(c.Heard(), membership.ID(peer.VM), peer.Incarnation))
 }
 
-func (v *View) silent(vm string, sent time.Time) {
+func (v *View) recordTimeout(vm string, sent time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.apply(v.members.HandleTimeout(time.Now(), membership.ID(vm), sent))
 }
 
-// failed turns a failed connection into evidence. Only a refusal proves that nothing
-// listens; everything else may be the network's fault.
-func (v *View) failed(vm string, sent time.Time, err error) {
+// recordDialFailure records a failed connection as evidence. Only a refused connection proves
+// that no process listens; any other failure may be due to the network.
+func (v *View) recordDialFailure(vm string, sent time.Time, err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		v.silent(vm, sent)
+		v.recordTimeout(vm, sent)
 		return
 	}
 	v.mu.Lock()
@@ -98,7 +99,7 @@
 	v.apply(v.members.HandleRefusal(time.Now(), membership.ID(vm)))
 }
 
-// probe looks for a sign of life over a link of its own if there is none.
+// probe checks over a link whether a VM is alive, and dials it if no link is open.
 func (v *View) probe(vm, addr string) {
 	ctx, cancel := context.WithTimeout(context.Background(), link.DefaultTiming.Silence)
 	defer cancel()
@@ -108,8 +109,8 @@
 		err = conn.Refresh(ctx, 0)
 	}
 	if err != nil {
-		v.failed(vm, sent, err)
+		v.recordDialFailure(vm, sent, err)
 		return
 	}
-	v.learn(vm, conn)
+	v.recordIncarnation(vm, conn)
 }
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is an entry's view of the other VMs: which agents there are, what load
-// they report, which may be given work, which entries live, and the links to them.
+// Package fleet implements an entry's view of the other VMs: the agents, their reported load
+// and which of them may get requests, the live entries, and the links to all of them.
 package fleet
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 )
 
-// PolicyFactory makes the routing policy of one service.
+// PolicyFactory returns the routing policy of one service.
 type PolicyFactory func(service string) routing.Policy
 
 // Dialer opens links. link.Node implements it.
@@ -31,42 +31,42 @@
 
 	mu       sync.Mutex
 	members  *membership.View
-	services map[string]*group
+	services map[string]*serviceGroup
 	agents   map[string]*agent
 	entries  map[string]vmlist.VM
 }
 
-// group is the replicas of one service.
-type group struct {
+// serviceGroup holds the replicas of one service and their routing policy.
+type serviceGroup struct {
 	policy   routing.Policy
 	replicas []routing.Replica
 }
 
-// agent is what is known of one agent besides its Replica.
+// agent holds the state of one agent besides its Replica.
 type agent struct {
 	vm    vmlist.VM
-	group *group
+	group *serviceGroup
 	index int
 }
 
-// New returns an empty view of the entry self. SetDialer must be called before it is used.
+// New returns an empty view of the entry self. SetDialer must be called before its use.
 func New(self string, policies PolicyFactory, log zerolog.Logger) *View {
 	return &View{
 		self:     self,
 		policies: policies,
 		log:      log,
 		members:  membership.New(membership.DefaultConfig()),
-		services: make(map[string]*group),
+		services: make(map[string]*serviceGroup),
 		agents:   make(map[string]*agent),
 		entries:  make(map[string]vmlist.VM),
 	}
 }
 
-// SetDialer sets who opens links. It is a step of its own because links hand what they
-// hear to the view.
+// SetDialer sets the dialer of links. It is not a parameter of New because links report to
+// the view.
 func (v *View) SetDialer(dialer Dialer) { v.dialer = dialer }
 
-// SetVMs takes a newly read list of VMs.
+// SetVMs handles a newly read list of VMs.
 func (v *View) SetVMs(vms []vmlist.VM) {
 	now := time.Now()
 	v.mu.Lock()
@@ -76,7 +76,7 @@
 		if vm.ID == v.self {
 			continue
 		}
-		v.know(vm)
+		v.addVM(vm)
 		list = append(list, membership.VM{
 			ID:      membership.ID(vm.ID),
 			Zone:    vm.Zone,
@@ -91,15 +91,15 @@
 	}
 }
 
-// know is called with mu held.
-func (v *View) know(vm vmlist.VM) {
+// addVM adds or updates a listed VM. It is called with mu held.
+func (v *View) addVM(vm vmlist.VM) {
 	if vm.Role == vmlist.RoleEntry {
 		v.entries[vm.ID] = vm
 		return
 	}
 	a := v.agents[vm.ID]
 	if a == nil {
-		g := v.group(vm.Service)
+		g := v.serviceGroup(vm.Service)
 		a = &agent{group: g, index: len(g.replicas)}
 		g.replicas = append(g.replicas, routing.Replica{Agent: vm.ID, Zone: vm.Zone, Service: vm.Service})
 		v.agents[vm.ID] = a
@@ -107,16 +107,16 @@
 	a.vm = vm
 }
 
-func (v *View) group(service string) *group {
+func (v *View) serviceGroup(service string) *serviceGroup {
 	g := v.services[service]
 	if g == nil {
-		g = &group{policy: v.policies(service)}
+		g = &serviceGroup{policy: v.policies(service)}
 		v.services[service] = g
 	}
 	return g
 }
 
-// apply carries out membership's decisions. It is called with mu held.
+// apply performs the actions of the membership view. It is called with mu held.
 func (v *View) apply(actions []membership.Action) {
 	for _, action := range actions {
 		switch m := action.(type) {
@@ -125,7 +125,7 @@
 		case membership.Probe:
 			go v.probe(string(m.VM.ID), m.VM.Link)
 		case membership.Removed:
-			v.forget(string(m.ID))
+			v.removeVM(string(m.ID))
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	}
 }
 
-func (v *View) forget(id string) {
+func (v *View) removeVM(id string) {
 	delete(v.entries, id)
 	a := v.agents[id]
 	if a == nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// Address returns where an agent takes links.
+// Address returns the address of an agent for links.
 func (v *View) Address(vm string) (string, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -165,7 +165,7 @@
 	return a.vm.Link, true
 }
 
-// Entry is another entry that lives.
+// Entry is another live entry.
 type Entry struct {
 	ID   string
 	Zone string
@@ -186,7 +186,7 @@
 	return live
 }
 
-// Report takes a load digest that came with a reply.
+// Report handles a load report that came with a reply.
 func (v *View) Report(report *link.LoadReport) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -205,16 +205,16 @@
 	replica.InFlight = 0
 	replica.InFlightPrompt = 0
 	if report.Load.Down {
-		// Nothing was sent there, but the next request would fail like the last one.
-		a.group.finished(report.Agent, true)
+		// No request of this entry has failed there yet, but the next one would.
+		a.group.recordEnd(report.Agent, true)
 	}
 	if report.Leaving {
 		v.apply(v.members.HandleLeaving(time.Now(), membership.ID(report.Agent), report.Incarnation))
 	}
 }
 
-// Offered counts a request sent to an agent since its last digest.
-func (v *View) Offered(vm string, promptTokens int) {
+// RecordOffer counts a request sent to an agent since its last load report.
+func (v *View) RecordOffer(vm string, promptTokens int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if a := v.agents[vm]; a != nil {
@@ -224,24 +224,24 @@
 	}
 }
 
-// Finished tells the service's policy how a request ended at an agent.
-func (v *View) Finished(vm string, failed bool) {
+// RecordEnd reports to the service's policy how a request ended at an agent.
+func (v *View) RecordEnd(vm string, failed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	a := v.agents[vm]
 	if a == nil {
 		return
 	}
-	a.group.finished(vm, failed)
+	a.group.recordEnd(vm, failed)
 }
 
-func (g *group) finished(vm string, failed bool) {
+func (g *serviceGroup) recordEnd(vm string, failed bool) {
 	if learner, ok := g.policy.(routing.Learner); ok {
 		learner.Finished(vm, failed, time.Now())
 	}
 }
 
-// Replicas returns a copy of what is known of a service's replicas, for operators.
+// Replicas returns a copy of a service's replicas.
 func (v *View) Replicas(service string) []routing.Replica {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -252,9 +252,9 @@
 	return append([]routing.Replica(nil), g.replicas...)
 }
 
-// learn records the incarnation behind an agent's link. A new one knows nothing of the
-// old one's load.
-func (v *View) learn(vm string, c *link.Conn) {
+// recordIncarnation records a reply and the incarnation at the other end of an agent's link.
+// The load of an earlier incarnation does not apply to a new one.
+func (v *View) recordIncarnation(vm string, c *link.Conn) {
 	incarnation := c.Peer().Incarnation
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// settle bounds the waits of these tests; none of them measures time.
-const settle = 20 * time.Second
+// waitTimeout bounds the waits of these tests, none of which measures time.
+const waitTimeout = 20 * time.Second
 
-// viewHandler hands a node's links to a view.
+// viewHandler reports closed links of a node to a view.
 type viewHandler struct{ view *View }
 
 func (h viewHandler) OnOpen(*link.Conn)                  {}
 func (h viewHandler) OnMessage(*link.Conn, link.Message) {}
-func (h viewHandler) OnClose(c *link.Conn, reason error) { h.view.Lost(c, reason) }
+func (h viewHandler) OnClose(c *link.Conn, reason error) { h.view.RecordLinkLoss(c, reason) }
 
 func startNode(t *testing.T, vm string, handler link.Handler) *link.Node {
 	node, err := link.Start(link.Config{
@@ -33,10 +33,10 @@
 	return node
 }
 
-// Symptom: an entry that died goes on being counted as live by another.
-// Sequence: the other uses a link to it that was open already, and the entry dies before
-// it sends another byte. Cause: using the link counted as a reply, newer than the silence.
-func TestUseOfAnOpenLinkIsNoSignOfLife(t *testing.T) {
+// Guards against a dead entry that counts as live: its peer uses a link that is already open,
+// and the entry dies before it sends another byte. If the use of the link counted as a reply,
+// it would be newer than the loss of the link.
+func TestUseOfOpenLinkIsNoEvidenceOfLiveness(t *testing.T) {
 	view := New("entry-0", func(string) routing.Policy { return &routing.Naive{} }, zerolog.Nop())
 	node := startNode(t, "entry-0", viewHandler{view})
 	view.SetDialer(node)
@@ -47,8 +47,8 @@
 		require.NoError(t, err)
 	}
 	peer.Close()
-	for deadline := time.Now().Add(settle); len(view.Entries()) > 0; time.Sleep(5 * time.Millisecond) {
-		require.True(t, time.Now().Before(deadline), "the dead entry counts as live")
+	for deadline := time.Now().Add(waitTimeout); len(view.Entries()) > 0; time.Sleep(5 * time.Millisecond) {
+		require.True(t, time.Now().Before(deadline), "the dead entry still counts as live")
 		view.tick()
 	}
 }
--- a/entry/fleet/group.go
+++ b/entry/fleet/group.go
@@ -9,12 +9,12 @@
 	"acaciacleat.example/peers/link"
 )
 
-// groupCandidates bounds the agents named for a group. The longest prompts need three
-// engines; the rest are for members that stay busy or are lost.
-const groupCandidates = 6
+// maxGroupCandidates bounds the agents named for a group. The longest prompts need three
+// engines; the others are spares for members that stay busy or are lost.
+const maxGroupCandidates = 6
 
-// GroupFor names agents that may share a request's memory with the one that leads, those
-// with the most free memory first. It returns nil when one engine is enough.
+// GroupFor returns agents that may hold a part of a request's memory in a group with the
+// leader, those with the most free memory first. It returns nil if one engine is enough.
 func (v *View) GroupFor(request *routing.Request, leader string) []link.GroupMember {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 	capacity := g.replicas[a.index].Load.CapacityTokens
 	if capacity == 0 {
-		// Not reported yet; prompts of ordinary length fit any engine.
+		// The capacity is not reported yet. Prompts up to medium length fit any engine.
 		capacity = call.MediumMax
 	}
 	if int64(request.Work.Tokens()) <= capacity {
@@ -42,7 +42,7 @@
 		return cmp.Compare(b.Load.FreeTokens, a.Load.FreeTokens)
 	})
 	var members []link.GroupMember
-	for _, r := range candidates[:min(groupCandidates, len(candidates))] {
+	for _, r := range candidates[:min(maxGroupCandidates, len(candidates))] {
 		members = append(members, link.GroupMember{Agent: r.Agent, Link: v.agents[r.Agent].vm.Link})
 	}
 	return members
--- a/entry/flight/claim.go
+++ b/entry/flight/claim.go
@@ -12,21 +12,22 @@
 	"github.com/pkg/errors"
 )
 
-// Key is what binds a call's Idempotency-Key.
+// Key holds what is needed to bind a call's Idempotency-Key.
 type Key struct {
 	// Row is the row's name in the table idempotency.Table.
 	Row   string
 	Hash  idempotency.RequestHash
 	Token string
 	Store table.Store
-	// claim is the state machine of this try; it lives through all of its bindings.
+	// claim is the state machine of this try over all of its bindings.
 	claim *idempotency.Claim
 }
 
 // storeTimeout bounds one operation on the table service.
 const storeTimeout = 2 * time.Second
 
-// claim binds the key to the chosen agent, or finds whom another try has bound it to.
+// claim binds the key to the chosen agent, or finds the agent to which another try has bound
+// it.
 func (f *Flight) claim(ctx context.Context, target fleet.Target) attempt.Action {
 	now := time.Now()
 	binding := idempotency.Binding{
@@ -38,9 +39,9 @@
 		return action
 	}
 	if f.spec.Key.claim == nil {
-		return f.settleClaim(ctx, f.startClaim(now, binding))
+		return f.runClaim(ctx, f.startClaim(now, binding))
 	}
-	return f.settleClaim(ctx, f.rebind(now, binding))
+	return f.runClaim(ctx, f.rebind(now, binding))
 }
 
 func (f *Flight) startClaim(now time.Time, binding idempotency.Binding) idempotency.ClaimAction {
@@ -56,9 +57,10 @@
 
 // rebind binds the key to another agent. The machine chooses again for a keyed call only
 // after the bound agent has proved that the call did not and will not run there, by a
-// refusal, a confirmed cancellation or an end. Here is the one place where the Claim
-// learns of it: told at each kind of message, it missed the end, would not be bound
-// elsewhere, and the call failed as unknown though it was proved not to have run.
+// refusal, a confirmed cancellation or an end. The proof is reported to the Claim only here
+// and not per message type: if one type, such as the end, were missed, the Claim would
+// refuse to rebind and the call would fail with execution unknown although it is proved not
+// to have run.
 func (f *Flight) rebind(now time.Time, binding idempotency.Binding) idempotency.ClaimAction {
 	claim := f.spec.Key.claim
 	refused := claim.Refused(now, result.Tombstoned, result.NotRun)
@@ -68,8 +70,8 @@
 	return claim.Rebind(now, binding)
 }
 
-// settleClaim carries out the claim's actions until the key is bound or the claim failed.
-func (f *Flight) settleClaim(ctx context.Context, next idempotency.ClaimAction) attempt.Action {
+// runClaim performs the claim's actions until the key is bound or the claim has failed.
+func (f *Flight) runClaim(ctx context.Context, next idempotency.ClaimAction) attempt.Action {
 	for {
 		switch next.Kind {
 		case idempotency.InsertRow, idempotency.RebindRow:
@@ -77,7 +79,7 @@
 		case idempotency.ReadRow:
 			next = f.readRow(ctx, next)
 		case idempotency.OfferBound, idempotency.AttachBound:
-			return f.bound(next)
+			return f.chooseBound(next)
 		case idempotency.ClaimFailed:
 			return f.machine.ClaimFailed(time.Now(), next.Err)
 		case idempotency.ChooseAgain:
@@ -88,7 +90,8 @@
 	}
 }
 
-func (f *Flight) bound(next idempotency.ClaimAction) attempt.Action {
+// chooseBound reports the agent to which the key is bound as the chosen one.
+func (f *Flight) chooseBound(next idempotency.ClaimAction) attempt.Action {
 	b := next.Binding
 	f.observe("bound", b.Agent, "by Idempotency-Key")
 	f.target = fleet.Target{Agent: b.Agent, Incarnation: b.Incarnation, Stamp: b.Stamp}
@@ -149,7 +152,7 @@
 	}
 }
 
-// pause waits; false when the caller or the deadline cut it short.
+// pause waits for d. It returns false if ctx ended first.
 func pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/entry/flight/crash.go
+++ b/entry/flight/crash.go
@@ -12,32 +12,35 @@
 	"acaciacleat.example/peers/link"
 )
 
-// Quarantine tells which requests are held back because upstreams crash under them, and is told
-// of crashes and of answers; quarantine.Keeper implements it.
+// Quarantine reports which requests are held back because upstreams crash under them, and
+// records crashes and answers. quarantine.Keeper implements it.
 type Quarantine interface {
+	// Held returns for how much longer a request is held back.
 	Held(print func() fingerprint.Print) (left time.Duration, held bool)
-	// Doubtful reports whether one more crash would have the request held back.
+	// Doubtful reports whether one more crash would cause the request to be held back.
 	Doubtful(print fingerprint.Print) bool
-	Ended(upstream dispatch.Upstream, under []quarantine.Suspect)
+	Ended(upstream dispatch.Upstream, affected []quarantine.Suspect)
 	Answered(print func() fingerprint.Print)
 }
 
-// SetQuarantine sets what holds requests back; without it none is. It must be called before links
-// open.
+// SetQuarantine sets the quarantine that holds requests back. Without one, no request is held
+// back. It must be called before links open.
 func (r *Registry) SetQuarantine(q Quarantine) { r.quarantine = q }
 
-// verdictAfter is the time from a crash to a verdict on the requests that were in hand.
-const verdictAfter = corequarantine.VerdictDelay + 50*time.Millisecond
+// verdictWait is the time from a crash until the verdict on the requests that were in flight
+// is known.
+const verdictWait = corequarantine.VerdictDelay + 50*time.Millisecond
 
-// heldBack returns the refusal of a request that is held back. One under which an upstream has just
-// crashed waits for the verdict, if one more crash is enough for it.
+// heldBack returns the refusal of a request that is held back. A request under which an
+// upstream has just crashed first waits for the verdict if that crash may be the one that
+// causes it to be held back.
 func (f *Flight) heldBack(ctx context.Context) *result.Error {
 	q := f.registry.quarantine
 	if q == nil {
 		return nil
 	}
-	if f.crashes > 0 && q.Doubtful(f.spec.Print()) && !pause(ctx, verdictAfter) {
-		return nil // The caller or the time is gone, which the machine finds out.
+	if f.crashes > 0 && q.Doubtful(f.spec.Print()) && !pause(ctx, verdictWait) {
+		return nil // The caller is gone or the deadline has passed; the machine detects both.
 	}
 	left, held := q.Held(f.spec.Print)
 	if !held {
@@ -46,15 +49,15 @@
 	return quarantine.Refusal(left)
 }
 
-// judgeEnd tells what the end of an attempt says of the request.
-func (f *Flight) judgeEnd(end *link.End) {
+// reportToQuarantine reports an answer or a crash at the end of an attempt.
+func (f *Flight) reportToQuarantine(end *link.End) {
 	q := f.registry.quarantine
 	switch {
 	case q == nil:
 	case end.Code == result.OK:
 		q.Answered(f.spec.Print)
 	case end.Code == result.UpstreamCrashed:
-		// The detail tells the lives of the upstream beside an agent apart.
+		// The detail distinguishes the incarnations of the upstream beside an agent.
 		q.Ended(dispatch.Upstream{ID: f.target.Agent + ": " + end.Detail}, []quarantine.Suspect{{
 			Print: f.spec.Print(), Request: f.spec.ID.String(), Route: f.spec.Route.Service,
 			Organisation: f.spec.Route.Organisation, AfterCrash: f.crashes > 0,
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -1,5 +1,5 @@
-// Package flight carries one admitted request through its attempts: it turns the
-// actions of core/attempt into messages on links, and what arrives into its events.
+// Package flight runs one admitted request through its attempts. It translates the actions
+// of core/attempt into messages on links, and received messages into its events.
 package flight
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/pkg/errors"
 )
 
-// maxPending is the number of frames held while an earlier one is missing.
+// maxPending bounds the frames held while an earlier one is missing.
 const maxPending = 1024
 
-// Sink takes the answer. Its calls may block while the caller reads slowly; an error
+// Sink receives the answer. Its methods may block while the caller reads slowly; an error
 // means that the caller is gone.
 type Sink interface {
-	// Head comes before Data, once, for plain services only.
+	// Head is called once before Data, and only for plain services.
 	Head(head *link.Head) error
 	Data(tokens uint32, data []byte) error
 	// Flush is called after a batch of Data calls.
@@ -40,72 +40,72 @@
 	Body     []byte
 	Deadline time.Time
 	Route    routing.Request
-	// MaxRetries bounds the agents tried after the first.
+	// MaxRetries bounds the agents that are tried after the first.
 	MaxRetries int
 	Retries    attempt.Retries
-	// Key is set for non-repeatable calls with an Idempotency-Key.
+	// Key is set for calls that may not be repeated and have an Idempotency-Key.
 	Key *Key
-	// Admit, if not nil, is asked once, before the first offer, whether the request can
-	// still start in time given the predicted time to its first token.
+	// Admit, if not nil, is called once, before the first offer. It returns a refusal if the
+	// request can't start in time, given the predicted time to its first token.
 	Admit func(predicted time.Duration) *result.Error
-	// Print returns what stands for the request's content.
+	// Print returns the fingerprint of the request's content.
 	Print func() fingerprint.Print
-	// Observe is told of each step, for explanations; it may be nil.
+	// Observe is called at each step, for explanations; it may be nil.
 	Observe func(Step)
 }
 
-// Step is one thing that happened to a request.
+// Step is one event in the course of a request, for explanations.
 type Step struct {
 	Name   string
 	Agent  string
 	Detail string
 }
 
-// Flight is one request under way.
+// Flight is one request in flight.
 type Flight struct {
-	registry *Registry
-	view     *fleet.View
-	spec     Spec
-	sink     Sink
-	machine  *attempt.Machine
-	receiver *stream.Receiver
-	mail     *mailbox
-	spare    contents
-
-	// id is what the offers carry: the request's own, or that of a keyed call's row.
+	registry   *Registry
+	view       *fleet.View
+	spec       Spec
+	sink       Sink
+	machine    *attempt.Machine
+	receiver   *stream.Receiver
+	mailbox    *mailbox
+	spareBatch contents
+
+	// id is the ID in the offers: the request's own, or that in a keyed call's row.
 	id     call.ID
 	target fleet.Target
-	// chosen is the agent that this request counts for in the registry's choices; 0 is none.
-	chosen   call.Incarnation
-	retained *link.Conn
-	sentBody bool
-	admitted bool
-	span     collector.Span
-	// crashes counts the upstreams that have crashed under this request.
+	// pendingAgent is the agent under which pendingOffers counts this request; 0 means none.
+	pendingAgent call.Incarnation
+	retained     *link.Conn
+	sentBody     bool
+	admitted     bool
+	span         collector.Span
+	// crashes counts the upstreams that crashed under this request.
 	crashes int
 	end     *link.End
 	final   *attempt.Action
 
-	text      []byte
-	delivered int
-	headed    bool
-	sinkErr   error
-	done      chan struct{}
+	deliveredText   []byte
+	deliveredTokens int
+	headReceived    bool
+	sinkErr         error
+	done            chan struct{}
 }
 
-// Outcome is the final answer.
+// Outcome is the final result of a request.
 type Outcome struct {
 	// End is the end of the answer; nil on failure.
 	End *link.End
 	// Err is nil on success.
 	Err *result.Error
-	// Began says that part of the answer was handed to the sink.
+	// Began says that a part of the answer was passed to the sink.
 	Began bool
-	// Delivered is the number of generated tokens handed to the sink.
+	// Delivered is the number of generated tokens passed to the sink.
 	Delivered int
 }
 
-// New prepares a request.
+// New returns a request that starts with Run.
 func New(registry *Registry, spec Spec, sink Sink) *Flight {
 	f := &Flight{
 		registry: registry,
@@ -113,7 +113,7 @@
 		spec:     spec,
 		sink:     sink,
 		receiver: stream.NewReceiver(maxPending),
-		mail:     newMailbox(),
+		mailbox:  newMailbox(),
 		id:       spec.ID,
 		done:     make(chan struct{}),
 	}
@@ -129,24 +129,24 @@
 	return f
 }
 
-// Run carries the request to its final answer. ctx ends when the caller is gone.
+// Run runs the request until its final answer. ctx must end when the caller is gone.
 func (f *Flight) Run(ctx context.Context) Outcome {
 	defer close(f.done)
-	defer f.leave()
-	f.act(ctx, f.machine.Start(time.Now()))
+	defer f.cleanUp()
+	f.perform(ctx, f.machine.Start(time.Now()))
 	timer := time.NewTimer(time.Until(f.machine.NextTimer()))
 	defer timer.Stop()
-	gone := ctx.Done()
+	callerGone := ctx.Done()
 	for !f.machine.Done() {
 		timer.Reset(time.Until(f.machine.NextTimer()))
 		select {
-		case <-f.mail.signal:
+		case <-f.mailbox.signal:
 			f.receive(ctx)
 		case <-timer.C:
-			f.act(ctx, f.machine.Timer(time.Now()))
-		case <-gone:
-			gone = nil
-			f.act(ctx, f.machine.CallerGone(time.Now()))
+			f.perform(ctx, f.machine.Timer(time.Now()))
+		case <-callerGone:
+			callerGone = nil
+			f.perform(ctx, f.machine.CallerGone(time.Now()))
 		}
 	}
 	return f.outcome()
@@ -160,7 +160,7 @@
 }
 
 func (f *Flight) outcome() Outcome {
-	out := Outcome{Began: f.headed || f.receiver.NextSeq() > 1 || f.delivered > 0, Delivered: f.delivered}
+	out := Outcome{Began: f.headReceived || f.receiver.NextSeq() > 1 || f.deliveredTokens > 0, Delivered: f.deliveredTokens}
 	if f.final.Kind == attempt.Answer {
 		out.End = f.end
 		return out
@@ -169,36 +169,37 @@
 	return out
 }
 
-// leave ends this request's part at the agent and on the link.
-func (f *Flight) leave() {
-	f.uncount()
+// cleanUp removes the request from the registry, cancels it at the agent if it has failed,
+// and releases the link.
+func (f *Flight) cleanUp() {
+	f.removePendingOffer()
 	f.registry.remove(f.id, f)
 	f.endSpan(f.finalCode())
-	// A keyed call may have other tries that wait for the same run; it is left to them.
+	// A keyed call is not cancelled, because other tries with its key may wait for its run.
 	if f.spec.Key == nil && f.final != nil && f.final.Kind != attempt.Answer && f.retained != nil {
 		_ = f.retained.Send(&link.Cancel{ID: f.id, Attempt: f.receiver.Attempt(), Stamp: int64(f.target.Stamp)})
 	}
-	f.release()
+	f.releaseLink()
 }
 
-// endSpan closes the span of the attempt under way, if there is one.
+// endSpan ends the span of the current attempt, if there is one.
 func (f *Flight) endSpan(code result.Code) {
 	f.span.End(f.spec.ID.String(), code)
 	f.span = collector.Span{}
 }
 
-func (f *Flight) release() {
+func (f *Flight) releaseLink() {
 	if f.retained != nil {
 		f.retained.Release()
 		f.retained = nil
 	}
 }
 
-func (f *Flight) retain(c *link.Conn) {
+func (f *Flight) retainLink(c *link.Conn) {
 	if f.retained == c {
 		return
 	}
-	f.release()
+	f.releaseLink()
 	c.Retain()
 	f.retained = c
 }
@@ -209,8 +210,8 @@
 	}
 }
 
-// act carries out the machine's actions until one waits for an event.
-func (f *Flight) act(ctx context.Context, action attempt.Action) {
+// perform performs the machine's actions until one waits for an event.
+func (f *Flight) perform(ctx context.Context, action attempt.Action) {
 	for {
 		if action.Release {
 			f.releaseAttempt(action)
@@ -233,8 +234,8 @@
 	}
 }
 
-// afterDelay waits before an action. The deadline and a caller that goes away cut the
-// wait short; the machine then decides.
+// afterDelay performs an action after its delay. If the caller goes away during the delay,
+// this is reported to the machine instead.
 func (f *Flight) afterDelay(ctx context.Context, action attempt.Action, next func(context.Context, attempt.Action) attempt.Action) attempt.Action {
 	if action.Delay > 0 {
 		timer := time.NewTimer(action.Delay)
@@ -248,7 +249,7 @@
 	return next(ctx, action)
 }
 
-// choose finds the agent to offer the call to.
+// choose chooses the agent to which the call is offered.
 func (f *Flight) choose(ctx context.Context, action attempt.Action) attempt.Action {
 	ctx, cancel := context.WithDeadline(ctx, f.spec.Deadline)
 	defer cancel()
@@ -277,17 +278,17 @@
 	})
 }
 
-// chooseTarget finds an agent that does not leave, and counts this request for it until
-// its offer is sent.
+// chooseTarget chooses an agent that is not leaving, and counts this request in
+// pendingOffers until its offer is sent.
 func (f *Flight) chooseTarget(ctx context.Context, route *routing.Request, better string) (fleet.Target, *result.Error) {
 	for {
-		f.uncount()
+		f.removePendingOffer()
 		target, err := f.view.Choose(ctx, route, better, f.observeDecision)
 		if err != nil {
 			return target, err
 		}
-		if f.registry.choices.begin(target.Incarnation) {
-			f.chosen = target.Incarnation
+		if f.registry.pendingOffers.add(target.Incarnation) {
+			f.pendingAgent = target.Incarnation
 			return target, nil
 		}
 		better = ""
@@ -295,11 +296,11 @@
 	}
 }
 
-// uncount takes this request out of the registry's choices.
-func (f *Flight) uncount() {
-	if f.chosen != 0 {
-		f.registry.choices.end(f.chosen)
-		f.chosen = 0
+// removePendingOffer removes this request from the registry's pendingOffers.
+func (f *Flight) removePendingOffer() {
+	if f.pendingAgent != 0 {
+		f.registry.pendingOffers.remove(f.pendingAgent)
+		f.pendingAgent = 0
 	}
 }
 
@@ -313,7 +314,7 @@
 
 func (f *Flight) observeDecision(d fleet.Decision) {
 	detail := "predicted first token in " + d.Predicted.Round(time.Millisecond).String()
-	if d.ByAdvice {
+	if d.Recommended {
 		detail = "named by the agent that refused"
 	}
 	f.observe("chosen", d.Agent, detail)
@@ -321,7 +322,7 @@
 
 // offer sends the call to the chosen agent.
 func (f *Flight) offer(ctx context.Context, action attempt.Action) attempt.Action {
-	defer f.uncount()
+	defer f.removePendingOffer()
 	conn, lost := f.connect(ctx, action)
 	if conn == nil {
 		return lost
@@ -331,7 +332,7 @@
 	if other := f.registry.add(f.id, f); other != nil {
 		return f.waitFor(ctx, other, action)
 	}
-	f.retain(conn)
+	f.retainLink(conn)
 	f.sentBody = false
 	offer := f.spec.Offer
 	offer.ID = f.id
@@ -342,8 +343,8 @@
 	f.endSpan(result.AgentLost)
 	f.span = f.registry.tracer.Start(f.spec.Offer.TraceParent, collector.HopLink)
 	offer.TraceParent = f.span.Parent()
-	offer.Delivered = string(f.text)
-	offer.DeliveredTokens = f.delivered
+	offer.Delivered = string(f.deliveredText)
+	offer.DeliveredTokens = f.deliveredTokens
 	offer.BodyBytes = len(f.spec.Body)
 	offer.Group = f.view.GroupFor(&f.spec.Route, action.Replica.Agent)
 	if len(f.spec.Body) <= link.InlineBodyBytes {
@@ -351,15 +352,15 @@
 		f.sentBody = true
 	}
 	f.observe("offered", action.Replica.Agent, "")
-	f.view.Offered(action.Replica.Agent, f.spec.Route.Work.PromptTokens)
+	f.view.RecordOffer(action.Replica.Agent, f.spec.Route.Work.PromptTokens)
 	if err := conn.Send(&offer); err != nil {
 		return f.machine.LinkLost(time.Now(), action.Attempt)
 	}
 	return attempt.Action{}
 }
 
-// waitFor lets another request of this entry with the same key finish first: the agent
-// keeps its answer, which this one then gets.
+// waitFor waits until another request of this entry with the same key has finished. The agent
+// keeps its answer, which this request then gets by its own offer.
 func (f *Flight) waitFor(ctx context.Context, other *Flight, action attempt.Action) attempt.Action {
 	ctx, cancel := context.WithDeadline(ctx, f.spec.Deadline)
 	defer cancel()
@@ -371,8 +372,8 @@
 	}
 }
 
-// connect opens the link that an action needs. It returns no link when the machine must
-// decide what its absence means.
+// connect opens the link that an action needs. If it returns no link, it returns the
+// machine's next action for the lost link or agent.
 func (f *Flight) connect(ctx context.Context, action attempt.Action) (*link.Conn, attempt.Action) {
 	if action.Redial && f.retained != nil && f.retained.Quiet() > link.DefaultTiming.Heartbeat {
 		f.retained.Close(link.ErrSilent)
@@ -387,7 +388,7 @@
 	conn, err := f.view.Connect(ctx, action.Replica.Agent, addr)
 	now = time.Now()
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		// An agent listens as long as it lives: a refusal proves that this life is over.
+		// An agent listens as long as it runs: a refusal proves that this incarnation has ended.
 		return nil, f.machine.AgentLost(now, action.Replica.Incarnation)
 	}
 	if err != nil {
@@ -399,36 +400,36 @@
 	return conn, attempt.Action{}
 }
 
-// resume asks the same incarnation for the rest of the answer.
+// resume requests the rest of the answer from the same incarnation.
 func (f *Flight) resume(ctx context.Context, action attempt.Action) attempt.Action {
 	f.observe("resumed", action.Replica.Agent, "")
 	conn, lost := f.connect(ctx, action)
 	if conn == nil {
 		return lost
 	}
-	f.retain(conn)
+	f.retainLink(conn)
 	if err := conn.Send(&link.Resume{ID: f.id, Attempt: action.Attempt, NextSeq: f.receiver.NextSeq()}); err != nil {
 		return f.machine.LinkLost(time.Now(), action.Attempt)
 	}
 	return attempt.Action{}
 }
 
-// cancel asks the agent to prove that the call did not and will not run.
+// cancel asks the agent to confirm that the call did not and will not run.
 func (f *Flight) cancel(ctx context.Context, action attempt.Action) attempt.Action {
 	f.observe("cancelling", action.Replica.Agent, "")
 	conn, lost := f.connect(ctx, action)
 	if conn == nil {
 		return lost
 	}
-	f.retain(conn)
+	f.retainLink(conn)
 	if err := conn.Send(&link.Cancel{ID: f.id, Attempt: action.Attempt, Stamp: int64(action.Replica.Stamp)}); err != nil {
 		return f.machine.LinkLost(time.Now(), action.Attempt)
 	}
 	return attempt.Action{}
 }
 
-// releaseAttempt tells an agent to give up an attempt that is left behind, so that the
-// engine's memory is free before the deadline. No answer is awaited.
+// releaseAttempt cancels an abandoned attempt at its agent without waiting for an answer, so
+// that the engine's memory is freed before the deadline.
 func (f *Flight) releaseAttempt(action attempt.Action) {
 	if f.retained != nil {
 		_ = f.retained.Send(&link.Cancel{ID: f.id, Attempt: action.Attempt, Stamp: int64(action.Replica.Stamp)})
--- a/entry/flight/leaving.go
+++ b/entry/flight/leaving.go
@@ -8,83 +8,85 @@
 	"acaciacleat.example/peers/link"
 )
 
-// choices counts, for each agent incarnation, the requests of this entry that have chosen
-// it and have not offered themselves yet.
+// pendingOffers counts, for each agent incarnation, the requests of this entry that have
+// chosen it but have not sent their offer yet.
 //
-// What goes wrong without it: an agent with nothing in hand stops while a request that has
-// chosen it still writes its key's row, or opens a link; the offer then comes to the
-// agent's successor, which can't say what the other ran, and the call fails as unknown
-// though it never ran. So an agent that leaves waits for the word of each entry that it
-// told, and the entry gives it only when the last of these requests is offered.
+// An agent without calls in flight could otherwise stop while a request that has chosen it
+// still writes its key's row or opens a link. The offer would reach the agent's next
+// incarnation, which does not know what the previous one ran, and the call would fail with
+// execution unknown although it never ran. Therefore an agent that leaves waits for a Left
+// message from each entry that it notified, and the entry sends it only after the last of
+// these requests was offered.
 //
-// A request that chooses the agent after the word is given would open the race again:
-// begin refuses it, under the lock that the word is decided under.
-type choices struct {
-	mu      sync.Mutex
-	pending map[call.Incarnation]int
-	// leaving holds the links over which agents said that they leave, until the link ends.
+// A request that chose the agent after Left was sent would cause the same race. add refuses
+// it, under the same lock under which Left is sent.
+type pendingOffers struct {
+	mu     sync.Mutex
+	counts map[call.Incarnation]int
+	// leaving holds the links over which agents reported that they leave, until the link
+	// closes.
 	leaving map[call.Incarnation][]*link.Conn
 }
 
-func newChoices() *choices {
-	return &choices{
-		pending: make(map[call.Incarnation]int),
+func newPendingOffers() *pendingOffers {
+	return &pendingOffers{
+		counts:  make(map[call.Incarnation]int),
 		leaving: make(map[call.Incarnation][]*link.Conn),
 	}
 }
 
-// begin counts a request that has chosen an agent. It returns false when the agent leaves:
-// the request must choose another.
-func (c *choices) begin(agent call.Incarnation) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.leaving[agent]) > 0 {
+// add counts a request that has chosen an agent. It returns false if the agent is leaving;
+// the request must then choose another.
+func (p *pendingOffers) add(agent call.Incarnation) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.leaving[agent]) > 0 {
 		return false
 	}
-	c.pending[agent]++
+	p.counts[agent]++
 	return true
 }
 
-// end uncounts a request that was offered, or that has left the agent.
-func (c *choices) end(agent call.Incarnation) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.pending[agent]--
-	if c.pending[agent] > 0 {
+// remove ends the count of a request that was offered or that no longer uses the agent.
+func (p *pendingOffers) remove(agent call.Incarnation) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.counts[agent]--
+	if p.counts[agent] > 0 {
 		return
 	}
-	delete(c.pending, agent)
-	for _, conn := range c.leaving[agent] {
-		sayLeft(conn)
+	delete(p.counts, agent)
+	for _, conn := range p.leaving[agent] {
+		sendLeft(conn)
 	}
 }
 
-// left records that an agent leaves, and gives it the word if no request has chosen it.
-func (c *choices) left(conn *link.Conn) {
+// agentLeaving records that an agent leaves, and sends it Left if no request has chosen it.
+func (p *pendingOffers) agentLeaving(conn *link.Conn) {
 	agent := conn.Peer().Incarnation
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !slices.Contains(c.leaving[agent], conn) {
-		c.leaving[agent] = append(c.leaving[agent], conn)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !slices.Contains(p.leaving[agent], conn) {
+		p.leaving[agent] = append(p.leaving[agent], conn)
 	}
-	if c.pending[agent] == 0 {
-		sayLeft(conn)
+	if p.counts[agent] == 0 {
+		sendLeft(conn)
 	}
 }
 
-// closed forgets an agent that left with its link.
-func (c *choices) closed(conn *link.Conn) {
+// linkClosed removes a closed link from those of leaving agents.
+func (p *pendingOffers) linkClosed(conn *link.Conn) {
 	agent := conn.Peer().Incarnation
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	rest := slices.DeleteFunc(c.leaving[agent], func(other *link.Conn) bool { return other == conn })
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	rest := slices.DeleteFunc(p.leaving[agent], func(other *link.Conn) bool { return other == conn })
 	if len(rest) == 0 {
-		delete(c.leaving, agent)
+		delete(p.leaving, agent)
 		return
 	}
-	c.leaving[agent] = rest
+	p.leaving[agent] = rest
 }
 
-// sayLeft gives the word. Where the link fails it, the agent learns that the link is gone
-// and waits no more.
-func sayLeft(conn *link.Conn) { _ = conn.Send(&link.Left{}) }
+// sendLeft tells the agent that no more offers follow. If the link fails, the agent notices
+// that it is lost and stops waiting.
+func sendLeft(conn *link.Conn) { _ = conn.Send(&link.Left{}) }
--- a/entry/flight/mailbox.go
+++ b/entry/flight/mailbox.go
@@ -8,15 +8,16 @@
 	"acaciacleat.example/peers/link"
 )
 
-// mailbox collects what event loops hand to one request. Its bytes are bounded by the
-// agent's stream buffer: the agent sends no more until the request acknowledges.
+// mailbox collects the messages that event loops deliver to one request. Its size is bounded
+// by the agent's stream buffer, because the agent sends no more until the request
+// acknowledges.
 type mailbox struct {
-	mu     sync.Mutex
-	box    contents
-	signal chan struct{}
+	mu      sync.Mutex
+	pending contents
+	signal  chan struct{}
 }
 
-// contents is a batch of events. Frames' data lies in arena.
+// contents is a batch of frames and events. arena holds the data of the frames.
 type contents struct {
 	frames []frameRef
 	arena  []byte
@@ -31,9 +32,9 @@
 	end     int
 }
 
-// event is anything but a chunk.
+// event is a message other than a chunk, or the loss of a link.
 type event struct {
-	// message is nil when the link was lost.
+	// message is nil if the link was lost.
 	message link.Message
 	conn    *link.Conn
 }
@@ -42,14 +43,14 @@
 
 func (m *mailbox) putChunk(c *link.Chunk) {
 	m.mu.Lock()
-	start := len(m.box.arena)
-	m.box.arena = append(m.box.arena, c.Data...)
-	m.box.frames = append(m.box.frames, frameRef{
+	start := len(m.pending.arena)
+	m.pending.arena = append(m.pending.arena, c.Data...)
+	m.pending.frames = append(m.pending.frames, frameRef{
 		attempt: c.Attempt,
 		seq:     c.Seq,
 		tokens:  c.Tokens,
 		start:   start,
-		end:     len(m.box.arena),
+		end:     len(m.pending.arena),
 	})
 	m.mu.Unlock()
 	m.notify()
@@ -57,7 +58,7 @@
 
 func (m *mailbox) putEvent(e event) {
 	m.mu.Lock()
-	m.box.events = append(m.box.events, e)
+	m.pending.events = append(m.pending.events, e)
 	m.mu.Unlock()
 	m.notify()
 }
@@ -76,8 +77,8 @@
 	empty.events = empty.events[:0]
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	full := m.box
-	m.box = empty
+	full := m.pending
+	m.pending = empty
 	return full
 }
 
--- a/entry/flight/receive.go
+++ b/entry/flight/receive.go
@@ -11,27 +11,27 @@
 	"acaciacleat.example/peers/link"
 )
 
-// receive handles one batch of what arrived.
+// receive handles one batch of received messages.
 func (f *Flight) receive(ctx context.Context) {
-	batch := f.mail.take(f.spare)
+	batch := f.mailbox.take(f.spareBatch)
 	for i := range batch.events {
 		if head, ok := batch.events[i].message.(*link.Head); ok {
 			f.onHead(ctx, head)
 		}
 	}
-	f.deliverAll(ctx, &batch)
+	f.deliverFrames(ctx, &batch)
 	for i := range batch.events {
 		if f.machine.Done() {
 			break
 		}
-		f.act(ctx, f.onEvent(ctx, batch.events[i]))
+		f.perform(ctx, f.onEvent(ctx, batch.events[i]))
 	}
-	f.finishIfWhole(ctx)
-	f.spare = batch
+	f.finishIfComplete(ctx)
+	f.spareBatch = batch
 }
 
-// deliverAll hands the batch's frames to the sink and acknowledges them.
-func (f *Flight) deliverAll(ctx context.Context, batch *contents) {
+// deliverFrames passes the batch's frames to the sink and acknowledges them.
+func (f *Flight) deliverFrames(ctx context.Context, batch *contents) {
 	if len(batch.frames) == 0 {
 		return
 	}
@@ -39,7 +39,7 @@
 	for i := range batch.frames {
 		frame := batch.frame(i)
 		if frame.Seq > f.receiver.NextSeq() {
-			// A held frame outlives this batch's arena.
+			// The receiver holds the frame longer than this batch's arena is valid.
 			frame.Data = append([]byte(nil), frame.Data...)
 		}
 		f.receiver.Offer(frame, f.deliver)
@@ -51,23 +51,23 @@
 		f.sinkErr = f.sink.Flush()
 	}
 	if f.sinkErr != nil {
-		f.act(ctx, f.machine.CallerGone(time.Now()))
+		f.perform(ctx, f.machine.CallerGone(time.Now()))
 		return
 	}
 	f.ack(f.receiver.NextSeq() - 1)
 }
 
-// deliver takes one frame in order.
+// deliver passes the next frame in order to the sink.
 func (f *Flight) deliver(frame stream.Frame) {
 	if f.sinkErr != nil || f.machine.Done() {
 		return
 	}
 	if f.spec.Offer.Repeatable && !f.spec.Offer.Plain {
-		f.text = append(f.text, frame.Data...)
+		f.deliveredText = append(f.deliveredText, frame.Data...)
 	}
-	f.delivered += int(frame.Tokens)
+	f.deliveredTokens += int(frame.Tokens)
 	f.sinkErr = f.sink.Data(frame.Tokens, frame.Data)
-	// Delivered never asks for more than patience: the frame moved the answer on.
+	// The frame is progress, so that Delivered requests no action but Fail.
 	if action := f.machine.Delivered(time.Now(), frame.Attempt, frame.Seq); action.Kind == attempt.Fail {
 		f.final = &action
 	}
@@ -80,17 +80,17 @@
 }
 
 func (f *Flight) onHead(ctx context.Context, head *link.Head) {
-	if f.headed || head.Attempt != f.receiver.Attempt() {
+	if f.headReceived || head.Attempt != f.receiver.Attempt() {
 		return
 	}
-	f.headed = true
-	f.act(ctx, f.machine.Head(time.Now(), head.Attempt))
+	f.headReceived = true
+	f.perform(ctx, f.machine.Head(time.Now(), head.Attempt))
 	if f.sinkErr == nil {
 		f.sinkErr = f.sink.Head(head)
 	}
 }
 
-// onEvent turns one arrival into an event of the machine.
+// onEvent reports one received event to the machine.
 func (f *Flight) onEvent(_ context.Context, e event) attempt.Action {
 	now := time.Now()
 	switch m := e.message.(type) {
@@ -122,7 +122,7 @@
 	return attempt.Action{}
 }
 
-// upstreamFailed reports whether an end is the upstream's own failure.
+// upstreamFailed reports whether a code means that the upstream itself failed.
 func upstreamFailed(code result.Code) bool {
 	return code == result.UpstreamFailed || code == result.UpstreamTimeout || code == result.UpstreamCrashed
 }
@@ -135,22 +135,22 @@
 	f.receiver.End(m.Attempt, m.Seq-1)
 }
 
-// finishIfWhole reports the end of the attempt once every frame before it is delivered.
-func (f *Flight) finishIfWhole(ctx context.Context) {
+// finishIfComplete reports the end of the attempt once all frames before it are delivered.
+func (f *Flight) finishIfComplete(ctx context.Context) {
 	if f.end == nil || f.end.Attempt != f.receiver.Attempt() || !f.receiver.Ended() || f.machine.Done() {
 		return
 	}
 	f.ack(f.end.Seq)
 	end := f.end
 	f.observe("ended", f.target.Agent, end.Detail)
-	f.view.Finished(f.target.Agent, upstreamFailed(end.Code))
-	f.judgeEnd(end)
-	word := attempt.Outcome{Code: end.Code, Execution: end.Execution, Detail: end.Detail}
-	f.act(ctx, f.machine.Ended(time.Now(), end.Attempt, word))
+	f.view.RecordEnd(f.target.Agent, upstreamFailed(end.Code))
+	f.reportToQuarantine(end)
+	outcome := attempt.Outcome{Code: end.Code, Execution: end.Execution, Detail: end.Detail}
+	f.perform(ctx, f.machine.Ended(time.Now(), end.Attempt, outcome))
 }
 
-// sendBody sends a body that was too large for the offer, in parts, so that other
-// requests' frames get between them.
+// sendBody sends a body that was too large for the offer. It is sent in parts so that frames
+// of other requests can be sent between them.
 func (f *Flight) sendBody(conn *link.Conn, number call.Attempt) {
 	if f.sentBody || number != f.receiver.Attempt() {
 		return
--- a/entry/flight/receive_test.go
+++ b/entry/flight/receive_test.go
@@ -11,10 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a caller is told to try again after Retry-After and gets no such header.
-// Sequence: the agent refuses for good with a time and a detail.
-// Cause: the entry does not read them from the message.
-func TestAgentsRefusalReachesTheCallerWhole(t *testing.T) {
+// Guards against answers without Retry-After or detail: the entry must take both from the
+// agent's final refusal.
+func TestAgentRefusalKeepsDetailAndRetryAfter(t *testing.T) {
 	now := time.Now()
 	f := New(NewRegistry(nil), Spec{ID: call.ID{1}, Deadline: now.Add(time.Hour)}, nil)
 	f.machine.Start(now)
--- a/entry/flight/registry.go
+++ b/entry/flight/registry.go
@@ -9,21 +9,22 @@
 	"acaciacleat.example/peers/link"
 )
 
-// shards keeps requests on different event loops from waiting for each other.
-const shards = 64
+// shardCount is the number of locks, which keeps requests on different event loops from
+// waiting for each other.
+const shardCount = 64
 
-// Registry knows the requests in flight and hands them what arrives on links. It
+// Registry holds the requests in flight and delivers the messages of links to them. It
 // implements link.Handler.
 type Registry struct {
-	view   *fleet.View
-	tracer *collector.Tracer
-	other  func(*link.Conn, link.Message)
-	heard  func(from string, revision uint64)
-	// choices lets agents leave only when no request is about to be offered to them.
-	choices *choices
-	// quarantine holds back requests under which upstreams crash; nil holds none.
+	view            *fleet.View
+	tracer          *collector.Tracer
+	handleOther     func(*link.Conn, link.Message)
+	observeRevision func(from string, revision uint64)
+	// pendingOffers delays agents that leave until no request is about to be offered to them.
+	pendingOffers *pendingOffers
+	// quarantine holds back requests under which upstreams crash; if nil, none are held back.
 	quarantine Quarantine
-	shards     [shards]shard
+	shards     [shardCount]shard
 }
 
 type shard struct {
@@ -34,29 +35,31 @@
 // NewRegistry returns an empty registry; tracer may be nil. SetView must be called before
 // links open.
 func NewRegistry(tracer *collector.Tracer) *Registry {
-	r := &Registry{tracer: tracer, choices: newChoices()}
+	r := &Registry{tracer: tracer, pendingOffers: newPendingOffers()}
 	for i := range r.shards {
 		r.shards[i].flights = make(map[call.ID]*Flight)
 	}
 	return r
 }
 
-// SetOther sets who takes messages that do not concern requests. It must be called before
-// links open.
-func (r *Registry) SetOther(other func(*link.Conn, link.Message)) { r.other = other }
+// SetOtherHandler sets the handler of messages that do not concern requests. It must be
+// called before links open.
+func (r *Registry) SetOtherHandler(handle func(*link.Conn, link.Message)) { r.handleOther = handle }
 
-// SetHeard sets who learns of the highest revision of the documents that agents have
-// heard of. It must be called before links open.
-func (r *Registry) SetHeard(heard func(from string, revision uint64)) { r.heard = heard }
+// SetRevisionObserver sets the function that receives the highest document revision that
+// each agent reports. It must be called before links open.
+func (r *Registry) SetRevisionObserver(observe func(from string, revision uint64)) {
+	r.observeRevision = observe
+}
 
-// SetView sets the view that learns from replies. The view needs the node and the node
-// needs the registry, hence the second step.
+// SetView sets the view that is updated from replies. It is not a parameter of NewRegistry
+// because the view needs the node and the node needs the registry.
 func (r *Registry) SetView(view *fleet.View) { r.view = view }
 
-func (r *Registry) shard(id call.ID) *shard { return &r.shards[id[0]%shards] }
+func (r *Registry) shard(id call.ID) *shard { return &r.shards[id[0]%shardCount] }
 
-// add enters a flight under the id that its offers carry. It returns the flight that
-// already has the id, if there is one.
+// add registers a flight under the ID that its offers carry. If another flight already has
+// the ID, it returns that one instead.
 func (r *Registry) add(id call.ID, f *Flight) *Flight {
 	s := r.shard(id)
 	s.mu.Lock()
@@ -84,7 +87,7 @@
 	return s.flights[id]
 }
 
-// Len is the number of requests in flight.
+// Len returns the number of requests in flight.
 func (r *Registry) Len() int {
 	n := 0
 	for i := range r.shards {
@@ -104,59 +107,60 @@
 	switch m := message.(type) {
 	case *link.Chunk:
 		if f := r.find(m.ID); f != nil {
-			f.mail.putChunk(m)
+			f.mailbox.putChunk(m)
 		}
 	case *link.Accepted:
-		r.report(&m.Load)
-		r.post(m.ID, c, m)
+		r.handleLoadReport(&m.Load)
+		r.deliver(m.ID, c, m)
 	case *link.Refused:
 		c.SetStamp(m.Stamp)
-		r.report(&m.Load)
-		r.post(m.ID, c, m)
+		r.handleLoadReport(&m.Load)
+		r.deliver(m.ID, c, m)
 	case *link.End:
-		r.report(&m.Load)
-		r.post(m.ID, c, m)
+		r.handleLoadReport(&m.Load)
+		r.deliver(m.ID, c, m)
 	case *link.Head:
-		r.post(m.ID, c, m)
+		r.deliver(m.ID, c, m)
 	case *link.Cancelled:
 		c.SetStamp(m.Stamp)
-		r.post(m.ID, c, m)
+		r.deliver(m.ID, c, m)
 	case *link.Gone:
-		r.post(m.ID, c, m)
+		r.deliver(m.ID, c, m)
 	case *link.Leaving:
-		r.view.Left(c)
-		r.choices.left(c)
+		r.view.RecordLeaving(c)
+		r.pendingOffers.agentLeaving(c)
 	case *link.Loads:
 		for i := range m.Reports {
-			r.report(&m.Reports[i])
+			r.handleLoadReport(&m.Reports[i])
 		}
 	default:
-		r.other(c, message)
+		r.handleOther(c, message)
 	}
 }
 
-// report passes on what came along with a reply.
-func (r *Registry) report(load *link.LoadReport) {
+// handleLoadReport passes on a load report and the document revision in it.
+func (r *Registry) handleLoadReport(load *link.LoadReport) {
 	r.view.Report(load)
-	r.heard(load.Agent, load.Revision)
+	r.observeRevision(load.Agent, load.Revision)
 }
 
-func (r *Registry) post(id call.ID, c *link.Conn, message link.Message) {
-	r.view.Replied(c)
+func (r *Registry) deliver(id call.ID, c *link.Conn, message link.Message) {
+	r.view.RecordReply(c)
 	if f := r.find(id); f != nil {
-		f.mail.putEvent(event{message: message, conn: c})
+		f.mailbox.putEvent(event{message: message, conn: c})
 	}
 }
 
-// OnClose implements link.Handler: every request on the link learns of its loss.
+// OnClose implements link.Handler. It notifies all requests; those on other links ignore the
+// event.
 func (r *Registry) OnClose(c *link.Conn, reason error) {
-	r.view.Lost(c, reason)
-	r.choices.closed(c)
+	r.view.RecordLinkLoss(c, reason)
+	r.pendingOffers.linkClosed(c)
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.mu.RLock()
 		for _, f := range s.flights {
-			f.mail.putEvent(event{conn: c})
+			f.mailbox.putEvent(event{conn: c})
 		}
 		s.mu.RUnlock()
 	}
--- a/entry/placement/asker.go
+++ b/entry/placement/asker.go
@@ -11,57 +11,57 @@
 )
 
 // errUnknownAgent means that the agent is not in the entry's view.
-var errUnknownAgent = errors.New("placement: no such agent")
+var errUnknownAgent = errors.New("placement: agent is not in the view")
 
-// asker asks agents over links. It implements agents.
-type asker struct {
+// agentClient sends requests to agents over links. It implements agents.
+type agentClient struct {
 	fleet Fleet
 	nonce atomic.Uint64
 
 	mu sync.Mutex
-	// waiting are the questions that are not answered yet, by nonce.
-	waiting map[uint64]chan link.Message
+	// pending holds a channel for the answer to each pending request, by nonce.
+	pending map[uint64]chan link.Message
 }
 
-func newAsker(fleet Fleet) *asker {
-	return &asker{fleet: fleet, waiting: make(map[uint64]chan link.Message)}
+func newAgentClient(fleet Fleet) *agentClient {
+	return &agentClient{fleet: fleet, pending: make(map[uint64]chan link.Message)}
 }
 
-func (a *asker) replicas(service string) []routing.Replica { return a.fleet.Replicas(service) }
+func (a *agentClient) replicas(service string) []routing.Replica { return a.fleet.Replicas(service) }
 
-// status asks an agent what its engine serves.
-func (a *asker) status(ctx context.Context, vm string) (*link.Status, error) {
+// status requests the state of an agent's engine.
+func (a *agentClient) status(ctx context.Context, vm string) (*link.Status, error) {
 	nonce := a.nonce.Add(1)
-	answer, err := a.ask(ctx, vm, nonce, func(*link.Conn) link.Message { return &link.StatusAsk{Nonce: nonce} })
+	answer, err := a.sendRequest(ctx, vm, nonce, func(*link.Conn) link.Message { return &link.StatusAsk{Nonce: nonce} })
 	if err != nil {
 		return nil, err
 	}
 	status, ok := answer.(*link.Status)
 	if !ok {
-		return nil, errors.Errorf("placement: %s answered with type %d", vm, answer.Type())
+		return nil, errors.Errorf("placement: %s answered with message type %d", vm, answer.Type())
 	}
 	return status, nil
 }
 
-// give gives an agent an order and returns whether it obeys.
-func (a *asker) give(ctx context.Context, vm string, order link.Order) (*link.OrderAnswer, error) {
+// sendOrder sends an order to an agent and returns whether it accepts it.
+func (a *agentClient) sendOrder(ctx context.Context, vm string, order link.Order) (*link.OrderAnswer, error) {
 	order.Nonce = a.nonce.Add(1)
-	answer, err := a.ask(ctx, vm, order.Nonce, func(c *link.Conn) link.Message {
+	answer, err := a.sendRequest(ctx, vm, order.Nonce, func(c *link.Conn) link.Message {
 		order.Stamp = c.Stamp()
 		return &order
 	})
 	if err != nil {
 		return nil, err
 	}
-	taken, ok := answer.(*link.OrderAnswer)
+	orderAnswer, ok := answer.(*link.OrderAnswer)
 	if !ok {
-		return nil, errors.Errorf("placement: %s answered with type %d", vm, answer.Type())
+		return nil, errors.Errorf("placement: %s answered with message type %d", vm, answer.Type())
 	}
-	return taken, nil
+	return orderAnswer, nil
 }
 
-// ask sends a question and waits for its answer until ctx ends.
-func (a *asker) ask(ctx context.Context, vm string, nonce uint64, question func(*link.Conn) link.Message) (link.Message, error) {
+// sendRequest sends a message and waits for its answer until ctx ends.
+func (a *agentClient) sendRequest(ctx context.Context, vm string, nonce uint64, message func(*link.Conn) link.Message) (link.Message, error) {
 	addr, known := a.fleet.Address(vm)
 	if !known {
 		return nil, errors.WithMessage(errUnknownAgent, vm)
@@ -70,12 +70,12 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := a.expect(nonce)
-	defer a.drop(nonce)
-	// Heartbeats find out that the link is silent while the answer is awaited.
+	answer := a.addPending(nonce)
+	defer a.removePending(nonce)
+	// A retained link sends heartbeats, which detect a silent peer while the answer is pending.
 	c.Retain()
 	defer c.Release()
-	if err := c.Send(question(c)); err != nil {
+	if err := c.Send(message(c)); err != nil {
 		return nil, err
 	}
 	select {
@@ -86,37 +86,37 @@
 	}
 }
 
-func (a *asker) expect(nonce uint64) <-chan link.Message {
+func (a *agentClient) addPending(nonce uint64) <-chan link.Message {
 	answer := make(chan link.Message, 1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.waiting[nonce] = answer
+	a.pending[nonce] = answer
 	return answer
 }
 
-func (a *asker) drop(nonce uint64) {
+func (a *agentClient) removePending(nonce uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.waiting, nonce)
+	delete(a.pending, nonce)
 }
 
-func (a *asker) onMessage(message link.Message) bool {
+func (a *agentClient) onMessage(message link.Message) bool {
 	switch m := message.(type) {
 	case *link.Status:
-		a.answered(m.Nonce, m)
+		a.handleAnswer(m.Nonce, m)
 	case *link.OrderAnswer:
-		a.answered(m.Nonce, m)
+		a.handleAnswer(m.Nonce, m)
 	default:
 		return false
 	}
 	return true
 }
 
-func (a *asker) answered(nonce uint64, message link.Message) {
+func (a *agentClient) handleAnswer(nonce uint64, message link.Message) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if answer := a.waiting[nonce]; answer != nil {
-		delete(a.waiting, nonce)
+	if answer := a.pending[nonce]; answer != nil {
+		delete(a.pending, nonce)
 		answer <- message
 	}
 }
--- a/entry/placement/observe.go
+++ b/entry/placement/observe.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// statusTimeout bounds the wait for one agent's status.
+	// statusTimeout bounds the wait for the status of one agent.
 	statusTimeout = time.Second
-	// askedAtOnce bounds the agents asked at once.
-	askedAtOnce = 32
-	// placementShare is the part of the weight store's rate that placement uses; the rest
-	// is for engines that load at their own start.
+	// maxStatusRequests bounds the concurrent requests for a status.
+	maxStatusRequests = 32
+	// placementShare is the share of the weight store's rate that placement uses. The rest is
+	// for engines that load weights when they start.
 	placementShare = 0.8
 )
 
-// seen is what is known of an agent's engine.
-type seen struct {
-	since time.Time
-	// status is the last one told; nil before the first.
+// agentState is the last known state of an agent's engine.
+type agentState struct {
+	firstSeen time.Time
+	// status is the last one received; nil before the first.
 	status *link.Status
 }
 
-// observe collects what a decision is made from. It fails when something is not known
-// without which the decision might be wrong.
+// observe collects the input of a decision. It fails if a part is unknown without which the
+// decision could be wrong.
 func (p *placer) observe(ctx context.Context, service *document.Service) (*placement.Input, error) {
 	in := &placement.Input{Service: service}
 	err := p.readRows(ctx, in)
@@ -38,23 +38,23 @@
 		return nil, err
 	}
 	replicas := p.agents.replicas(p.service)
-	p.askAll(ctx, replicas)
+	p.updateStatuses(ctx, replicas)
 	now := time.Now()
-	shown := make([]Replica, 0, len(replicas))
+	explained := make([]Replica, 0, len(replicas))
 	for i := range replicas {
-		r, untold := p.replica(now, &replicas[i])
-		if untold {
-			err = errors.WithMessage(errUntold, r.VM)
+		r, unknown := p.replica(now, &replicas[i])
+		if unknown {
+			err = errors.WithMessage(errStatusUnknown, r.VM)
 		}
 		in.Replicas = append(in.Replicas, r)
-		shown = append(shown, p.show(&r))
+		explained = append(explained, p.explainReplica(&r))
 	}
-	p.history.saw(shown)
-	p.forget(replicas)
+	p.history.setReplicas(explained)
+	p.removeStates(replicas)
 	return in, err
 }
 
-// readRows reads the slots and the rejected canaries.
+// readRows reads the slots and the rejected canaries, and deletes obsolete rejections.
 func (p *placer) readRows(ctx context.Context, in *placement.Input) error {
 	slots, err := p.rows.slots(ctx, p.slotCount(ctx))
 	if err != nil {
@@ -65,12 +65,12 @@
 	if err != nil {
 		return err
 	}
-	if left := p.rejected.outlived(in.Service); len(left) < len(p.rejected.canaries) && p.holds() {
-		version, err := p.rows.setRejected(ctx, p.rejected.version, left)
+	if rejected := p.rejected.stillNamed(in.Service); len(rejected) < len(p.rejected.canaries) && p.holdsLease() {
+		version, err := p.rows.setRejected(ctx, p.rejected.version, rejected)
 		if err != nil {
 			return err
 		}
-		p.rejected = rejections{version: version, canaries: left}
+		p.rejected = rejections{version: version, canaries: rejected}
 	}
 	for _, c := range p.rejected.canaries {
 		in.Rejected = append(in.Rejected, placement.ModelVersion{Model: c.Model, Version: c.Version})
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// slotCount is the number of fetches that the weight store's rate allows at once. While
-// the rate is not known nothing may be fetched; one that is known may be a little old.
+// slotCount returns the number of concurrent fetches that the weight store's rate allows. It
+// is 0 until the rate was read once; if a later read fails, the last rate is used.
 func (p *placer) slotCount(ctx context.Context) int {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -93,57 +93,58 @@
 	return min(maxSlots, max(1, int(p.rate*placementShare/p.settings.FetchRate)))
 }
 
-// askAll asks all agents that may answer. Those that don't keep what they told last.
-func (p *placer) askAll(ctx context.Context, replicas []routing.Replica) {
-	places := make(chan struct{}, askedAtOnce)
-	var all sync.WaitGroup
+// updateStatuses requests the status of all agents that are not dead. An agent that does not
+// answer keeps its last status.
+func (p *placer) updateStatuses(ctx context.Context, replicas []routing.Replica) {
+	semaphore := make(chan struct{}, maxStatusRequests)
+	var requests sync.WaitGroup
 	for i := range replicas {
 		vm := replicas[i].Agent
-		if p.seen[vm] == nil {
-			p.seen[vm] = &seen{since: time.Now()}
+		if p.agentStates[vm] == nil {
+			p.agentStates[vm] = &agentState{firstSeen: time.Now()}
 		}
 		if replicas[i].State == routing.Dead {
 			continue
 		}
-		known := p.seen[vm]
-		places <- struct{}{}
-		all.Go(func() {
-			defer func() { <-places }()
-			p.ask(ctx, vm, known)
+		state := p.agentStates[vm]
+		semaphore <- struct{}{}
+		requests.Go(func() {
+			defer func() { <-semaphore }()
+			p.updateStatus(ctx, vm, state)
 		})
 	}
-	all.Wait()
+	requests.Wait()
 }
 
-func (p *placer) ask(ctx context.Context, vm string, known *seen) {
+func (p *placer) updateStatus(ctx context.Context, vm string, state *agentState) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	status, err := p.agents.status(ctx, vm)
 	if err != nil || !status.Reported && !status.EngineDown {
 		return
 	}
-	if !status.Reported && known.status != nil {
-		// A restarted agent whose engine is down: what was known before still holds.
-		known.status.EngineDown = true
+	if !status.Reported && state.status != nil {
+		// The agent has restarted and its engine is down. The last report remains valid.
+		state.status.EngineDown = true
 		return
 	}
-	known.status = status
+	state.status = status
 }
 
-// replica makes the observation of one engine; untold says that nothing is known of an
-// engine that seems to live. Such an engine must not be taken for one that serves nothing:
-// it would be given another model in the first round after each change of holder.
-func (p *placer) replica(now time.Time, r *routing.Replica) (replica placement.Replica, untold bool) {
+// replica returns the observation of one engine. unknown is set if the engine seems alive but
+// has not reported its state. Such an engine must not count as one that serves no model: it
+// would be ordered to load another one in the first round after each change of holder.
+func (p *placer) replica(now time.Time, r *routing.Replica) (replica placement.Replica, unknown bool) {
 	replica = placement.Replica{VM: r.Agent, Zone: r.Zone, State: r.State}
-	known := p.seen[r.Agent]
-	if known.status == nil {
-		if now.Sub(known.since) < p.settings.StatusGrace {
+	state := p.agentStates[r.Agent]
+	if state.status == nil {
+		if now.Sub(state.firstSeen) < p.settings.StatusGracePeriod {
 			return replica, r.State == routing.Live || r.State == routing.Suspect
 		}
 		replica.State = routing.Dead
 		return replica, false
 	}
-	status := known.status
+	status := state.status
 	replica.Model = status.Model
 	replica.Version = status.Version
 	replica.Adapters = status.Adapters
@@ -157,20 +158,20 @@
 	return replica, false
 }
 
-// forget drops agents that are gone from the view.
-func (p *placer) forget(replicas []routing.Replica) {
-	here := make(map[string]bool, len(replicas))
+// removeStates removes the states of agents that are no longer in the view.
+func (p *placer) removeStates(replicas []routing.Replica) {
+	present := make(map[string]bool, len(replicas))
 	for i := range replicas {
-		here[replicas[i].Agent] = true
+		present[replicas[i].Agent] = true
 	}
-	for vm := range p.seen {
-		if !here[vm] {
-			delete(p.seen, vm)
+	for vm := range p.agentStates {
+		if !present[vm] {
+			delete(p.agentStates, vm)
 		}
 	}
 }
 
-// stateNames spell the states for operators.
+// stateNames are the names of the states in explanations.
 var stateNames = map[routing.State]string{
 	routing.Live:    "live",
 	routing.Suspect: "suspect",
@@ -178,8 +179,8 @@
 	routing.Dead:    "dead",
 }
 
-func (p *placer) show(r *placement.Replica) Replica {
-	shown := Replica{
+func (p *placer) explainReplica(r *placement.Replica) Replica {
+	explained := Replica{
 		VM:           r.VM,
 		Zone:         r.Zone,
 		State:        stateNames[r.State],
@@ -191,8 +192,8 @@
 		ErrorRate:    r.ErrorRate,
 		FirstTokenMs: float64(r.FirstToken) / float64(time.Millisecond),
 	}
-	if status := p.seen[r.VM].status; status != nil {
-		shown.OrderError = status.OrderError
+	if status := p.agentStates[r.VM].status; status != nil {
+		explained.OrderError = status.OrderError
 	}
-	return shown
+	return explained
 }
--- a/entry/placement/placement.go
+++ b/entry/placement/placement.go
@@ -1,12 +1,13 @@
-// Package placement places the models of services on engines: it carries out the
-// decisions of core/placement at the entry that holds the service's lease.
+// Package placement places the models of services on engines. It performs the decisions of
+// core/placement at the entry that holds the service's lease.
 //
-// For each model service a few entries, chosen by rendezvous hashing, compete for a lease
-// in the table; all 350 would spend the table's reads on it. The holder asks the service's
-// agents what their engines serve, decides, writes what takes part of the weight store's
-// rate into the table, and only then gives the order, with the lease's fencing number. It
-// asks whether it still holds the lease before each write and each order; what a paused
-// holder does all the same, the conditional writes and the agents refuse.
+// For each model service a few entries, chosen by rendezvous hashing, compete for a lease in
+// the table; if all 350 did, they would use up the table's reads. The holder requests the
+// state of the engines from the service's agents and decides. For an order that uses the
+// weight store's rate it first takes a slot in the table. It sends each order with the
+// lease's fencing number. Before each write and each order it checks that it still holds the
+// lease; if it was paused after the check, the conditional writes and the agents refuse its
+// action.
 package placement
 
 import (
@@ -30,41 +31,41 @@
 )
 
 const (
-	// candidates is the number of entries that compete for a service's lease: one that
-	// holds it, and two that outlive it even if another dies together with it.
-	candidates = 3
-	// servicesEvery is how often the services and the live entries are looked at.
-	servicesEvery = time.Second
+	// leaseCandidates is the number of entries that compete for a service's lease: the holder
+	// and two more, so that one is left if the holder and another entry fail together.
+	leaseCandidates = 3
+	// servicesInterval is the time between two reads of the services and live entries.
+	servicesInterval = time.Second
 )
 
-// Settings are the times and rates of placement.
+// Settings are the intervals and rates of placement.
 type Settings struct {
 	Decisions placement.Config
 	Lease     lease.Settings
 	// Every is the time between two rounds of decisions.
 	Every time.Duration
-	// StatusGrace is how long an agent that has told nothing yet is waited for before its
-	// engine counts as dead.
-	StatusGrace time.Duration
+	// StatusGracePeriod is how long an agent may take to its first status before its engine counts
+	// as dead.
+	StatusGracePeriod time.Duration
 	// FetchRate is the rate at which one engine fetches weights, in bytes per second.
 	FetchRate float64
 }
 
-// DefaultSettings ask each agent every 5 s. A question and its answer are frames of 11 and
-// 76 bytes, so that a holder of 44 replicas, the average at the design size, spends
-// 0.8 KB/s of its 2 KB/s on them. 250 MB/s is a fifth of a 10 Gbit/s interface, which
-// leaves the rest to requests.
+// DefaultSettings request the status of each agent every 5 s. A request and its answer are
+// frames of 11 and 76 bytes, so that a holder of 44 replicas, the average at the design size,
+// uses 0.8 KB/s of its 2 KB/s for them. 250 MB/s is a fifth of a 10 Gbit/s interface, which
+// leaves the rest for requests.
 func DefaultSettings() Settings {
 	return Settings{
-		Decisions:   placement.DefaultConfig(),
-		Lease:       lease.DefaultSettings,
-		Every:       5 * time.Second,
-		StatusGrace: 15 * time.Second,
-		FetchRate:   250e6,
+		Decisions:         placement.DefaultConfig(),
+		Lease:             lease.DefaultSettings,
+		Every:             5 * time.Second,
+		StatusGracePeriod: 15 * time.Second,
+		FetchRate:         250e6,
 	}
 }
 
-// Fleet is what placement uses of the entry's view. fleet.View implements it.
+// Fleet is the part of the entry's view that placement uses. fleet.View implements it.
 type Fleet interface {
 	Entries() []fleet.Entry
 	Replicas(service string) []routing.Replica
@@ -74,48 +75,48 @@
 
 // Config configures a Manager.
 type Config struct {
-	// VM is this entry, Life an ID that no other life of its process has.
-	VM      string
-	Life    string
-	Table   table.Store
-	Weights weights.Store
-	Fleet   Fleet
+	// VM is this entry. Incarnation is unique to this run of its process.
+	VM          string
+	Incarnation string
+	Table       table.Store
+	Weights     weights.Store
+	Fleet       Fleet
 	// Snapshot returns the documents in force, or nil.
 	Snapshot func() *document.Snapshot
 	Settings Settings
 	Log      zerolog.Logger
 }
 
-// Manager takes part in placing all model services. It is safe for concurrent use.
+// Manager takes part in the placement of all model services. It is safe for concurrent use.
 type Manager struct {
-	config Config
-	asker  *asker
+	config      Config
+	agentClient *agentClient
 
-	mu       sync.Mutex
-	services map[string]*running
-	begun    int
+	mu                  sync.Mutex
+	services            map[string]*participant
+	participantsStarted int
 }
 
-// running is this entry's part in one service.
-type running struct {
+// participant is this entry's part in the placement of one service.
+type participant struct {
 	placer *placer
 	stop   context.CancelFunc
 }
 
-// New returns a Manager that does nothing until Run.
+// New returns a Manager that is idle until Run.
 func New(config Config) *Manager {
-	return &Manager{config: config, asker: newAsker(config.Fleet), services: make(map[string]*running)}
+	return &Manager{config: config, agentClient: newAgentClient(config.Fleet), services: make(map[string]*participant)}
 }
 
-// OnMessage takes the messages of this package's concern; false when it is another's.
-func (m *Manager) OnMessage(message link.Message) bool { return m.asker.onMessage(message) }
+// OnMessage handles the answers of agents. It returns false for all other messages.
+func (m *Manager) OnMessage(message link.Message) bool { return m.agentClient.onMessage(message) }
 
-// Run takes part until ctx ends.
+// Run takes part in the placement until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
-	ticker := time.NewTicker(servicesEvery)
+	ticker := time.NewTicker(servicesInterval)
 	defer ticker.Stop()
 	for {
-		m.compete(ctx)
+		m.updateParticipants(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -124,26 +125,26 @@
 	}
 }
 
-// compete begins and ends this entry's part in services.
-func (m *Manager) compete(ctx context.Context) {
-	wanted := m.wanted()
+// updateParticipants starts and stops participants according to candidateServices.
+func (m *Manager) updateParticipants(ctx context.Context) {
+	services := m.candidateServices()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, r := range m.services {
-		if !slices.Contains(wanted, name) {
+		if !slices.Contains(services, name) {
 			r.stop()
 			delete(m.services, name)
 		}
 	}
-	for _, name := range wanted {
+	for _, name := range services {
 		if m.services[name] == nil {
-			m.begin(ctx, name)
+			m.startParticipant(ctx, name)
 		}
 	}
 }
 
-// wanted returns the services whose lease this entry should compete for.
-func (m *Manager) wanted() []string {
+// candidateServices returns the services for whose lease this entry competes.
+func (m *Manager) candidateServices() []string {
 	snapshot := m.config.Snapshot()
 	if snapshot == nil {
 		return nil
@@ -152,39 +153,39 @@
 	for _, entry := range m.config.Fleet.Entries() {
 		names = append(names, entry.ID)
 	}
-	var wanted []string
+	var services []string
 	snapshot.Services(func(service *document.Service) {
 		if service.Kind != document.KindModel {
 			return
 		}
 		ranked := rendezvous.Ranked(service.Name, names)
 		// The entry itself is the first name.
-		if slices.Index(ranked, 0) < candidates {
-			wanted = append(wanted, service.Name)
+		if slices.Index(ranked, 0) < leaseCandidates {
+			services = append(services, service.Name)
 		}
 	})
-	return wanted
+	return services
 }
 
-// begin is called with mu held.
-func (m *Manager) begin(ctx context.Context, service string) {
-	// Each part has a name of its own: it numbers its writes from 1, and the table would
-	// take a write with an old token for one that was done already.
-	m.begun++
-	life := fmt.Sprintf("%s/%s.%d", m.config.VM, m.config.Life, m.begun)
-	runner, err := leaserow.New(m.config.Table, leaserow.Placement(service), life, m.config.Settings.Lease)
+// startParticipant starts to compete for the lease of a service. It is called with mu held.
+func (m *Manager) startParticipant(ctx context.Context, service string) {
+	// Each participant has a unique ID, because it numbers its writes from 1. The table takes
+	// a write with a token that was used before for a repetition and does not apply it.
+	m.participantsStarted++
+	id := fmt.Sprintf("%s/%s.%d", m.config.VM, m.config.Incarnation, m.participantsStarted)
+	runner, err := leaserow.New(m.config.Table, leaserow.Placement(service), id, m.config.Settings.Lease)
 	if err != nil {
 		m.config.Log.Error().Err(err).Msg("placement can not run")
 		return
 	}
 	ctx, stop := context.WithCancel(ctx)
-	p := newPlacer(service, life, &m.config, runner, m.asker)
-	m.services[service] = &running{placer: p, stop: stop}
+	p := newPlacer(service, id, &m.config, runner, m.agentClient)
+	m.services[service] = &participant{placer: p, stop: stop}
 	go runner.Run(ctx)
-	go m.rounds(ctx, p)
+	go m.runRounds(ctx, p)
 }
 
-func (m *Manager) rounds(ctx context.Context, p *placer) {
+func (m *Manager) runRounds(ctx context.Context, p *placer) {
 	ticker := time.NewTicker(m.config.Settings.Every)
 	defer ticker.Stop()
 	for {
@@ -201,8 +202,8 @@
 	}
 }
 
-// Explain tells who places a service and, at the holder, what was done and why. It reads
-// the lease's row.
+// Explain returns the holder of a service's lease and the steps that this entry took with
+// their reasons. It reads the lease's row.
 func (m *Manager) Explain(ctx context.Context, service string) *Explanation {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
--- a/entry/placement/placement_test.go
+++ b/entry/placement/placement_test.go
@@ -25,35 +25,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slots is the number of fetches that the weight store's rate allows: 0.8 of 250 over 100.
-const slots = 2
+// slotCount is the number of concurrent fetches: 0.8 of the weight store's rate of 250, divided
+// by the rate of one fetch, 100.
+const slotCount = 2
 
-// loadTime is how long an engine of these tests loads.
+// loadTime is how long an engine takes to load a model.
 const loadTime = 20 * time.Second
 
-// world is engines with their agents' executors, and the platform.
-type world struct {
-	t         *testing.T
-	platform  *platform.Platform
-	service   document.Service
-	engines   map[string]*fakeEngine
-	executors map[string]*orders.Executor
-	list      []routing.Replica
-	start     time.Time
-	// untold is an agent that has not read its engine's report yet.
-	untold string
-	// deliver, if set, stands between a holder and an agent.
-	deliver func(vm string, take func() error) error
+// cluster holds engines, the order executors of their agents, and the platform. It implements
+// agents.
+type cluster struct {
+	t           *testing.T
+	platform    *platform.Platform
+	service     document.Service
+	engines     map[string]*fakeEngine
+	executors   map[string]*orders.Executor
+	replicaList []routing.Replica
+	start       time.Time
+	// agentWithoutReport is an agent that has not received its engine's report yet.
+	agentWithoutReport string
+	// intercept, if set, is called for each order in place of execute.
+	intercept func(vm string, execute func() error) error
 
-	mu       sync.Mutex
-	fetching int
-	most     int
+	mu          sync.Mutex
+	fetching    int
+	maxFetching int
 }
 
 // fakeEngine ignores fencing numbers.
 type fakeEngine struct {
 	engine.Engine
-	world *world
+	cluster *cluster
 
 	mu     sync.Mutex
 	report engine.Report
@@ -64,91 +66,93 @@
 	e.mu.Lock()
 	e.fences = append(e.fences, order.Fence)
 	e.mu.Unlock()
-	e.world.fetch(1)
+	e.cluster.fetch(1)
 	time.Sleep(loadTime)
-	e.world.fetch(-1)
+	e.cluster.fetch(-1)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.report.Model, e.report.Version = order.Name, order.Version
 	return nil
 }
 
-func (w *world) fetch(n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.fetching += n
-	w.most = max(w.most, w.fetching)
+func (c *cluster) fetch(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.fetching += n
+	c.maxFetching = max(c.maxFetching, c.fetching)
 }
 
-// mostFetches is the largest number of fetches that there was at once.
-func (w *world) mostFetches() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.most
+// maxFetches returns the largest number of concurrent fetches so far.
+func (c *cluster) maxFetches() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.maxFetching
 }
 
-func newWorld(t *testing.T, engines int, model document.Model) *world {
-	w := &world{
+func newCluster(t *testing.T, engines int, model document.Model) *cluster {
+	c := &cluster{
 		t: t, platform: platform.New(250), start: time.Now(),
 		engines: map[string]*fakeEngine{}, executors: map[string]*orders.Executor{},
 		service: document.Service{Name: "chat", Kind: document.KindModel, Models: []document.Model{model}},
 	}
 	for i := range engines {
 		vm := fmt.Sprintf("vm-%d", i)
-		w.engines[vm] = &fakeEngine{world: w, report: engine.Report{Model: "m", Version: "1"}}
-		w.list = append(w.list, routing.Replica{Agent: vm, Zone: fmt.Sprint("zone-", i%3)})
-		w.startAgent(vm)
+		c.engines[vm] = &fakeEngine{cluster: c, report: engine.Report{Model: "m", Version: "1"}}
+		c.replicaList = append(c.replicaList, routing.Replica{Agent: vm, Zone: fmt.Sprint("zone-", i%3)})
+		c.startAgent(vm)
 	}
-	w.setFence(1)
-	return w
+	c.setFence(1)
+	return c
 }
 
-func (w *world) startAgent(vm string) {
-	w.executors[vm] = orders.New(orders.Config{
-		Engine: w.engines[vm],
+func (c *cluster) startAgent(vm string) {
+	c.executors[vm] = orders.New(orders.Config{
+		Engine: c.engines[vm],
 		ReadFence: func(ctx context.Context) (uint64, error) {
-			return leaserow.ReadFence(ctx, w.platform.Table, leaserow.Placement("chat"))
+			return leaserow.ReadFence(ctx, c.platform.Table, leaserow.Placement("chat"))
 		},
 		Log: zerolog.Nop(),
 	})
 }
 
-// setFence writes the lease's row as a holder with this number would.
-func (w *world) setFence(fence uint64) {
+// setFence writes the lease's row as a holder with this fencing number does.
+func (c *cluster) setFence(fence uint64) {
 	value, err := json.Marshal(lease.Record{Holder: fmt.Sprint("entry-", fence), Fence: fence})
-	require.NoError(w.t, err)
+	require.NoError(c.t, err)
 	write := table.Write{Key: leaserow.Placement("chat"), Value: value}
-	_, err = w.platform.Table.Commit(w.t.Context(), table.Tx{Token: fmt.Sprint("lease-", fence), Writes: []table.Write{write}})
-	require.NoError(w.t, err)
+	_, err = c.platform.Table.Commit(c.t.Context(), table.Tx{Token: fmt.Sprint("lease-", fence), Writes: []table.Write{write}})
+	require.NoError(c.t, err)
 }
 
-func (w *world) clock() int64 { return int64(time.Since(w.start)) }
+func (c *cluster) clock() int64 { return int64(time.Since(c.start)) }
 
-func (w *world) replicas(string) []routing.Replica { return append([]routing.Replica(nil), w.list...) }
+func (c *cluster) replicas(string) []routing.Replica {
+	return append([]routing.Replica(nil), c.replicaList...)
+}
 
-func (w *world) status(_ context.Context, vm string) (*link.Status, error) {
-	if vm == w.untold {
-		return w.executors[vm].Status(time.Now()), nil
+func (c *cluster) status(_ context.Context, vm string) (*link.Status, error) {
+	if vm == c.agentWithoutReport {
+		return c.executors[vm].Status(time.Now()), nil
 	}
-	e := w.engines[vm]
+	e := c.engines[vm]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w.executors[vm].Reported(time.Now(), e.report, nil)
-	return w.executors[vm].Status(time.Now()), nil
+	c.executors[vm].Reported(time.Now(), e.report, nil)
+	return c.executors[vm].Status(time.Now()), nil
 }
 
-func (w *world) give(ctx context.Context, vm string, order link.Order) (*link.OrderAnswer, error) {
-	order.Stamp = w.clock()
+func (c *cluster) sendOrder(ctx context.Context, vm string, order link.Order) (*link.OrderAnswer, error) {
+	order.Stamp = c.clock()
 	refusal := error(nil)
-	take := func() error {
-		refusal = w.executors[vm].Take(context.WithoutCancel(ctx), w.clock, &order)
+	execute := func() error {
+		refusal = c.executors[vm].Take(context.WithoutCancel(ctx), c.clock, &order)
 		return nil
 	}
-	deliver := w.deliver
-	if deliver == nil {
-		deliver = func(_ string, take func() error) error { return take() }
+	intercept := c.intercept
+	if intercept == nil {
+		intercept = func(_ string, execute func() error) error { return execute() }
 	}
-	if err := deliver(vm, take); err != nil {
+	if err := intercept(vm, execute); err != nil {
 		return nil, err
 	}
 	if refusal != nil {
@@ -157,37 +161,37 @@
 	return &link.OrderAnswer{OK: true}, nil
 }
 
-// term is a lease that this process believes to hold.
-type term struct {
+// fakeLease is a lease that a placer considers as held until ended is set.
+type fakeLease struct {
 	fence uint64
 	ended bool
 }
 
-func (l *term) Held() (lease.Grant, bool) { return lease.Grant{Fence: l.fence}, !l.ended }
+func (l *fakeLease) Held() (lease.Grant, bool) { return lease.Grant{Fence: l.fence}, !l.ended }
 
-func (w *world) holder(l *term) *placer {
+func (c *cluster) newPlacer(l *fakeLease) *placer {
 	settings := DefaultSettings()
 	settings.FetchRate = 100
 	settings.Decisions.Cooldown = 0
 	settings.Decisions.MinRequests = 20
 	settings.Decisions.LoadingShare = 1
-	config := &Config{Table: w.platform.Table, Weights: w.platform.Weights, Settings: settings, Log: zerolog.Nop()}
-	return newPlacer("chat", fmt.Sprint("life-", l.fence), config, l, w)
+	config := &Config{Table: c.platform.Table, Weights: c.platform.Weights, Settings: settings, Log: zerolog.Nop()}
+	return newPlacer("chat", fmt.Sprint("life-", l.fence), config, l, c)
 }
 
-// rounds lets holders act in turn.
-func (w *world) rounds(n int, holders ...*placer) {
+// runRounds runs n rounds of each holder in turn, 5 s apart.
+func (c *cluster) runRounds(n int, holders ...*placer) {
 	for range n {
 		for _, p := range holders {
-			p.round(w.t.Context(), &w.service)
+			p.round(c.t.Context(), &c.service)
 		}
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 	}
 }
 
-func (w *world) count(version string) (n int) {
-	for _, e := range w.engines {
+func (c *cluster) countVersion(version string) (n int) {
+	for _, e := range c.engines {
 		e.mu.Lock()
 		if e.report.Model == "m" && e.report.Version == version {
 			n++
@@ -197,135 +201,134 @@
 	return n
 }
 
-// Symptom: replicas go back and forth between versions, and loads take more than the
-// weight store gives.
-// Sequence: a holder's lease lapses without its noticing; another takes the lease; both
-// give orders. Cause: agents that obey both, and slots that both take.
-func TestTwoHoldersByMistake(t *testing.T) {
+// Guards against two processes that both act as holder, because the first has not noticed
+// that its lease expired: replicas must not switch back and forth between versions, and the
+// fetches must not exceed the weight store's rate. Agents must refuse the former holder, and
+// a slot must go to one of them only.
+func TestTwoConcurrentLeaseHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 8, document.Model{Name: "m", Version: "2", Replicas: 8})
-		former, holder := w.holder(&term{fence: 1}), w.holder(&term{fence: 2})
-		w.rounds(3, former)
-		require.NotZero(t, w.mostFetches())
-		w.setFence(2)
-		w.rounds(200, holder, former)
-		require.Equal(t, 8, w.count("2"))
-		require.Equal(t, slots, w.mostFetches())
-		for vm, e := range w.engines {
+		c := newCluster(t, 8, document.Model{Name: "m", Version: "2", Replicas: 8})
+		former, holder := c.newPlacer(&fakeLease{fence: 1}), c.newPlacer(&fakeLease{fence: 2})
+		c.runRounds(3, former)
+		require.NotZero(t, c.maxFetches())
+		c.setFence(2)
+		c.runRounds(200, holder, former)
+		require.Equal(t, 8, c.countVersion("2"))
+		require.Equal(t, slotCount, c.maxFetches())
+		for vm, e := range c.engines {
 			require.IsNonDecreasing(t, e.fences, vm)
 		}
 	})
 }
 
-// Symptom: a version that was replaced comes back. Sequence: a holder is paused after its
-// last look at the lease and before it sends an order; another holder has ended its work
-// meanwhile, or not begun it. Cause: an agent that obeys an old order because it has heard
-// of no newer holder.
+// Guards against the return of a replaced version: a holder is paused between its last check
+// of the lease and its order. The agent must refuse the order even if it has received none
+// from a newer holder.
 func TestOrderOfPausedHolderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, document.Model{Name: "m", Version: "2", Replicas: 1})
-		l := &term{fence: 1}
-		w.deliver = func(_ string, take func() error) error {
+		c := newCluster(t, 1, document.Model{Name: "m", Version: "2", Replicas: 1})
+		l := &fakeLease{fence: 1}
+		c.intercept = func(_ string, execute func() error) error {
 			time.Sleep(time.Minute)
 			l.ended = true
-			return take()
+			return execute()
 		}
-		w.holder(l).round(t.Context(), &w.service)
-		require.Empty(t, w.engines["vm-0"].fences)
-		w.deliver = nil
-		w.setFence(2)
-		w.rounds(20, w.holder(&term{fence: 2}))
-		require.Equal(t, []uint64{2}, w.engines["vm-0"].fences, "the next holder finds the order in its slot")
-		require.Equal(t, 1, w.count("2"))
+		c.newPlacer(l).round(t.Context(), &c.service)
+		require.Empty(t, c.engines["vm-0"].fences)
+		c.intercept = nil
+		c.setFence(2)
+		c.runRounds(20, c.newPlacer(&fakeLease{fence: 2}))
+		require.Equal(t, []uint64{2}, c.engines["vm-0"].fences, "the next holder finds the order in its slot")
+		require.Equal(t, 1, c.countVersion("2"))
 	})
 }
 
 func TestRestartedAgentReadsTheFenceFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, document.Model{Name: "m", Version: "2", Replicas: 1})
-		w.setFence(2)
-		w.startAgent("vm-0")
-		former := w.holder(&term{fence: 1})
-		w.rounds(10, former)
-		require.Empty(t, w.engines["vm-0"].fences)
+		c := newCluster(t, 1, document.Model{Name: "m", Version: "2", Replicas: 1})
+		c.setFence(2)
+		c.startAgent("vm-0")
+		former := c.newPlacer(&fakeLease{fence: 1})
+		c.runRounds(10, former)
+		require.Empty(t, c.engines["vm-0"].fences)
 		require.Contains(t, former.history.steps[0].Outcome, lease.ErrStaleFence.Error())
 	})
 }
 
-// Symptom: a replica is not loaded for minutes. Sequence: the answer to an order, or the
-// order, is lost. Cause: taking it for given.
+// Guards against a replica that stays unloaded for minutes because its order, or the answer to
+// it, was lost.
 func TestOrderWithLostAnswerIsSentAgain(t *testing.T) {
 	for _, arrives := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 1, document.Model{Name: "m", Version: "2", Replicas: 1})
+			c := newCluster(t, 1, document.Model{Name: "m", Version: "2", Replicas: 1})
 			lost := false
-			w.deliver = func(_ string, take func() error) error {
+			c.intercept = func(_ string, execute func() error) error {
 				if !lost {
 					lost = true
 					if arrives {
-						_ = take()
+						_ = execute()
 					}
 					return errors.New("lost")
 				}
-				return take()
+				return execute()
 			}
-			w.rounds(10, w.holder(&term{fence: 1}))
-			require.Equal(t, 1, w.count("2"))
-			require.Len(t, w.engines["vm-0"].fences, 1)
+			c.runRounds(10, c.newPlacer(&fakeLease{fence: 1}))
+			require.Equal(t, 1, c.countVersion("2"))
+			require.Len(t, c.engines["vm-0"].fences, 1)
 		})
 	}
 }
 
-func TestBadCanaryIsRolledBackForGood(t *testing.T) {
+func TestFailingCanaryStaysRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, document.Model{Name: "m", Version: "1", Canary: "2", CanaryShare: 0.25, Replicas: 4})
-		first := w.holder(&term{fence: 1})
-		w.rounds(10, first)
-		require.Equal(t, 1, w.count("2"))
-		for vm, x := range w.executors {
+		c := newCluster(t, 4, document.Model{Name: "m", Version: "1", Canary: "2", CanaryShare: 0.25, Replicas: 4})
+		first := c.newPlacer(&fakeLease{fence: 1})
+		c.runRounds(10, first)
+		require.Equal(t, 1, c.countVersion("2"))
+		for vm, x := range c.executors {
 			end := link.End{FirstMs: 100}
-			if w.engines[vm].report.Version == "2" {
+			if c.engines[vm].report.Version == "2" {
 				end.Code = result.UpstreamFailed
 			}
 			for range 30 {
 				x.Ended(time.Now(), &end)
 			}
 		}
-		w.rounds(10, first)
-		require.Equal(t, 4, w.count("1"))
+		c.runRounds(10, first)
+		require.Equal(t, 4, c.countVersion("1"))
 
-		w.setFence(2)
-		next := w.holder(&term{fence: 2})
-		w.rounds(50, next)
-		require.Empty(t, next.history.steps, "the next holder doesn't try it again")
+		c.setFence(2)
+		next := c.newPlacer(&fakeLease{fence: 2})
+		c.runRounds(50, next)
+		require.Empty(t, next.history.steps, "the next holder doesn't retry the rejected canary")
 
-		w.service.Models[0].Canary = ""
-		w.rounds(1, next)
-		w.service.Models[0].Canary = "2"
-		w.rounds(10, next)
-		require.Equal(t, 1, w.count("2"), "the operator named it anew")
+		c.service.Models[0].Canary = ""
+		c.runRounds(1, next)
+		c.service.Models[0].Canary = "2"
+		c.runRounds(10, next)
+		require.Equal(t, 1, c.countVersion("2"), "the operator removed the canary and named it again")
 	})
 }
 
-// Symptom: after each change of holder replicas are loaded anew for no reason.
-// Sequence: the new holder's first round comes before an agent has read its engine's report.
-// Cause: an engine of which nothing is known is taken for one that serves nothing.
-func TestNothingIsOrderedWithoutKnowledge(t *testing.T) {
+// Guards against needless loads after each change of holder: in the new holder's first round
+// an agent may not have its engine's report yet, and such an engine must not count as one
+// that serves no model.
+func TestNoOrdersWhileStateIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, document.Model{Name: "m", Version: "1", Replicas: 4})
-		spare := w.engines["vm-3"]
+		c := newCluster(t, 4, document.Model{Name: "m", Version: "1", Replicas: 4})
+		spare := c.engines["vm-3"]
 		spare.report = engine.Report{Model: "spare"}
-		w.untold = "vm-2"
-		p := w.holder(&term{fence: 1})
-		w.rounds(2, p)
+		c.agentWithoutReport = "vm-2"
+		p := c.newPlacer(&fakeLease{fence: 1})
+		c.runRounds(2, p)
 		require.Empty(t, p.history.steps)
-		w.untold = ""
-		w.platform.Faults.Set(faults.Fault{Operation: platform.OpTableScan, Kind: faults.Outage})
-		w.rounds(2, p)
+		c.agentWithoutReport = ""
+		c.platform.Faults.Set(faults.Fault{Operation: platform.OpTableScan, Kind: faults.Outage})
+		c.runRounds(2, p)
 		require.Empty(t, p.history.steps, "the table is down")
-		w.platform.Faults.Set()
-		w.rounds(10, p)
-		require.Equal(t, 4, w.count("1"))
+		c.platform.Faults.Set()
+		c.runRounds(10, p)
+		require.Equal(t, 4, c.countVersion("1"))
 		require.Len(t, p.history.steps, 1)
 	})
 }
--- a/entry/placement/placer.go
+++ b/entry/placement/placer.go
@@ -15,71 +15,72 @@
 )
 
 const (
-	// orderTimeout bounds the wait for an agent to take an order. It covers the agent's
-	// reading of the lease's row after a start.
+	// orderTimeout bounds the wait for an agent's answer to an order. It includes the time in
+	// which an agent reads the lease's row after its start.
 	orderTimeout = 3 * time.Second
-	// orderStart is how long after the stamp an agent may begin an order. A link's stamp
-	// may be 10 s old when the order is sent.
-	orderStart = 15 * time.Second
-	// orderTries is how often an order is sent whose answer was lost.
-	orderTries = 5
+	// orderStartTimeout is how long after the stamp an agent may start an order. The stamp may
+	// be 10 s old when the order is sent.
+	orderStartTimeout = 15 * time.Second
+	// maxOrderAttempts bounds how often an order without a confirmation is sent.
+	maxOrderAttempts = 5
 )
 
-// holder tells whether this process holds a lease. leaserow.Runner implements it.
-type holder interface {
+// leaseHolder reports whether this process holds a lease. leaserow.Runner implements it.
+type leaseHolder interface {
 	Held() (lease.Grant, bool)
 }
 
-// agents are the agents of a service, as the holder asks them.
+// agents gives access to the agents of a service.
 type agents interface {
 	replicas(service string) []routing.Replica
 	status(ctx context.Context, vm string) (*link.Status, error)
-	give(ctx context.Context, vm string, order link.Order) (*link.OrderAnswer, error)
+	sendOrder(ctx context.Context, vm string, order link.Order) (*link.OrderAnswer, error)
 }
 
 // placer places one service while this entry holds its lease. Its rounds do not overlap.
 type placer struct {
 	service  string
 	settings *Settings
-	lease    holder
+	lease    leaseHolder
 	agents   agents
 	weights  weights.Store
 	rows     *rows
 	log      zerolog.Logger
 	history  history
 
-	// What follows is of one term as the holder, and is forgotten with it.
-	fence    uint64
-	machine  *placement.Placer
-	seen     map[string]*seen
-	unsure   map[string]given
-	rate     float64
-	rejected rejections
+	// The following fields belong to one term as the holder. startTerm resets all but rate and
+	// rejected, which the rounds update.
+	fence       uint64
+	machine     *placement.Placer
+	agentStates map[string]*agentState
+	unconfirmed map[string]sentOrder
+	rate        float64
+	rejected    rejections
 }
 
-// given is an order on its way.
-type given struct {
+// sentOrder is an order that was sent and may not be confirmed yet.
+type sentOrder struct {
 	order placement.Order
-	// slot is the one that was taken for the order just now; nil when it fetches no weights
-	// or when it may be under way already. Only then does a refusal prove that nothing is
-	// fetched.
-	slot  *placement.Slot
-	tries int
+	// slot is the slot that was just taken for the order. It is nil if the order fetches no
+	// weights or if it may have been sent before. Only if slot is set does a refusal prove that
+	// nothing is being fetched.
+	slot     *placement.Slot
+	attempts int
 }
 
-func newPlacer(service, life string, config *Config, lease holder, agents agents) *placer {
+func newPlacer(service, id string, config *Config, lease leaseHolder, agents agents) *placer {
 	return &placer{
 		service:  service,
 		settings: &config.Settings,
 		lease:    lease,
 		agents:   agents,
 		weights:  config.Weights,
-		rows:     &rows{store: config.Table, service: service, life: life},
+		rows:     &rows{store: config.Table, service: service, writer: id},
 		log:      config.Log.With().Str("service", service).Logger(),
 	}
 }
 
-// round decides once and carries the decisions out, if this entry holds the lease.
+// round decides once and performs the actions, if this entry holds the lease.
 func (p *placer) round(ctx context.Context, service *document.Service) {
 	grant, held := p.lease.Held()
 	if !held {
@@ -87,114 +88,117 @@
 		return
 	}
 	if p.machine == nil || p.fence != grant.Fence {
-		p.beginTerm(grant.Fence)
+		p.startTerm(grant.Fence)
 	}
 	in, err := p.observe(ctx, service)
 	if err != nil {
 		p.log.Warn().Err(err).Msg("placement waits")
 		return
 	}
-	p.repeatUnsure(ctx, in)
+	p.resendUnconfirmed(ctx, in)
 	for _, action := range p.machine.Decide(time.Now(), in) {
-		p.carryOut(ctx, action)
+		p.perform(ctx, action)
 	}
 }
 
-func (p *placer) beginTerm(fence uint64) {
+func (p *placer) startTerm(fence uint64) {
 	p.fence = fence
 	p.machine = placement.New(p.settings.Decisions)
-	p.seen = make(map[string]*seen)
-	p.unsure = make(map[string]given)
+	p.agentStates = make(map[string]*agentState)
+	p.unconfirmed = make(map[string]sentOrder)
 	p.log.Info().Uint64("fence", fence).Msg("this entry places the service")
 }
 
-// holds reports whether the term that the round began in goes on.
-func (p *placer) holds() bool {
+// holdsLease reports whether this entry still holds the lease under the fencing number of the
+// current term.
+func (p *placer) holdsLease() bool {
 	grant, held := p.lease.Held()
 	return held && grant.Fence == p.fence
 }
 
-func (p *placer) carryOut(ctx context.Context, action placement.Action) {
+func (p *placer) perform(ctx context.Context, action placement.Action) {
 	switch a := action.(type) {
 	case placement.SlotOrder:
-		p.reserve(ctx, a)
+		p.sendSlotOrder(ctx, a)
 	case placement.Order:
-		p.give(ctx, given{order: a})
+		p.sendOrder(ctx, sentOrder{order: a})
 	case placement.ReleaseSlot:
-		p.free(ctx, a.Slot, a.Version)
+		p.releaseSlot(ctx, a.Slot, a.Version)
 	case placement.RejectCanary:
-		p.reject(ctx, a)
+		p.rejectCanary(ctx, a)
 	}
 }
 
-// reserve takes a slot of the weight store's rate and then gives the order.
-func (p *placer) reserve(ctx context.Context, a placement.SlotOrder) {
-	if !p.holds() {
+// sendSlotOrder takes a slot of the weight store and then sends the order.
+func (p *placer) sendSlotOrder(ctx context.Context, a placement.SlotOrder) {
+	if !p.holdsLease() {
 		p.machine.OrderDropped(a.Order.VM)
 		return
 	}
 	version, err := p.rows.setSlot(ctx, a.Slot, a.Version, &a.Order, p.fence)
 	if err != nil {
-		// Where the write took effect all the same, the next round finds the order in it.
+		// If the write was applied despite the error, the next round finds the order in the slot.
 		p.machine.OrderDropped(a.Order.VM)
-		p.note(a.Order, "no slot of the weight store: "+err.Error())
+		p.recordStep(a.Order, "no slot of the weight store: "+err.Error())
 		return
 	}
-	p.give(ctx, given{order: a.Order, slot: &placement.Slot{Index: a.Slot, Version: version}})
+	p.sendOrder(ctx, sentOrder{order: a.Order, slot: &placement.Slot{Index: a.Slot, Version: version}})
 }
 
-// give sends an order. One that is refused at its first try had no effect, and its slot is
-// free again. Otherwise, where the answer was lost or where the order was found in a slot,
-// it may be under way. Freeing its slot would let another fetch begin beside it; one would
-// notice the weight store's rate being exceeded. So it is sent again in later rounds, which
-// does no harm, for it names the state wanted, and its slot is left to its end of life.
-func (p *placer) give(ctx context.Context, g given) {
-	if !p.holds() {
-		p.machine.OrderDropped(g.order.VM)
+// sendOrder sends an order. An order that is refused at the first attempt had no effect, and
+// its slot is released. An order whose answer was lost, or that was found in a slot, may be
+// in progress. If its slot were released, another fetch could start at the same time and the
+// weight store's rate would be exceeded. Therefore it is sent again in later rounds, which is
+// safe because it names the desired state, and its slot is left to expire.
+func (p *placer) sendOrder(ctx context.Context, sent sentOrder) {
+	if !p.holdsLease() {
+		p.machine.OrderDropped(sent.order.VM)
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, orderTimeout)
+	orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	answer, err := p.agents.give(limited, g.order.VM, p.message(&g.order))
+	answer, err := p.agents.sendOrder(orderCtx, sent.order.VM, p.orderMessage(&sent.order))
 	switch {
 	case err != nil:
-		p.note(g.order, "no answer: "+err.Error())
-		g.slot = nil
-		p.again(g)
+		p.recordStep(sent.order, "no answer: "+err.Error())
+		sent.slot = nil
+		p.scheduleResend(sent)
 	case answer.OK:
-		p.note(g.order, "given")
-	case g.slot != nil:
-		p.note(g.order, "refused: "+answer.Detail)
-		p.machine.OrderDropped(g.order.VM)
-		p.free(ctx, g.slot.Index, g.slot.Version)
+		p.recordStep(sent.order, "given")
+	case sent.slot != nil:
+		p.recordStep(sent.order, "refused: "+answer.Detail)
+		p.machine.OrderDropped(sent.order.VM)
+		p.releaseSlot(ctx, sent.slot.Index, sent.slot.Version)
 	default:
-		p.note(g.order, "refused: "+answer.Detail)
-		p.again(g)
+		p.recordStep(sent.order, "refused: "+answer.Detail)
+		p.scheduleResend(sent)
 	}
 }
 
-// again has an order sent again in the next round, unless it was sent often enough.
-func (p *placer) again(g given) {
-	if g.tries++; g.tries < orderTries {
-		p.unsure[g.order.VM] = g
+// scheduleResend marks an order for another attempt in the next round, up to
+// maxOrderAttempts.
+func (p *placer) scheduleResend(sent sentOrder) {
+	if sent.attempts++; sent.attempts < maxOrderAttempts {
+		p.unconfirmed[sent.order.VM] = sent
 	}
 }
 
-// repeatUnsure sends orders again whose answer was lost, unless they are seen to be done:
-// an adapter would be fetched a second time, when its slot may be another's already.
-func (p *placer) repeatUnsure(ctx context.Context, in *placement.Input) {
-	unsure := p.unsure
-	p.unsure = make(map[string]given)
+// resendUnconfirmed sends unconfirmed orders again unless they are observed as done. If a done
+// order were sent again, an adapter would be fetched a second time while another order may
+// already use its slot.
+func (p *placer) resendUnconfirmed(ctx context.Context, in *placement.Input) {
+	resend := p.unconfirmed
+	p.unconfirmed = make(map[string]sentOrder)
 	for i := range in.Replicas {
 		replica := &in.Replicas[i]
-		g, waits := unsure[replica.VM]
-		if waits && replica.State == routing.Live && !placement.Done(&g.order, replica) {
-			p.give(ctx, g)
+		sent, ok := resend[replica.VM]
+		if ok && replica.State == routing.Live && !placement.Done(&sent.order, replica) {
+			p.sendOrder(ctx, sent)
 		}
 	}
 }
 
-func (p *placer) message(order *placement.Order) link.Order {
+func (p *placer) orderMessage(order *placement.Order) link.Order {
 	return link.Order{
 		Kind:    string(order.Kind),
 		Model:   order.Model,
@@ -202,15 +206,15 @@
 		Adapter: order.Adapter,
 		Role:    order.Role,
 		Fence:   p.fence,
-		StartMs: orderStart.Milliseconds(),
+		StartMs: orderStartTimeout.Milliseconds(),
 		LifeMs:  p.settings.Decisions.OrderTimeout.Milliseconds(),
 	}
 }
 
-// free empties a slot. A write that fails is made up for by the next round, or by the end
-// of the slot's life.
-func (p *placer) free(ctx context.Context, index int, version uint64) {
-	if !p.holds() {
+// releaseSlot clears a slot. If the write fails, the next round repeats it or the slot
+// expires.
+func (p *placer) releaseSlot(ctx context.Context, index int, version uint64) {
+	if !p.holdsLease() {
 		return
 	}
 	if _, err := p.rows.setSlot(ctx, index, version, nil, p.fence); err != nil {
@@ -218,25 +222,25 @@
 	}
 }
 
-// reject stores that a canary was rolled back. Until that succeeds the machine asks for
-// it in each round.
-func (p *placer) reject(ctx context.Context, a placement.RejectCanary) {
-	step := placement.Order{Kind: kindReject, Model: a.Model, Version: a.Version, Reason: a.Reason}
-	if !p.holds() {
+// rejectCanary stores that a canary was rolled back. The machine requests it again in each
+// round until it is stored.
+func (p *placer) rejectCanary(ctx context.Context, a placement.RejectCanary) {
+	step := placement.Order{Kind: kindRejectCanary, Model: a.Model, Version: a.Version, Reason: a.Reason}
+	if !p.holdsLease() {
 		return
 	}
 	canaries := append(p.rejected.canaries, rejection{Model: a.Model, Version: a.Version, Reason: a.Reason})
 	version, err := p.rows.setRejected(ctx, p.rejected.version, canaries)
 	if err != nil {
-		p.note(step, "not stored yet: "+err.Error())
+		p.recordStep(step, "not stored yet: "+err.Error())
 		return
 	}
 	p.rejected = rejections{version: version, canaries: canaries}
-	p.note(step, "stored")
+	p.recordStep(step, "stored")
 }
 
-// note keeps and logs what was done and why.
-func (p *placer) note(order placement.Order, outcome string) {
+// recordStep adds a step to the history and logs it.
+func (p *placer) recordStep(order placement.Order, outcome string) {
 	p.history.add(Step{
 		At:      time.Now(),
 		VM:      order.VM,
@@ -253,11 +257,11 @@
 		Str("version", order.Version).Str("reason", string(order.Reason)).Str("outcome", outcome).Msg("placement")
 }
 
-// explain adds what this entry knows.
+// explain adds this entry's steps and observations.
 func (p *placer) explain(e *Explanation) {
 	_, e.Here = p.lease.Held()
 	p.history.copyTo(e)
 }
 
-// errUntold means that an agent has not told yet what its engine serves.
-var errUntold = errors.New("placement: an agent has not told what its engine serves")
+// errStatusUnknown means that an agent has not reported yet what its engine serves.
+var errStatusUnknown = errors.New("placement: agent has not reported what its engine serves")
--- a/entry/placement/reasons.go
+++ b/entry/placement/reasons.go
@@ -7,29 +7,29 @@
 	"acaciacleat.example/core/placement"
 )
 
-// keptSteps bounds the steps kept of one service. At most two orders a round and their
-// outcomes come together, and rounds with orders are rare.
-const keptSteps = 256
+// maxSteps bounds the steps kept for one service. A round adds at most two orders and their
+// outcomes, and rounds with orders are rare.
+const maxSteps = 256
 
-// Explanation tells who places a service, and what this entry did as its holder.
+// Explanation describes who places a service and what this entry did as the lease holder.
 type Explanation struct {
 	Service string `json:"service"`
-	// Holder is the entry and the life of its process that hold the lease by its row; empty
-	// if nobody does.
+	// Holder identifies the entry and its process that hold the lease according to the row;
+	// empty if none does.
 	Holder string `json:"holder"`
 	Fence  uint64 `json:"fence"`
-	// HolderError tells why the lease's row could not be read; Holder is then empty.
+	// HolderError is the error if the lease's row could not be read; Holder is then empty.
 	HolderError string `json:"holder_error,omitempty"`
-	// Here says that the entry that was asked holds the lease. Only the holder knows of
-	// all steps; another one's are of the time when it was the holder.
+	// Here says that the queried entry holds the lease. Only the holder has the current
+	// steps; those of another entry are from the time when it was the holder.
 	Here bool `json:"held_here"`
-	// Replicas are what the last round saw.
+	// Replicas are the replicas as observed in the last round.
 	Replicas []Replica `json:"replicas"`
-	// Steps are the newest last.
+	// Steps are the kept steps, the newest last.
 	Steps []Step `json:"steps"`
 }
 
-// Replica is what was seen of an engine.
+// Replica is the observed state of an engine.
 type Replica struct {
 	VM           string   `json:"vm"`
 	Zone         string   `json:"zone"`
@@ -44,7 +44,7 @@
 	OrderError   string   `json:"order_error,omitempty"`
 }
 
-// Step is one thing that placement did.
+// Step is one order or rejection of a canary.
 type Step struct {
 	At      time.Time        `json:"at"`
 	VM      string           `json:"vm,omitempty"`
@@ -54,15 +54,16 @@
 	Adapter string           `json:"adapter,omitempty"`
 	Role    string           `json:"role,omitempty"`
 	Reason  placement.Reason `json:"reason"`
-	// Outcome tells what became of it.
+	// Outcome is the result of the step.
 	Outcome string `json:"outcome"`
 	Fence   uint64 `json:"fence"`
 }
 
-// kindReject is the kind of step that rolls a canary back.
-const kindReject = "reject-canary"
+// kindRejectCanary is the kind of a step that rolls back a canary.
+const kindRejectCanary = "reject-canary"
 
-// history keeps the last steps and what the last round saw. It is safe for concurrent use.
+// history keeps the last steps and the replicas observed in the last round. It is safe for
+// concurrent use.
 type history struct {
 	mu       sync.Mutex
 	steps    []Step
@@ -72,13 +73,13 @@
 func (h *history) add(step Step) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.steps) == keptSteps {
+	if len(h.steps) == maxSteps {
 		h.steps = append(h.steps[:0], h.steps[1:]...)
 	}
 	h.steps = append(h.steps, step)
 }
 
-func (h *history) saw(replicas []Replica) {
+func (h *history) setReplicas(replicas []Replica) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.replicas = replicas
--- a/entry/placement/rows.go
+++ b/entry/placement/rows.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// slotTable has a row for each slot of the weight store, shared by all services.
+	// slotTable holds a row for each slot of the weight store. All services share the slots.
 	slotTable = "weight-slots"
-	// rejectedTable has a row for each service with the canaries that were rolled back.
+	// rejectedTable holds a row for each service with the canaries that were rolled back.
 	rejectedTable = "rejected-canaries"
-	// maxSlots bounds the slots: so many fetches at once are a tenth of 1,200 engines, and
-	// one scan reads them all.
+	// maxSlots bounds the slots, and with them the concurrent fetches, to about a tenth of
+	// 1,200 engines. One scan reads them all.
 	maxSlots = 128
 	// tableTimeout bounds one read or write.
 	tableTimeout = 2 * time.Second
@@ -31,17 +31,17 @@
 type slotRow struct {
 	Service string           `json:"service,omitempty"`
 	Order   *placement.Order `json:"order,omitempty"`
-	// Fence is the fencing number of the writer, for people who read the row.
+	// Fence is the fencing number of the writer. It is only informative.
 	Fence uint64 `json:"fence"`
 }
 
-// rows are the rows that one service's placement reads and writes. All writes are
-// conditional, so that of two holders by mistake one takes a slot.
+// rows reads and writes the rows of one service's placement. All writes are conditional, so
+// that only one of two processes that act as holder takes a slot.
 type rows struct {
 	store   table.Store
 	service string
-	// life makes the tokens of this process's writes differ from all others'.
-	life   string
+	// writer is a unique ID, which makes the tokens of these writes unique.
+	writer string
 	writes atomic.Uint64
 }
 
@@ -49,8 +49,8 @@
 	return table.Key{Table: slotTable, Row: fmt.Sprintf("%04d", index)}
 }
 
-// slots returns the first count slots, and those beyond that hold an order: the rate may
-// have been higher when they were taken.
+// slots returns the first count slots, and those beyond them that hold an order: they were
+// taken when the weight store's rate was higher.
 func (r *rows) slots(ctx context.Context, count int) ([]placement.Slot, error) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -63,7 +63,7 @@
 		slots[i].Index = i
 	}
 	for _, row := range stored {
-		slot, err := readSlot(row)
+		slot, err := parseSlot(row)
 		switch {
 		case err != nil:
 			return nil, err
@@ -76,20 +76,20 @@
 	return slots, nil
 }
 
-func readSlot(row table.Row) (placement.Slot, error) {
+func parseSlot(row table.Row) (placement.Slot, error) {
 	index, err := strconv.Atoi(row.Key.Row)
 	if err != nil || index < 0 {
-		return placement.Slot{}, errors.Errorf("placement: slot row %q", row.Key.Row)
+		return placement.Slot{}, errors.Errorf("placement: invalid index of slot row %q", row.Key.Row)
 	}
 	var value slotRow
 	if err := json.Unmarshal(row.Value, &value); err != nil {
-		return placement.Slot{}, errors.Wrapf(err, "placement: slot row %q", row.Key.Row)
+		return placement.Slot{}, errors.Wrapf(err, "placement: decode slot row %q", row.Key.Row)
 	}
 	return placement.Slot{Index: index, Version: row.Version, Service: value.Service, Order: value.Order}, nil
 }
 
-// setSlot writes a slot's row if it still has the given version; order nil empties it. It
-// returns the new version.
+// setSlot writes a slot's row if it still has the given version, and returns the new version.
+// A nil order clears the row.
 func (r *rows) setSlot(ctx context.Context, index int, version uint64, order *placement.Order, fence uint64) (uint64, error) {
 	value := slotRow{Order: order, Fence: fence}
 	if order != nil {
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	versions, err := r.store.Commit(ctx, table.Tx{
-		Token:      fmt.Sprintf("placement/%s/%s/%d", r.service, r.life, r.writes.Add(1)),
+		Token:      fmt.Sprintf("placement/%s/%s/%d", r.service, r.writer, r.writes.Add(1)),
 		Conditions: []table.Condition{{Key: key, Version: version}},
 		Writes:     []table.Write{{Key: key, Value: data}},
 	})
@@ -143,14 +143,14 @@
 	}
 	stored := rejections{version: row.Version}
 	if err := json.Unmarshal(row.Value, &stored.canaries); err != nil {
-		return rejections{}, errors.Wrapf(err, "placement: rejected canaries of %s", r.service)
+		return rejections{}, errors.Wrapf(err, "placement: decode the rejected canaries of %s", r.service)
 	}
 	return stored, nil
 }
 
-// outlived returns the rejections without those whose canary the document no longer
-// names: naming it anew later is the operator's wish to try again.
-func (s rejections) outlived(service *document.Service) []rejection {
+// stillNamed returns the rejections whose canary the document still names. An operator retries
+// a rejected canary by removing it from the document and naming it again later.
+func (s rejections) stillNamed(service *document.Service) []rejection {
 	return slices.DeleteFunc(slices.Clone(s.canaries), func(c rejection) bool {
 		return !slices.ContainsFunc(service.Models, func(m document.Model) bool {
 			return m.Name == c.Model && m.Canary == c.Version
--- a/entry/process/policies.go
+++ b/entry/process/policies.go
@@ -7,11 +7,11 @@
 	"acaciacleat.example/entry/fleet"
 )
 
-// naive is the policy that is blind to load for plain services too.
+// naive is the name of the policy that ignores load, for plain services too.
 const naive = "naive"
 
-// Policies returns the factory of the named routing policy; see routing.ByName for the
-// names. Each of its policies has the same seed.
+// Policies returns the factory of the named routing policy; see routing.ByName for the names.
+// All policies of the factory have the same seed.
 func Policies(name string, seed uint64) fleet.PolicyFactory {
 	return func(string) routing.Policy {
 		if name == naive {
@@ -21,8 +21,9 @@
 	}
 }
 
-// newModels returns the named policy for models, or the blind one for an unknown name.
-func newModels(name string, seed uint64) routing.Policy {
+// newModelPolicy returns the named policy for models. For an unknown name it returns the policy
+// that ignores load.
+func newModelPolicy(name string, seed uint64) routing.Policy {
 	models, ok := routing.ByName(name, seed)
 	if !ok {
 		return &routing.Naive{}
@@ -30,12 +31,12 @@
 	return routing.NewEjecting(models)
 }
 
-// byKind routes calls of models and of plain services by policies of their own. It goes
-// by the request, because an agent can be in the list of VMs before its service's
-// document has been read.
+// byKind routes calls of models and of plain services by separate policies. It decides by the
+// request, because an agent may be in the list of VMs before its service's document was read.
 //
-// The policy for models is made at the first call of one. It holds an estimate of caches
-// of 2.3 MB: made at once, 27 services, most of them plain, took 62 MB of each entry.
+// The policy for models is created at the first call of a model, because its estimate of
+// caches takes 2.3 MB. With one for each of 27 services, most of them plain, an entry held
+// 62 MB.
 type byKind struct {
 	name   string
 	seed   uint64
@@ -49,13 +50,13 @@
 		return b.plain.Choose(request, replicas, now)
 	}
 	if b.models == nil {
-		b.models = newModels(b.name, b.seed)
+		b.models = newModelPolicy(b.name, b.seed)
 	}
 	return b.models.Choose(request, replicas, now)
 }
 
-// Finished implements routing.Learner. An agent has one service, so that the other
-// policy does not know it or never asks.
+// Finished implements routing.Learner. It reports to both policies. An agent has only one
+// service, so the policy of the other kind either does not know it or never uses the report.
 func (b *byKind) Finished(agent string, failed bool, now time.Time) {
 	if learner, ok := b.models.(routing.Learner); ok {
 		learner.Finished(agent, failed, now)
--- a/entry/process/policies_test.go
+++ b/entry/process/policies_test.go
@@ -8,10 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: an entry holds 62 MB of cache estimates at 27 services, most of them plain.
-// Sequence: services are put; none of them has been asked for a model.
-// Cause: each service gets a policy for models at once.
-func TestPolicyForModelsIsMadeAtTheFirstCallOfOne(t *testing.T) {
+// Guards against the memory of unused policies: a policy for models holds 2.3 MB of cache
+// estimates, and with one for each of 27 mostly plain services an entry held 62 MB.
+func TestModelPolicyIsCreatedAtFirstModelCall(t *testing.T) {
 	now := time.Now()
 	policy := Policies(routing.NameCombined, 1)("parts").(*byKind)
 	replicas := []routing.Replica{{Agent: "a", Incarnation: 1}}
@@ -23,7 +22,7 @@
 	require.NotNil(t, policy.models)
 }
 
-func TestUnknownPolicyIsBlind(t *testing.T) {
+func TestUnknownPolicyIgnoresLoad(t *testing.T) {
 	policy := Policies("unknown", 1)("s")
 	replicas := []routing.Replica{{Agent: "a", Model: "m", Incarnation: 1}}
 	require.Zero(t, policy.Choose(&routing.Request{Model: "m"}, replicas, time.Now()).Index)
--- a/entry/process/process.go
+++ b/entry/process/process.go
@@ -1,4 +1,4 @@
-// Package process runs one entry: links, the view of the fleet, documents, and the
+// Package process runs one entry: its links, the view of the fleet, the documents, and the
 // HTTP servers for callers and operators.
 package process
 
@@ -43,7 +43,7 @@
 	VM          string
 	Zone        string
 	Incarnation call.Incarnation
-	// Listen and OperatorListen are the HTTP addresses, LinkListen that for links.
+	// Listen and OperatorListen are the HTTP addresses; LinkListen is the address for links.
 	Listen         string
 	OperatorListen string
 	LinkListen     string
@@ -51,34 +51,34 @@
 	Table          table.Store
 	Documents      *documents.Store
 	VMs            vmlist.Lister
-	// CallerTLS and OperatorTLS are nil for addresses served in clear.
+	// CallerTLS and OperatorTLS are nil for addresses without TLS.
 	CallerTLS   *tls.Config
 	OperatorTLS *tls.Config
-	// ReadyOff is how long a drain answers "not ready" before callers are refused.
+	// ReadyOff is how long a drain reports "not ready" before callers are refused.
 	ReadyOff time.Duration
-	// Weights is the weight store. Without it this entry takes no part in placement.
+	// Weights is the weight store. If it is nil, this entry takes no part in placement.
 	Weights weights.Store
-	// Placement are the times and rates of placement; zero means the defaults.
+	// Placement are the intervals and rates of placement; zero means the defaults.
 	Placement placement.Settings
-	// Quarantine says when requests are held back under which upstreams crash; zero means the
-	// defaults.
+	// Quarantine are the settings by which requests are held back under which upstreams crash;
+	// zero means the defaults.
 	Quarantine corequarantine.Settings
 	Policies   fleet.PolicyFactory
 	Limits     front.Limits
 	Timing     link.Timing
-	// Tracer makes the spans of this entry; nil makes none.
+	// Tracer creates the spans of this entry; if nil, there are none.
 	Tracer *collector.Tracer
 	Log    zerolog.Logger
 }
 
 const (
-	// listEvery is how often the list of VMs is read.
-	listEvery = time.Second
-	// recordSize is the number of requests kept for explanations.
-	recordSize = 4096
-	// headerBytes bounds a request's headers.
-	headerBytes = 64 << 10
-	// headerTimeout bounds the time in which a caller sends its headers.
+	// vmListInterval is the time between two reads of the list of VMs.
+	vmListInterval = time.Second
+	// maxRecords bounds the requests kept for explanations.
+	maxRecords = 4096
+	// maxHeaderBytes bounds the headers of a request.
+	maxHeaderBytes = 64 << 10
+	// headerTimeout bounds the time that a caller takes to send its headers.
 	headerTimeout = 10 * time.Second
 )
 
@@ -87,7 +87,7 @@
 	Front    *front.Front
 	View     *fleet.View
 	Registry *flight.Registry
-	// Config keeps the service documents in force here.
+	// Config manages the service documents in force here.
 	Config *entryconfig.Manager
 	Quota  *quota.Enforcer
 	// Placement is nil without a weight store.
@@ -107,28 +107,28 @@
 	log       zerolog.Logger
 }
 
-// Start runs an entry until Stop.
+// Start starts an entry, which runs until Stop.
 func Start(config Config) (*Entry, error) {
 	log := config.Log.With().Str("vm", config.VM).Logger()
 	registry := flight.NewRegistry(config.Tracer)
 	view := fleet.New(config.VM, config.Policies, log)
 	e := &Entry{View: view, Registry: registry, readyOff: config.ReadyOff, log: log}
-	manager := config.manager(e, log)
+	manager := config.newManager(e, log)
 	e.Config = manager
-	e.Quota = config.quota(e)
-	e.Placement = config.placement(e, log)
-	e.Quarantine = config.quarantine(log)
+	e.Quota = config.newQuota(e)
+	e.Placement = config.newPlacement(e, log)
+	e.Quarantine = config.newQuarantine(log)
 	registry.SetQuarantine(e.Quarantine)
 	registry.SetView(view)
-	registry.SetOther(e.onMessage)
-	registry.SetHeard(manager.Heard)
+	registry.SetOtherHandler(e.onMessage)
+	registry.SetRevisionObserver(manager.Heard)
 	node, err := config.startLinks(registry)
 	if err != nil {
 		return nil, err
 	}
 	e.node = node
 	view.SetDialer(node)
-	records := record.NewRing(recordSize)
+	records := record.NewRing(maxRecords)
 	e.Front = front.New(front.Config{
 		Zone:     config.Zone,
 		Registry: registry,
@@ -158,11 +158,11 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	e.stop = stop
-	go view.Watch(ctx, config.VMs, listEvery)
+	go view.Watch(ctx, config.VMs, vmListInterval)
 	go manager.Run(ctx)
 	go e.Quota.Run(ctx)
 	go e.Quarantine.Run(ctx)
-	go config.sweeper(e, log).Run(ctx)
+	go config.newSweeper(e, log).Run(ctx)
 	if e.Placement != nil {
 		go e.Placement.Run(ctx)
 	}
@@ -170,20 +170,21 @@
 }
 
 const (
-	// quarantineTable has the requests that are held back, and quarantineEvery is how often it is
-	// read: all entries together use a fiftieth of the table's reads for it.
-	quarantineTable = "quarantine"
-	quarantineEvery = 10 * time.Second
+	// quarantineTable is the table of the requests that are held back.
+	// quarantineRereadInterval is the time between two reads of it; all entries together use a
+	// fiftieth of the table's reads for it.
+	quarantineTable          = "quarantine"
+	quarantineRereadInterval = 10 * time.Second
 )
 
-func (c *Config) quarantine(log zerolog.Logger) *quarantine.Keeper {
-	held := c.Quarantine
-	if held == (corequarantine.Settings{}) {
-		held = corequarantine.DefaultSettings
+func (c *Config) newQuarantine(log zerolog.Logger) *quarantine.Keeper {
+	settings := c.Quarantine
+	if settings == (corequarantine.Settings{}) {
+		settings = corequarantine.DefaultSettings
 	}
 	return quarantine.New(quarantine.Config{
-		VM: c.VM, Settings: held, Store: quarantine.TableStore{Table: c.Table}, Table: quarantineTable,
-		RereadInterval: quarantineEvery, Unlinked: func() bool { return false }, Log: log,
+		VM: c.VM, Settings: settings, Store: quarantine.TableStore{Table: c.Table}, Table: quarantineTable,
+		RereadInterval: quarantineRereadInterval, Unlinked: func() bool { return false }, Log: log,
 	})
 }
 
@@ -215,19 +216,18 @@
 	}
 	e.addr = callers.Addr().String()
 	e.opAddr = admin.Addr().String()
-	e.callers = e.newServer(e.closingWhenDraining(e.Front), config.CallerTLS)
+	e.callers = e.newServer(e.closeWhenDraining(e.Front), config.CallerTLS)
 	e.operators = e.newServer(operators, config.OperatorTLS)
 	go e.serve(e.callers, callers)
 	go e.serve(e.operators, admin)
 	return nil
 }
 
-// closingWhenDraining makes each answer that goes out during a drain close its connection.
-//
-// What goes wrong with http.Server's own SetKeepAlivesEnabled(false): it closes idle
-// connections at once, and a request that is on its way on one fails with EOF, which a
-// client may not repeat by itself. Seen once in four runs of TestRollingRestart.
-func (e *Entry) closingWhenDraining(next http.Handler) http.Handler {
+// closeWhenDraining makes each answer that is sent during a drain close its connection.
+// http.Server.SetKeepAlivesEnabled(false) is no alternative: it closes idle connections at
+// once, so that a request that is being sent on one fails with EOF, which a client may not
+// retry by itself.
+func (e *Entry) closeWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -241,7 +241,7 @@
 		Handler:           handler,
 		TLSConfig:         secure,
 		ErrorLog:          stdlog.New(e.log, "", 0),
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ReadHeaderTimeout: headerTimeout,
 	}
 }
@@ -267,8 +267,8 @@
 // LinkAddr returns the address for links.
 func (e *Entry) LinkAddr() string { return e.node.Addr() }
 
-// manager returns the keeper of the documents of an entry.
-func (c *Config) manager(e *Entry, log zerolog.Logger) *entryconfig.Manager {
+// newManager returns the manager of the documents of an entry.
+func (c *Config) newManager(e *Entry, log zerolog.Logger) *entryconfig.Manager {
 	return entryconfig.New(entryconfig.Config{
 		Self:  spread.Member{ID: spread.NodeID(c.VM), Zone: c.Zone},
 		Store: c.Documents,
@@ -278,8 +278,8 @@
 	})
 }
 
-// placement returns this entry's part in placing models, or nil without a weight store.
-func (c *Config) placement(e *Entry, log zerolog.Logger) *placement.Manager {
+// newPlacement returns the placement manager, or nil without a weight store.
+func (c *Config) newPlacement(e *Entry, log zerolog.Logger) *placement.Manager {
 	if c.Weights == nil {
 		return nil
 	}
@@ -288,14 +288,14 @@
 		settings = placement.DefaultSettings()
 	}
 	return placement.New(placement.Config{
-		VM:       c.VM,
-		Life:     strconv.FormatUint(uint64(c.Incarnation), 16),
-		Table:    c.Table,
-		Weights:  c.Weights,
-		Fleet:    e.View,
-		Snapshot: e.snapshot,
-		Settings: settings,
-		Log:      log,
+		VM:          c.VM,
+		Incarnation: strconv.FormatUint(uint64(c.Incarnation), 16),
+		Table:       c.Table,
+		Weights:     c.Weights,
+		Fleet:       e.View,
+		Snapshot:    e.snapshot,
+		Settings:    settings,
+		Log:         log,
 	})
 }
 
@@ -307,8 +307,8 @@
 	return nil
 }
 
-// quota returns the keeper of the organisations' limits.
-func (c *Config) quota(e *Entry) *quota.Enforcer {
+// newQuota returns the enforcer of the organisations' limits.
+func (c *Config) newQuota(e *Entry) *quota.Enforcer {
 	return quota.New(quota.Config{
 		Self:    c.VM,
 		Entries: e.View.Entries,
@@ -317,20 +317,20 @@
 	})
 }
 
-// sweeper returns what deletes the old rows of keyed calls.
-func (c *Config) sweeper(e *Entry, log zerolog.Logger) *sweep.Sweeper {
+// newSweeper returns the sweeper, which deletes the expired rows of keyed calls.
+func (c *Config) newSweeper(e *Entry, log zerolog.Logger) *sweep.Sweeper {
 	return sweep.New(sweep.Config{
 		Self:     c.VM,
 		Store:    c.Table,
-		Services: e.services,
-		Entries:  func() []string { return e.entries(c.VM) },
+		Services: e.serviceNames,
+		Entries:  func() []string { return e.liveEntries(c.VM) },
 		Token:    documents.NewToken,
 		Log:      log,
 	})
 }
 
-// services returns the names of the services in the documents in force.
-func (e *Entry) services() []string {
+// serviceNames returns the names of the services in the documents in force.
+func (e *Entry) serviceNames() []string {
 	var all []string
 	if snapshot := e.snapshot(); snapshot != nil {
 		snapshot.Services(func(service *document.Service) { all = append(all, service.Name) })
@@ -338,8 +338,8 @@
 	return all
 }
 
-// entries returns the VMs of the live entries, this one included.
-func (e *Entry) entries(self string) []string {
+// liveEntries returns the VMs of the live entries, this one included.
+func (e *Entry) liveEntries(self string) []string {
 	all := []string{self}
 	for _, entry := range e.View.Entries() {
 		all = append(all, entry.ID)
@@ -347,8 +347,8 @@
 	return all
 }
 
-// limitsOf returns an organisation's limits in the documents in force. One that is not in
-// them has none: the entry that asks has admitted it by documents of its own.
+// limitsOf returns an organisation's limits in the documents in force. An organisation that is
+// not in them has no limits here: the requesting entry has checked it by its own documents.
 func (e *Entry) limitsOf(key limits.Key) *document.Limits {
 	if snapshot := e.snapshot(); snapshot != nil {
 		if row := snapshot.Row(key.Service, key.Organisation); row != nil {
@@ -358,7 +358,7 @@
 	return &document.Limits{}
 }
 
-// onMessage takes the messages that do not concern requests.
+// onMessage handles the messages that do not concern requests.
 func (e *Entry) onMessage(c *link.Conn, message link.Message) {
 	if e.Quota.OnMessage(c.Peer().VM, c, message) {
 		return
@@ -369,14 +369,14 @@
 	e.Config.OnMessage(c, message)
 }
 
-// Ready reports whether the balancer should send new requests here.
+// Ready reports whether the load balancer should send new requests here.
 func (e *Entry) Ready() bool { return e.Front.Ready() && !e.draining.Load() }
 
-// Drain stops gracefully. It first answers "not ready" to the balancer while it still
-// takes requests: a process that refused at once would fail all requests that come until
-// the balancer has looked. Then it takes no more and waits for those in flight until ctx
-// ends. Answers that go out meanwhile close their connections, so that no caller keeps
-// one on which its next request would meet the end of the process.
+// Drain stops the entry gracefully. It first reports "not ready" to the load balancer while it
+// still accepts requests; if it refused them at once, all requests would fail that arrive
+// before the load balancer's next check. Then it accepts no more requests and waits for those
+// in flight until ctx ends. Answers during the drain close their connections, so that no
+// caller sends its next request on a connection that ends with the process.
 func (e *Entry) Drain(ctx context.Context) {
 	e.draining.Store(true)
 	pause.For(ctx, e.readyOff)
@@ -386,7 +386,7 @@
 	e.Stop()
 }
 
-// Stop ends the entry at once.
+// Stop stops the entry immediately.
 func (e *Entry) Stop() {
 	e.stop()
 	_ = e.callers.Close()
