--- a/entry/capacity/control_test.go
+++ b/entry/capacity/control_test.go
@@ -53,7 +53,7 @@
 		}
 		report := busyReport()
 		report.Agent, report.Model = vm.ID, vm.Service
-		view.Report(&report)
+		view.RecordLoad(&report)
 	}
 	return view
 }
--- a/entry/dev/placement_test.go
+++ b/entry/dev/placement_test.go
@@ -20,7 +20,7 @@
 	c.Plains = 0
 	c.Engine.ModelBytes = 1
 	c.Placement = placement.DefaultSettings()
-	c.Placement.Every = 20 * time.Millisecond
+	c.Placement.RoundInterval = 20 * time.Millisecond
 	c.Placement.Decisions.DeadGracePeriod = 0
 	c.Placement.Decisions.Cooldown = 0
 	c.Placement.Decisions.MinRequests = 10
@@ -39,7 +39,7 @@
 // placed returns what the entry that holds the lease tells; false when none has told yet.
 func placed(t testing.TB, d *Deployment) (placement.Explanation, bool) {
 	for i := range d.Entries {
-		if e := explained(t, d, i); e.Here && len(e.Replicas) > 0 {
+		if e := explained(t, d, i); e.HeldHere && len(e.Replicas) > 0 {
 			return e, true
 		}
 	}
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -186,8 +186,8 @@
 	return live
 }
 
-// Report handles a load report that came with a reply.
-func (v *View) Report(report *link.LoadReport) {
+// RecordLoad handles a load report that came with a reply.
+func (v *View) RecordLoad(report *link.LoadReport) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	a := v.agents[report.Agent]
--- a/entry/flight/crash.go
+++ b/entry/flight/crash.go
@@ -17,10 +17,10 @@
 type Quarantine interface {
 	// Held returns for how much longer a request is held back.
 	Held(print func() fingerprint.Print) (left time.Duration, held bool)
-	// Doubtful reports whether one more crash would cause the request to be held back.
-	Doubtful(print fingerprint.Print) bool
-	Ended(upstream dispatch.Upstream, affected []quarantine.Suspect)
-	Answered(print func() fingerprint.Print)
+	// OneCrashFromHold reports whether one more crash would cause the request to be held back.
+	OneCrashFromHold(print fingerprint.Print) bool
+	RecordCrash(upstream dispatch.Upstream, affected []quarantine.Suspect)
+	RecordAnswer(print func() fingerprint.Print)
 }
 
 // SetQuarantine sets the quarantine that holds requests back. Without one, no request is held
@@ -39,7 +39,7 @@
 	if q == nil {
 		return nil
 	}
-	if f.crashes > 0 && q.Doubtful(f.spec.Print()) && !pause(ctx, verdictWait) {
+	if f.crashes > 0 && q.OneCrashFromHold(f.spec.Print()) && !pause(ctx, verdictWait) {
 		return nil // The caller is gone or the deadline has passed; the machine detects both.
 	}
 	left, held := q.Held(f.spec.Print)
@@ -55,10 +55,10 @@
 	switch {
 	case q == nil:
 	case end.Code == result.OK:
-		q.Answered(f.spec.Print)
+		q.RecordAnswer(f.spec.Print)
 	case end.Code == result.UpstreamCrashed:
 		// The detail distinguishes the incarnations of the upstream beside an agent.
-		q.Ended(dispatch.Upstream{ID: f.target.Agent + ": " + end.Detail}, []quarantine.Suspect{{
+		q.RecordCrash(dispatch.Upstream{ID: f.target.Agent + ": " + end.Detail}, []quarantine.Suspect{{
 			Print: f.spec.Print(), Request: f.spec.ID.String(), Route: f.spec.Route.Service,
 			Organisation: f.spec.Route.Organisation, AfterCrash: f.crashes > 0,
 		}})
--- a/entry/flight/registry.go
+++ b/entry/flight/registry.go
@@ -140,7 +140,7 @@
 
 // handleLoadReport passes on a load report and the document revision in it.
 func (r *Registry) handleLoadReport(load *link.LoadReport) {
-	r.view.Report(load)
+	r.view.RecordLoad(load)
 	r.observeRevision(load.Agent, load.Revision)
 }
 
--- a/entry/gateway/heldback.go
+++ b/entry/gateway/heldback.go
@@ -17,10 +17,10 @@
 	Ready() bool
 	// Held returns for how much longer a request is held back.
 	Held(print func() fingerprint.Print) (left time.Duration, held bool)
-	// Doubtful reports whether one more crash would cause the request to be held back.
-	Doubtful(print fingerprint.Print) bool
-	Ended(upstream dispatch.Upstream, affected []quarantine.Suspect)
-	Answered(print func() fingerprint.Print)
+	// OneCrashFromHold reports whether one more crash would cause the request to be held back.
+	OneCrashFromHold(print fingerprint.Print) bool
+	RecordCrash(upstream dispatch.Upstream, affected []quarantine.Suspect)
+	RecordAnswer(print func() fingerprint.Print)
 }
 
 // fingerprint returns the fingerprint of the request's content.
@@ -68,7 +68,7 @@
 // awaitVerdict delays a retry after a broken answer until it is known whether the upstream
 // crashed, if one more crash would cause the request to be held back.
 func (e *exchange) awaitVerdict() {
-	if e.possibleCrashes == 0 || !e.g.config.Quarantine.Doubtful(e.fingerprint()) {
+	if e.possibleCrashes == 0 || !e.g.config.Quarantine.OneCrashFromHold(e.fingerprint()) {
 		return
 	}
 	timer := time.NewTimer(min(verdictDelay, e.deadline.Sub(e.now())))
--- a/entry/gateway/relay.go
+++ b/entry/gateway/relay.go
@@ -40,7 +40,7 @@
 		return e.machine.CallerGone(now)
 	}
 	if answer.Status < http.StatusInternalServerError {
-		e.g.config.Quarantine.Answered(e.fingerprint)
+		e.g.config.Quarantine.RecordAnswer(e.fingerprint)
 	}
 	e.recordOutcome(now, statusOutcome(answer.Status))
 	return e.machine.Ended(now, e.attempt(), attempt.Outcome{Code: result.OK, Execution: result.Ran})
@@ -134,7 +134,7 @@
 		case err == nil:
 		case errors.Is(err, io.EOF):
 			e.sendHead(answer)
-			e.g.config.Quarantine.Answered(e.fingerprint)
+			e.g.config.Quarantine.RecordAnswer(e.fingerprint)
 			e.recordOutcome(now, dispatch.Served)
 			return e.machine.Ended(now, e.attempt(), attempt.Outcome{Code: result.OK, Execution: result.Ran})
 		default:
--- a/entry/placement/placement.go
+++ b/entry/placement/placement.go
@@ -42,8 +42,8 @@
 type Settings struct {
 	Decisions placement.Config
 	Lease     lease.Settings
-	// Every is the time between two rounds of decisions.
-	Every time.Duration
+	// RoundInterval is the time between two rounds of decisions.
+	RoundInterval time.Duration
 	// StatusGracePeriod is how long an agent may take to its first status before its engine counts
 	// as dead.
 	StatusGracePeriod time.Duration
@@ -59,7 +59,7 @@
 	return Settings{
 		Decisions:         placement.DefaultConfig(),
 		Lease:             lease.DefaultSettings,
-		Every:             5 * time.Second,
+		RoundInterval:     5 * time.Second,
 		StatusGracePeriod: 15 * time.Second,
 		FetchRate:         250e6,
 	}
@@ -186,7 +186,7 @@
 }
 
 func (m *Manager) runRounds(ctx context.Context, p *placer) {
-	ticker := time.NewTicker(m.config.Settings.Every)
+	ticker := time.NewTicker(m.config.Settings.RoundInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/entry/placement/placer.go
+++ b/entry/placement/placer.go
@@ -259,7 +259,7 @@
 
 // explain adds this entry's steps and observations.
 func (p *placer) explain(e *Explanation) {
-	_, e.Here = p.lease.Held()
+	_, e.HeldHere = p.lease.Held()
 	p.history.copyTo(e)
 }
 
--- a/entry/placement/reasons.go
+++ b/entry/placement/reasons.go
@@ -20,9 +20,9 @@
 	Fence  uint64 `json:"fence"`
 	// HolderError is the error if the lease's row could not be read; Holder is then empty.
 	HolderError string `json:"holder_error,omitempty"`
-	// Here says that the queried entry holds the lease. Only the holder has the current
+	// HeldHere says that the queried entry holds the lease. Only the holder has the current
 	// steps; those of another entry are from the time when it was the holder.
-	Here bool `json:"held_here"`
+	HeldHere bool `json:"held_here"`
 	// Replicas are the replicas as observed in the last round.
 	Replicas []Replica `json:"replicas"`
 	// Steps are the kept steps, the newest last.
--- a/entry/quarantine/cluster_test.go
+++ b/entry/quarantine/cluster_test.go
@@ -110,7 +110,7 @@
 		return
 	}
 	for try := range 2 {
-		if try > 0 && k.Doubtful(printOf("fatal")) {
+		if try > 0 && k.OneCrashFromHold(printOf("fatal")) {
 			c.advance(170 * time.Millisecond)
 		}
 		if _, held := k.Held(func() fingerprint.Print { return printOf("fatal") }); held {
@@ -118,7 +118,7 @@
 		}
 		c.countSend(i)
 		c.advance(40 * time.Millisecond)
-		k.Ended(upstream(len(c.crashes)), []Suspect{{Print: printOf("fatal"), AfterCrash: try > 0}})
+		k.RecordCrash(upstream(len(c.crashes)), []Suspect{{Print: printOf("fatal"), AfterCrash: try > 0}})
 	}
 }
 
--- a/entry/quarantine/keeper.go
+++ b/entry/quarantine/keeper.go
@@ -126,15 +126,15 @@
 	return err
 }
 
-// Doubtful reports whether one more crash would cause the request to be held back.
-func (k *Keeper) Doubtful(print fingerprint.Print) bool {
+// OneCrashFromHold reports whether one more crash would cause the request to be held back.
+func (k *Keeper) OneCrashFromHold(print fingerprint.Print) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.ledger.Crashes(print)) >= k.config.Settings.MinCrashes-1
 }
 
-// Ended records the requests that this entry had in flight at an upstream that crashed.
-func (k *Keeper) Ended(upstream dispatch.Upstream, affected []Suspect) {
+// RecordCrash records the requests that this entry had in flight at an upstream that crashed.
+func (k *Keeper) RecordCrash(upstream dispatch.Upstream, affected []Suspect) {
 	now := time.Now()
 	tag := uint32(dispatch.TagOf(upstream.Incarnation()))
 	k.mu.Lock()
@@ -157,8 +157,8 @@
 	k.decide(now)
 }
 
-// Answered records that an upstream has answered a request in full.
-func (k *Keeper) Answered(print func() fingerprint.Print) {
+// RecordAnswer records that an upstream has answered a request in full.
+func (k *Keeper) RecordAnswer(print func() fingerprint.Print) {
 	if !k.active.Load() {
 		return
 	}
--- a/entry/quarantine/keeper_test.go
+++ b/entry/quarantine/keeper_test.go
@@ -142,7 +142,7 @@
 	for _, name := range affected {
 		all = append(all, Suspect{Print: printOf(name), Request: "id-" + name})
 	}
-	e.Ended(upstream(i), all)
+	e.RecordCrash(upstream(i), all)
 	waitOneSecond()
 }
 
@@ -152,7 +152,7 @@
 }
 
 func (e *entry) answered(name string) {
-	e.Answered(func() fingerprint.Print { return printOf(name) })
+	e.RecordAnswer(func() fingerprint.Print { return printOf(name) })
 	waitOneSecond()
 }
 
@@ -359,7 +359,7 @@
 			for j := range 100 {
 				affected = append(affected, Suspect{Print: printOf(fmt.Sprint(i, "-", j))})
 			}
-			one.Ended(upstream(i), affected)
+			one.RecordCrash(upstream(i), affected)
 		}
 		waitOneSecond()
 		require.Zero(t, s.calls["put"])
@@ -377,13 +377,13 @@
 			all.Go(func() {
 				for j := range 50 {
 					name := fmt.Sprint((i + j) % 5)
-					one.Ended(upstream(i*50+j), []Suspect{{Print: printOf(name)}})
+					one.RecordCrash(upstream(i*50+j), []Suspect{{Print: printOf(name)}})
 					sendReports(one, other)
-					other.Answered(func() fingerprint.Print { return printOf(name) })
+					other.RecordAnswer(func() fingerprint.Print { return printOf(name) })
 					sendReports(other, one)
 					one.Counts()
 					one.holds(name)
-					one.Doubtful(printOf(name))
+					one.OneCrashFromHold(printOf(name))
 				}
 			})
 		}
