--- a/agent/cmd/acaciacleat-agent/main.go
+++ b/agent/cmd/acaciacleat-agent/main.go
@@ -1,4 +1,4 @@
-// Command acaciacleat-agent stands beside one upstream.
+// Command acaciacleat-agent runs the agent of one upstream.
 package main
 
 import (
--- a/agent/command/examples_test.go
+++ b/agent/command/examples_test.go
@@ -19,7 +19,7 @@
 	require.Equal(t, commandline.ExitOK, code, "%s%s", &out, &errOut)
 }
 
-func TestMetricsNeedAnAddressOrNone(t *testing.T) {
+func TestMetricsListenMustBeAnIPAddress(t *testing.T) {
 	for text, want := range map[string]bool{
 		`{}`:                                   false,
 		`{"metrics":{"listen":"127.0.0.1:0"}}`: false,
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestSettingsOfAnUpstreamOfTheOtherKindAreRefused(t *testing.T) {
+func TestModelMustMatchUpstreamKind(t *testing.T) {
 	for text, path := range map[string]string{
 		`{"upstream":{"kind":"engine","service":"s","url":"http://h"}}`:            "$.upstream.model",
 		`{"upstream":{"kind":"plain","service":"s","model":"m","url":"http://h"}}`: "$.upstream.model",
--- a/agent/metrics/metrics.go
+++ b/agent/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics is the agent's HTTP face towards operators: health and variables.
+// Package metrics serves the agent's health checks and variables to operators over HTTP.
 package metrics
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/rs/zerolog"
 )
 
-// headerTimeout bounds the reading of a request's headers: a client that sends none would
-// hold its connection for good.
+// headerTimeout bounds the reading of a request's headers. Without it, a client that sends
+// none would hold its connection forever.
 const headerTimeout = 5 * time.Second
 
-// Source gives the agent's metrics; server.Server implements it.
+// Source provides the agent's metrics. server.Server implements it.
 type Source interface {
 	Metrics() server.Metrics
 }
 
-// Endpoint is an open listener for operators.
+// Endpoint is a running HTTP server for operators.
 type Endpoint struct {
 	listener net.Listener
 	http     *http.Server
@@ -51,11 +51,11 @@
 // Addr returns the address on which the endpoint is served.
 func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
 
-// Close ends the endpoint at once.
+// Close closes the endpoint at once.
 func (e *Endpoint) Close() { _ = e.http.Close() }
 
-// Handler serves health and variables of one agent. Several agents may run in one process,
-// so their variables are not published globally.
+// Handler returns a handler for the health checks and variables of one agent. Several agents
+// may run in one process, so their variables are not published globally.
 func Handler(source Source) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", healthz)
@@ -76,10 +76,10 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// ready tells whether the agent takes calls.
+// ready reports whether the agent accepts calls.
 func ready(m server.Metrics) bool { return !m.Leaving && !m.EngineDown }
 
-// serveVars serves the process's expvars together with the agent's own.
+// serveVars serves the process's expvars together with the agent's variables.
 func serveVars(w http.ResponseWriter, m server.Metrics) {
 	own := map[string]expvar.Func{
 		"queue_length":         func() any { return m.Queue },
--- a/agent/orders/orders.go
+++ b/agent/orders/orders.go
@@ -1,25 +1,26 @@
-// Package orders carries out, beside one engine, the orders of the entry that places its
-// service's models, and tells that entry what the engine serves and how well.
+// Package orders executes orders at one engine. The orders come from the entry that holds
+// the placement lease of the service. The package also reports to that entry what the engine
+// serves, its error rate and its time to first token.
 //
-// Two holders of the lease may give orders: one was paused, its lease lapsed, and it acts
-// as if it still held it. One would notice it by replicas that go back and forth between
-// versions. Three checks keep the former holder's orders from being obeyed:
+// Two entries may give orders at the same time: a lease holder that was paused may continue
+// after its lease has expired. Replicas would then switch back and forth between versions.
+// Three checks prevent the execution of a former holder's orders:
 //
-//   - an order with a lower fencing number than the highest seen is refused. An agent that
-//     has just started has seen none; it reads the lease's row before it obeys any order,
-//     and refuses all while the row can't be read;
-//   - an order that isn't begun soon after the agent's clock showed the stamp it carries is
-//     refused, so that one that was held up in a paused process or on the way is not
-//     obeyed, even where no newer holder has been heard of;
-//   - an order under way is given up at its end of life.
+//   - An order with a fencing number below the highest one seen is refused. An agent that
+//     has just started has seen none. It reads the lease's row before it executes any order,
+//     and refuses all orders until it has read the row.
+//   - An order carries a stamp of the agent's clock and is refused if it does not start soon
+//     after that time. An order that was delayed in a paused process or in transit is thus
+//     refused even if the agent has not seen a newer holder's number.
+//   - A running order is cancelled at its timeout.
 //
-// The engine may check the number as well. What is left where it ignores numbers: an order
-// that reached the engine goes on there when this agent dies or gives it up. The next
-// agent does not know of it, and a newer order may come to the engine while the old one is
-// still loading; which of the two is served in the end is the engine's choice. The entry
-// sees what is served and corrects it in a later round; until then the replica serves a
-// version or model that isn't wanted, and its load has used the weight store's rate
-// besides. And who gives an engine orders past its agent is not checked at all.
+// The engine may check the fencing number as well. If it does not, an order that has reached
+// the engine continues there when this agent dies or cancels it. The next agent does not know
+// of that order, and a newer order may reach the engine while the old one is still loading; it
+// is then up to the engine which of the two it serves in the end. The entry sees what is
+// served and corrects it in a later round. Until then the replica serves a version or model
+// that is not wanted, and loading it has used bandwidth of the weight store. Orders that
+// others send to an engine directly, not through its agent, are not checked at all.
 package orders
 
 import (
@@ -34,15 +35,15 @@
 	"github.com/rs/zerolog"
 )
 
-// Refusals besides those of lease.Guard.
+// Reasons for refusing an order, besides those of lease.Guard.
 var (
-	// ErrExpired means that the order was not begun in its time.
+	// ErrExpired means that the order could not be started in time.
 	ErrExpired = errors.New("orders: not begun in time")
-	// ErrBusy means that the engine is carrying out another order.
+	// ErrBusy means that the engine is executing another order.
 	ErrBusy = errors.New("orders: another order is under way")
 )
 
-// readTimeout bounds reading the lease's row.
+// readTimeout bounds the read of the lease's row.
 const readTimeout = 2 * time.Second
 
 // Config configures an Executor.
@@ -53,8 +54,8 @@
 	Log       zerolog.Logger
 }
 
-// Executor carries out the orders to one engine, one at a time. It is safe for
-// concurrent use.
+// Executor executes the orders for one engine, one at a time. It is safe for concurrent
+// use.
 type Executor struct {
 	config Config
 
@@ -62,13 +63,13 @@
 	guard   lease.Guard
 	current *engine.Order
 	lastErr error
-	book    book
+	stats   engineStats
 }
 
-// New returns an Executor that has seen no fencing number.
+// New returns an Executor that has not seen any fencing number.
 func New(config Config) *Executor { return &Executor{config: config} }
 
-// OnMessage takes orders and questions for the status.
+// OnMessage handles orders and requests for the status.
 func (x *Executor) OnMessage(c *link.Conn, clock func() int64, message link.Message) {
 	switch m := message.(type) {
 	case *link.StatusAsk:
@@ -90,22 +91,23 @@
 	_ = c.Send(answer)
 }
 
-// Take begins an order, or returns why it is refused. An order that is under way already
-// is not begun a second time. clock is the one that order.Stamp was read from.
+// Take starts an order, or returns why it is refused. An order that is already running is
+// accepted without being started again. clock is the clock from which order.Stamp was read.
 func (x *Executor) Take(ctx context.Context, clock func() int64, order *link.Order) error {
 	if err := x.check(ctx, order.Fence); err != nil {
 		return err
 	}
-	// After the check, for reading the row may have taken long.
+	// The age is taken after the check, because reading the row may have taken long.
 	if age := clock() - order.Stamp; age > order.StartMs*int64(time.Millisecond) {
 		return errors.WithMessagef(ErrExpired, "%v old", time.Duration(age))
 	}
 	return x.begin(order)
 }
 
-// check asks the guard, and reads the row if that has not been done since the start.
+// check asks the guard whether an order with this fencing number may be executed. It first
+// reads the lease's row if that has not been done since the start.
 func (x *Executor) check(ctx context.Context, fence uint64) error {
-	err := x.checkSeen(fence)
+	err := x.checkGuard(fence)
 	if !errors.Is(err, lease.ErrNotRead) {
 		return err
 	}
@@ -118,55 +120,55 @@
 	x.mu.Lock()
 	x.guard.ObserveRow(row)
 	x.mu.Unlock()
-	return x.checkSeen(fence)
+	return x.checkGuard(fence)
 }
 
-func (x *Executor) checkSeen(fence uint64) error {
+func (x *Executor) checkGuard(fence uint64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.guard.Check(fence)
 }
 
 func (x *Executor) begin(order *link.Order) error {
-	wanted := toEngine(order)
+	requested := toEngine(order)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	// A newer holder's order may have been checked since this one was.
+	// A newer holder's order may have been checked since the first check of this one.
 	if err := x.guard.Check(order.Fence); err != nil {
 		return err
 	}
 	if x.current != nil {
-		if same(x.current, &wanted) {
+		if sameTarget(x.current, &requested) {
 			return nil
 		}
 		return ErrBusy
 	}
-	x.current = &wanted
-	go x.carryOut(wanted, time.Duration(order.LifeMs)*time.Millisecond)
+	x.current = &requested
+	go x.execute(requested, time.Duration(order.LifeMs)*time.Millisecond)
 	return nil
 }
 
-func same(a, b *engine.Order) bool {
+func sameTarget(a, b *engine.Order) bool {
 	return a.Kind == b.Kind && a.Name == b.Name && a.Version == b.Version
 }
 
 func toEngine(order *link.Order) engine.Order {
-	wanted := engine.Order{Kind: engine.OrderKind(order.Kind), Fence: order.Fence}
-	switch wanted.Kind {
+	requested := engine.Order{Kind: engine.OrderKind(order.Kind), Fence: order.Fence}
+	switch requested.Kind {
 	case engine.OrderLoadAdapter:
-		wanted.Name = order.Adapter
+		requested.Name = order.Adapter
 	case engine.OrderRole:
-		wanted.Name = order.Role
+		requested.Name = order.Role
 	default:
-		wanted.Name = order.Model
-		wanted.Version = order.Version
+		requested.Name = order.Model
+		requested.Version = order.Version
 	}
-	return wanted
+	return requested
 }
 
-// carryOut gives an order to the engine and waits until it is done or its life ends.
-func (x *Executor) carryOut(order engine.Order, life time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), life)
+// execute sends an order to the engine and waits until it is done or the timeout has passed.
+func (x *Executor) execute(order engine.Order, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	err := x.config.Engine.Order(ctx, order)
 	x.mu.Lock()
--- a/agent/orders/orders_test.go
+++ b/agent/orders/orders_test.go
@@ -18,11 +18,11 @@
 // slowEngine takes a minute for each order.
 type slowEngine struct {
 	engine.Engine
-	begun []engine.Order
+	started []engine.Order
 }
 
 func (e *slowEngine) Order(ctx context.Context, order engine.Order) error {
-	e.begun = append(e.begun, order)
+	e.started = append(e.started, order)
 	select {
 	case <-time.After(time.Minute):
 		return nil
@@ -31,33 +31,34 @@
 	}
 }
 
-var errDown = errors.New("table down")
+var errTableDown = errors.New("table down")
 
-// Each case is an agent that has just started, a row and the orders that reach it.
-func TestOrdersAreObeyedOrRefused(t *testing.T) {
+// Each case is an agent that has just started, the fencing number in the lease's row and the
+// orders that reach the agent.
+func TestOrdersAreExecutedOrRefused(t *testing.T) {
 	load := func(version string, fence uint64) *link.Order {
 		return &link.Order{Kind: "load-model", Model: "m", Version: version, Fence: fence, StartMs: 15_000, LifeMs: 600_000}
 	}
 	short := load("2", 2)
 	short.LifeMs = 1000
 	cases := []struct {
-		name   string
-		row    uint64
-		rowErr error
-		after  time.Duration // from the stamp to the first order
-		orders []*link.Order
-		want   []error
-		begun  int
+		name    string
+		row     uint64
+		rowErr  error
+		after   time.Duration // from the stamp to the first order
+		orders  []*link.Order
+		want    []error
+		started int
 	}{
-		{name: "holder's", row: 2, orders: []*link.Order{load("2", 2)}, want: []error{nil}, begun: 1},
-		{name: "former holder's, after the agent's restart", row: 2, orders: []*link.Order{load("2", 1)}, want: []error{lease.ErrStaleFence}},
-		{name: "row can't be read", rowErr: errDown, orders: []*link.Order{load("2", 2)}, want: []error{lease.ErrNotRead}},
-		{name: "former holder's, after the next one's", row: 1, orders: []*link.Order{load("2", 2), load("3", 1)}, want: []error{nil, lease.ErrStaleFence}, begun: 1},
-		{name: "twice", row: 2, orders: []*link.Order{load("2", 2), load("2", 3)}, want: []error{nil, nil}, begun: 1},
-		{name: "another under way", row: 2, orders: []*link.Order{load("2", 2), load("3", 3)}, want: []error{nil, ErrBusy}, begun: 1},
-		{name: "held up on the way", row: 2, after: 16 * time.Second, orders: []*link.Order{load("2", 2)}, want: []error{ErrExpired}},
-		{name: "no number", row: 0, orders: []*link.Order{load("2", 0)}, want: []error{lease.ErrStaleFence}},
-		{name: "given up at its end of life", row: 2, orders: []*link.Order{short}, want: []error{nil}, begun: 1},
+		{name: "order of the holder", row: 2, orders: []*link.Order{load("2", 2)}, want: []error{nil}, started: 1},
+		{name: "order of a former holder, after the agent's restart", row: 2, orders: []*link.Order{load("2", 1)}, want: []error{lease.ErrStaleFence}},
+		{name: "row cannot be read", rowErr: errTableDown, orders: []*link.Order{load("2", 2)}, want: []error{lease.ErrNotRead}},
+		{name: "order of a former holder, after one of the new holder", row: 1, orders: []*link.Order{load("2", 2), load("3", 1)}, want: []error{nil, lease.ErrStaleFence}, started: 1},
+		{name: "twice", row: 2, orders: []*link.Order{load("2", 2), load("2", 3)}, want: []error{nil, nil}, started: 1},
+		{name: "another order running", row: 2, orders: []*link.Order{load("2", 2), load("3", 3)}, want: []error{nil, ErrBusy}, started: 1},
+		{name: "order delayed in transit", row: 2, after: 16 * time.Second, orders: []*link.Order{load("2", 2)}, want: []error{ErrExpired}},
+		{name: "no fencing number", row: 0, orders: []*link.Order{load("2", 0)}, want: []error{lease.ErrStaleFence}},
+		{name: "cancelled at its timeout", row: 2, orders: []*link.Order{short}, want: []error{nil}, started: 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -71,7 +72,7 @@
 					require.ErrorIs(t, x.Take(t.Context(), clock, order), tc.want[i])
 					synctest.Wait()
 				}
-				require.Len(t, e.begun, tc.begun)
+				require.Len(t, e.started, tc.started)
 				time.Sleep(2 * time.Minute)
 				require.Equal(t, tc.orders[0] == short, x.Status(time.Now()).OrderError != "")
 			})
@@ -79,7 +80,7 @@
 	}
 }
 
-func TestStatusIsOfTheVersionServedNow(t *testing.T) {
+func TestStatusCountsOnlyTheServedVersion(t *testing.T) {
 	x := New(Config{})
 	now := time.Unix(6000, 0)
 	require.False(t, x.Status(now).Reported)
@@ -95,11 +96,11 @@
 	require.Equal(t, 40.0, status.FirstMs)
 
 	require.Equal(t, 4, x.Status(now.Add(bucketLength)).Requests)
-	require.Zero(t, x.Status(now.Add(bucketCount*bucketLength)).Requests, "they are over")
+	require.Zero(t, x.Status(now.Add(bucketCount*bucketLength)).Requests, "the bucket is too old")
 
-	x.Reported(now, engine.Report{}, errDown)
+	x.Reported(now, engine.Report{}, errTableDown)
 	require.False(t, x.Status(now).EngineDown)
-	require.True(t, x.Status(now.Add(2*engineSilence)).EngineDown)
+	require.True(t, x.Status(now.Add(2*engineDownTimeout)).EngineDown)
 	x.Reported(now.Add(time.Second), engine.Report{Model: "m", Version: "2"}, nil)
-	require.Zero(t, x.Status(now.Add(time.Second)).Requests, "they were the other version's")
+	require.Zero(t, x.Status(now.Add(time.Second)).Requests, "the calls ran on the other version")
 }
--- a/agent/orders/status.go
+++ b/agent/orders/status.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// engineSilence is how long an engine may give no report before it counts as down:
-	// five reports at the interval at which agents read them.
-	engineSilence = 5 * time.Second
-	// bucketLength and bucketCount make up the last minutes over which figures are kept.
+	// engineDownTimeout is how long an engine may give no report before it counts as down. It
+	// equals five intervals between two reads of the report.
+	engineDownTimeout = 5 * time.Second
+	// Statistics cover the last bucketCount periods of bucketLength.
 	bucketLength = time.Minute
 	bucketCount  = 5
 )
 
-// book holds what is known of the engine.
-type book struct {
-	report     engine.Report
-	reportedAt time.Time
-	firstAsked time.Time
-	buckets    [bucketCount]bucket
+// engineStats holds the engine's last report and the statistics of recent calls.
+type engineStats struct {
+	report        engine.Report
+	reportedAt    time.Time
+	firstPolledAt time.Time
+	buckets       [bucketCount]bucket
 }
 
 // bucket counts the calls of one minute.
@@ -30,104 +30,106 @@
 	minute   int64
 	requests int
 	errors   int
-	// firsts are the calls that had a first token, firstMs the sum of their times to it.
-	firsts  int
-	firstMs float64
+	// firstTokens is the number of calls that had a first token, and firstTokenMs the sum of
+	// their times to first token in milliseconds.
+	firstTokens  int
+	firstTokenMs float64
 }
 
-// Reported takes the outcome of asking the engine for its report.
+// Reported records an engine's report, or the error of reading it. A change of model or
+// version resets the statistics.
 func (x *Executor) Reported(now time.Time, report engine.Report, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	b := &x.book
-	if b.firstAsked.IsZero() {
-		b.firstAsked = now
+	s := &x.stats
+	if s.firstPolledAt.IsZero() {
+		s.firstPolledAt = now
 	}
 	if err != nil {
 		return
 	}
-	if report.Model != b.report.Model || report.Version != b.report.Version {
-		b.buckets = [bucketCount]bucket{}
+	if report.Model != s.report.Model || report.Version != s.report.Version {
+		s.buckets = [bucketCount]bucket{}
 	}
-	b.report = report
-	b.reportedAt = now
+	s.report = report
+	s.reportedAt = now
 }
 
-// Ended counts a call that ran at the engine.
+// Ended adds a call that ran at the engine to the statistics.
 func (x *Executor) Ended(now time.Time, end *link.End) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	b := x.book.bucket(now)
+	b := x.stats.bucket(now)
 	switch end.Code {
 	case result.OK:
 		if end.FirstMs > 0 {
-			b.firsts++
-			b.firstMs += end.FirstMs
+			b.firstTokens++
+			b.firstTokenMs += end.FirstMs
 		}
 	case result.UpstreamFailed, result.UpstreamTimeout, result.UpstreamRejected, result.UpstreamCrashed:
 		b.errors++
 	default:
-		// Cancelled, or out of time: that says nothing of the engine.
+		// Cancellations and expired deadlines are not failures of the engine.
 		return
 	}
 	b.requests++
 }
 
-func (b *book) bucket(now time.Time) *bucket {
+func (s *engineStats) bucket(now time.Time) *bucket {
 	minute := now.UnixNano() / int64(bucketLength)
-	at := &b.buckets[minute%bucketCount]
+	at := &s.buckets[minute%bucketCount]
 	if at.minute != minute {
 		*at = bucket{minute: minute}
 	}
 	return at
 }
 
-// Status returns what is known of the engine.
+// Status returns the status of the engine and of its orders.
 func (x *Executor) Status(now time.Time) *link.Status {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	b := &x.book
+	s := &x.stats
 	status := &link.Status{
-		Model:      b.report.Model,
-		Version:    b.report.Version,
-		Adapters:   b.report.Adapters,
-		Role:       b.report.Role,
-		Reported:   !b.reportedAt.IsZero(),
-		EngineDown: b.down(now),
+		Model:      s.report.Model,
+		Version:    s.report.Version,
+		Adapters:   s.report.Adapters,
+		Role:       s.report.Role,
+		Reported:   !s.reportedAt.IsZero(),
+		EngineDown: s.down(now),
 	}
 	if x.lastErr != nil {
 		status.OrderError = x.lastErr.Error()
 	}
-	b.sum(now, status)
+	s.summarize(now, status)
 	return status
 }
 
-func (b *book) down(now time.Time) bool {
-	since := b.reportedAt
+func (s *engineStats) down(now time.Time) bool {
+	since := s.reportedAt
 	if since.IsZero() {
-		since = b.firstAsked
+		since = s.firstPolledAt
 	}
-	return !since.IsZero() && now.Sub(since) > engineSilence
+	return !since.IsZero() && now.Sub(since) > engineDownTimeout
 }
 
-// sum adds up the minutes that are not over for too long.
-func (b *book) sum(now time.Time, status *link.Status) {
+// summarize sums up the buckets of the last bucketCount minutes.
+func (s *engineStats) summarize(now time.Time, status *link.Status) {
 	oldest := now.UnixNano()/int64(bucketLength) - bucketCount
-	errors, firsts, firstMs := 0, 0, 0.0
-	for i := range b.buckets {
-		at := &b.buckets[i]
+	errors, firstTokens, firstTokenMs := 0, 0, 0.0
+	for i := range s.buckets {
+		at := &s.buckets[i]
 		if at.minute <= oldest {
 			continue
 		}
 		status.Requests += at.requests
 		errors += at.errors
-		firsts += at.firsts
-		firstMs += at.firstMs
+		firstTokens += at.firstTokens
+		firstTokenMs += at.firstTokenMs
 	}
 	if status.Requests > 0 {
 		status.ErrorRate = float64(errors) / float64(status.Requests)
 	}
-	if firsts > 0 {
-		status.FirstMs = firstMs / float64(firsts)
+	if firstTokens > 0 {
+		status.FirstMs = firstTokenMs / float64(firstTokens)
 	}
 }
--- a/agent/process/process.go
+++ b/agent/process/process.go
@@ -1,4 +1,5 @@
-// Package process runs one agent: its server and its watch on the engine.
+// Package process runs one agent: its server, the polling of its engine and its metrics
+// endpoint.
 package process
 
 import (
@@ -14,9 +15,9 @@
 	"github.com/rs/zerolog"
 )
 
-// reportEvery is how often the engine's report is read. Engines' reports lag by about
-// a second themselves.
-const reportEvery = time.Second
+// reportInterval is how often the engine's report is read. The reports themselves lag by
+// about a second.
+const reportInterval = time.Second
 
 // Agent is a running agent.
 type Agent struct {
@@ -26,10 +27,11 @@
 	endpoint *metrics.Endpoint
 }
 
-// Start runs an agent until Stop. vms tells it the agents of its group.
+// Start starts an agent, which runs until Stop. vms lists the VMs, from which the agent takes
+// its peers.
 func Start(config server.Config, vms vmlist.Lister) (*Agent, error) {
 	if config.Engine != nil && config.Table != nil {
-		config.Placement = newOrders(&config)
+		config.Placement = newExecutor(&config)
 	}
 	s, err := server.Start(config)
 	if err != nil {
@@ -38,14 +40,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	a := &Agent{Server: s, stop: stop}
 	if config.Engine != nil {
-		a.done.Go(func() { s.Watch(ctx, reportEvery) })
+		a.done.Go(func() { s.PollReports(ctx, reportInterval) })
 	}
-	a.done.Go(func() { s.Tell(ctx, vms) })
+	a.done.Go(func() { s.ExchangeLoad(ctx, vms) })
 	return a, nil
 }
 
-// ServeMetrics serves health and variables on an IP address and port until Stop. It is
-// called once at most, before Stop.
+// ServeMetrics serves health checks and variables on an IP address and port until Stop. It
+// must be called at most once, before Stop.
 func (a *Agent) ServeMetrics(addr string, log zerolog.Logger) error {
 	endpoint, err := metrics.Listen(addr, a.Server, log)
 	if err != nil {
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// MetricsAddr returns the address of health and variables; "" where they are not served.
+// MetricsAddr returns the address of the metrics endpoint, or "" if there is none.
 func (a *Agent) MetricsAddr() string {
 	if a.endpoint == nil {
 		return ""
@@ -63,7 +65,7 @@
 	return a.endpoint.Addr()
 }
 
-func newOrders(config *server.Config) *orders.Executor {
+func newExecutor(config *server.Config) *orders.Executor {
 	store, key := config.Table, leaserow.Placement(config.Service)
 	return orders.New(orders.Config{
 		Engine:    config.Engine,
@@ -72,7 +74,8 @@
 	})
 }
 
-// Drain stops gracefully: no new work, then waits for the calls in hand until ctx ends.
+// Drain stops the agent gracefully: it refuses new calls, waits until the calls in flight
+// have ended or ctx is done, and then stops.
 func (a *Agent) Drain(ctx context.Context) {
 	a.Leave()
 	select {
@@ -82,7 +85,7 @@
 	a.Stop()
 }
 
-// Stop ends the agent at once.
+// Stop stops the agent at once.
 func (a *Agent) Stop() {
 	a.stop()
 	a.done.Wait()
--- a/agent/process/process_test.go
+++ b/agent/process/process_test.go
@@ -20,25 +20,25 @@
 
 const (
 	capacity = 1000
-	// patience bounds what a test waits for; only a fault makes it pass.
-	patience = 20 * time.Second
-	poll     = 5 * time.Millisecond
+	// testTimeout bounds the waits of a test. Only a failing test reaches it.
+	testTimeout  = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// orphaned is an engine that holds memory for a request that no agent knows.
-type orphaned struct{ engine.Engine }
+// orphanEngine is an engine that holds memory for a request without a reservation.
+type orphanEngine struct{ engine.Engine }
 
-func (orphaned) Cancel(context.Context, call.ID) error { return nil }
+func (orphanEngine) Cancel(context.Context, call.ID) error { return nil }
 
-func (orphaned) Report(context.Context) (engine.Report, error) {
+func (orphanEngine) Report(context.Context) (engine.Report, error) {
 	held := []engine.Held{{ID: call.ID{7}.String(), Tokens: 300}}
 	return engine.Report{Model: "m", CapacityTokens: capacity, Held: held}, nil
 }
 
-// noVMs is an empty list.
-type noVMs struct{}
+// emptyVMList is an empty list of VMs.
+type emptyVMList struct{}
 
-func (noVMs) List(context.Context) ([]vmlist.VM, error) { return nil, nil }
+func (emptyVMList) List(context.Context) ([]vmlist.VM, error) { return nil, nil }
 
 func get(t *testing.T, url string) (status int, body []byte) {
 	t.Helper()
@@ -50,17 +50,16 @@
 	return answer.StatusCode, body
 }
 
-// Symptom: an operator can not see why calls wait at an agent.
-// Sequence: the agent's engine holds memory for nobody; then the agent is told to leave.
-// Cause: the agent has no address at which it tells.
+// Operators must be able to see why calls wait at an agent, here because its engine holds
+// orphaned memory, and that an agent is leaving.
 func TestAgentServesHealthAndVariables(t *testing.T) {
 	agent, err := Start(server.Config{
 		VM: "agent", Service: "s", Model: "m", Listen: "127.0.0.1:0", Incarnation: 3,
 		Keys:   link.NewKeys([]byte("k"), nil),
-		Engine: orphaned{},
+		Engine: orphanEngine{},
 		Queue:  scheduling.NewFIFO(10),
 		Log:    zerolog.Nop(),
-	}, noVMs{})
+	}, emptyVMList{})
 	require.NoError(t, err)
 	defer agent.Stop()
 	require.Empty(t, agent.MetricsAddr())
@@ -86,10 +85,10 @@
 	require.Equal(t, http.StatusOK, status)
 }
 
-// awaitOrphan returns the variables once the engine's first report was read.
+// awaitOrphan returns the variables once the agent has read the engine's first report.
 func awaitOrphan(t *testing.T, base string) map[string]any {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for {
 		status, body := get(t, base+"/debug/vars")
 		require.Equal(t, http.StatusOK, status)
@@ -99,6 +98,6 @@
 			return vars
 		}
 		require.True(t, time.Now().Before(deadline), "no report was read")
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
--- a/agent/serve/serve.go
+++ b/agent/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve runs an agent as a process of its own, from its settings.
+// Package serve runs an agent as a separate process, from its settings.
 package serve
 
 import (
@@ -20,24 +20,24 @@
 	"github.com/rs/zerolog"
 )
 
-// Surroundings is what a process is given besides its settings.
+// Surroundings is the environment of a process besides its settings.
 type Surroundings struct {
-	// Log takes the log's lines.
+	// Log receives the log lines.
 	Log io.Writer
 	// Signals stop the process: the first gracefully, the second at once.
 	Signals <-chan os.Signal
-	// Started, if not nil, is told once the agent takes links.
+	// Started, if not nil, is called once the agent accepts links.
 	Started func(*process.Agent)
 }
 
-// Run runs an agent until it is told to stop.
-func Run(s *settings.Settings, around Surroundings) error {
-	log := zerolog.New(around.Log).Level(s.Log.ZerologLevel()).With().Timestamp().Logger()
+// Run runs an agent until a signal stops it.
+func Run(s *settings.Settings, env Surroundings) error {
+	log := zerolog.New(env.Log).Level(s.Log.ZerologLevel()).With().Timestamp().Logger()
 	keys, files, err := s.Link.WatchedKeys()
 	if err != nil {
 		return err
 	}
-	config := configOf(s, log)
+	config := serverConfig(s, log)
 	config.Keys = keys
 	if config.Tracer, err = s.Trace.Open(s.VM.ID, os.Stdout); err != nil {
 		return err
@@ -58,14 +58,14 @@
 	go files.Watch(ctx, "link keys", log)
 	log.Info().Str("vm", s.VM.ID).Str("link", agent.Addr()).Str("service", s.Upstream.Service).
 		Str("metrics", agent.MetricsAddr()).Msg("agent started")
-	if around.Started != nil {
-		around.Started(agent)
+	if env.Started != nil {
+		env.Started(agent)
 	}
-	commandline.DrainOnSignal(around.Signals, agent, shared.Milliseconds(s.Drain.LimitMs), log)
+	commandline.DrainOnSignal(env.Signals, agent, shared.Milliseconds(s.Drain.LimitMs), log)
 	return nil
 }
 
-func configOf(s *settings.Settings, log zerolog.Logger) server.Config {
+func serverConfig(s *settings.Settings, log zerolog.Logger) server.Config {
 	config := server.Config{
 		VM:          s.VM.ID,
 		Zone:        s.VM.Zone,
@@ -73,7 +73,7 @@
 		Model:       s.Upstream.Model,
 		Upstream:    s.Upstream.URL,
 		Listen:      s.Link.Listen,
-		Queue:       queueOf(s),
+		Queue:       newQueue(s),
 		Table:       s.Platform.OpenTable(),
 		Incarnation: link.NewIncarnation(),
 		Limits:      s.Limits.ServerLimits(),
@@ -87,9 +87,9 @@
 	return config
 }
 
-// queueOf returns the queue of the upstream's kind. Plain services have no lengths to
-// tell calls apart by.
-func queueOf(s *settings.Settings) scheduling.Queue {
+// newQueue returns the queue for the upstream's kind. Calls of plain services have no prompt
+// lengths, so they are served in the order of arrival.
+func newQueue(s *settings.Settings) scheduling.Queue {
 	if s.Upstream.Kind != settings.KindEngine {
 		return scheduling.NewFIFO(s.Limits.Queue)
 	}
--- a/agent/server/call.go
+++ b/agent/server/call.go
@@ -12,7 +12,7 @@
 	"acaciacleat.example/peers/link"
 )
 
-// phase is how far a call has come.
+// phase is the stage that a call has reached.
 type phase uint8
 
 const (
@@ -22,214 +22,216 @@
 	phaseEnded
 )
 
-// liveCall is one accepted call. Its queue position and phase belong to Server.mu; its
-// answer belongs to its own mu.
+// liveCall is one accepted call. Server.mu guards its queue position and phase; its own mu
+// guards its answer.
 type liveCall struct {
-	offer    link.Offer
-	work     call.TokenDemand
-	body     []byte
-	got      int
-	phase    phase
-	arrived  time.Time
-	started  time.Time
-	deadline time.Time
-	timer    *time.Timer
-	ctx      context.Context
-	stop     context.CancelCauseFunc
-	span     collector.Span
-	priority int
-	// prefilling is set from the start to the first token; it belongs to Server.mu.
+	offer         link.Offer
+	demand        call.TokenDemand
+	body          []byte
+	bodyReceived  int
+	phase         phase
+	arrived       time.Time
+	started       time.Time
+	deadline      time.Time
+	timer         *time.Timer
+	ctx           context.Context
+	cancelContext context.CancelCauseFunc
+	span          collector.Span
+	priority      int
+	// prefilling is set from the start to the first token. It is guarded by Server.mu.
 	prefilling bool
-	// keepUntil is how long after its end the call waits for entries that read slowly; it
-	// belongs to Server.mu.
-	keepUntil time.Time
-	// group lists the engines that share the call's memory with this one.
+	// retainUntil is how long an ended call is kept for entries that read slowly. It is
+	// guarded by Server.mu.
+	retainUntil time.Time
+	// group lists the base URLs of the other engines that hold part of the call's memory.
 	group []string
 
-	mu      sync.Mutex
-	room    *sync.Cond
-	outlets []*outlet
-	head    *link.Head
-	end     *link.End
-	kept    answerLog
-	chunk   link.Chunk
-	seq     uint64
-	failure *result.Error
+	mu          sync.Mutex
+	bufferSpace *sync.Cond
+	subscribers []*subscriber
+	head        *link.Head
+	end         *link.End
+	replay      replayBuffer
+	chunk       link.Chunk
+	seq         uint64
+	cancelError *result.Error
 }
 
-// outlet carries the answer to one entry.
-type outlet struct {
+// subscriber is an entry that receives the call's answer.
+type subscriber struct {
 	entry  link.Identity
 	conn   *link.Conn
 	sender *stream.Sender
-	// detached is set while the entry has no link.
+	// detached is set after the entry's link was lost, until the entry resumes.
 	detached bool
 	done     bool
 }
 
-// answerLog keeps the whole answer of a non-repeatable call, so that a repeat with the
-// same key gets the first run's answer.
-type answerLog struct {
+// replayBuffer holds the whole answer of a non-repeatable call, so that a repeat with the
+// same key gets the answer of the first run.
+type replayBuffer struct {
 	frames []stream.Frame
 	bytes  int
-	// lost is set when the answer outgrew the bound; it can then not be replayed.
-	lost bool
+	// overflowed is set when the answer exceeded the limit. It can then not be replayed.
+	overflowed bool
 }
 
 func newCall(offer *link.Offer, now time.Time) *liveCall {
 	l := &liveCall{
 		offer:   *offer,
-		work:    call.TokenDemand{PromptTokens: offer.PromptTokens, MaxTokens: offer.MaxTokens},
+		demand:  call.TokenDemand{PromptTokens: offer.PromptTokens, MaxTokens: offer.MaxTokens},
 		arrived: now,
 	}
-	l.room = sync.NewCond(&l.mu)
+	l.bufferSpace = sync.NewCond(&l.mu)
 	l.deadline = now.Add(time.Duration(offer.TimeLeftMs) * time.Millisecond)
 	ctx, stop := context.WithCancelCause(context.Background())
 	l.ctx = ctx
-	l.stop = stop
+	l.cancelContext = stop
 	return l
 }
 
-// cancel ends the call's work with a reason.
+// cancel cancels the call's context. The first reason given is the one reported.
 func (l *liveCall) cancel(reason *result.Error) {
 	l.mu.Lock()
-	if l.failure == nil {
-		l.failure = reason
+	if l.cancelError == nil {
+		l.cancelError = reason
 	}
 	l.mu.Unlock()
-	l.stop(reason)
-	l.room.Broadcast()
+	l.cancelContext(reason)
+	l.bufferSpace.Broadcast()
 }
 
-func (l *liveCall) reason() *result.Error {
+func (l *liveCall) cancelReason() *result.Error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.failure
+	return l.cancelError
 }
 
-// attach gives the greeting and then the answer from its beginning to an entry; false,
-// with nothing sent, when the beginning was not kept.
-func (l *liveCall) attach(c *link.Conn, streamBytes int, greeting []link.Message) bool {
+// attach sends the preamble and then the answer from its beginning to an entry. It returns
+// false, with nothing sent, if the beginning of the answer is no longer available.
+func (l *liveCall) attach(c *link.Conn, streamBytes int, preamble []link.Message) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if o := l.outletOf(c); o != nil {
-		// A repeated offer on a new link: the old link is dead to the entry.
-		greet(c, greeting)
-		l.reattach(o, c, 1)
+	if sub := l.subscriberFor(c); sub != nil {
+		// The entry repeats its offer on a new link because it has given up the old one.
+		sendAll(c, preamble)
+		l.reattach(sub, c, 1)
 		return true
 	}
-	if l.seq > 0 && (l.offer.Repeatable || l.kept.lost) {
+	if l.seq > 0 && (l.offer.Repeatable || l.replay.overflowed) {
 		return false
 	}
-	greet(c, greeting)
-	o := &outlet{entry: c.Peer(), conn: c, sender: stream.NewSender(streamBytes)}
-	l.outlets = append(l.outlets, o)
+	sendAll(c, preamble)
+	sub := &subscriber{entry: c.Peer(), conn: c, sender: stream.NewSender(streamBytes)}
+	l.subscribers = append(l.subscribers, sub)
 	c.Retain()
-	l.sendHead(o)
-	for _, frame := range l.kept.frames {
-		o.sender.Append(frame.Attempt, frame.Tokens, frame.Data)
-		l.sendFrame(o, frame)
+	l.sendHead(sub)
+	for _, frame := range l.replay.frames {
+		sub.sender.Append(frame.Attempt, frame.Tokens, frame.Data)
+		l.sendFrame(sub, frame)
 	}
-	l.sendEnd(o)
+	l.sendEnd(sub)
 	return true
 }
 
-func greet(c *link.Conn, greeting []link.Message) {
-	for _, message := range greeting {
+func sendAll(c *link.Conn, preamble []link.Message) {
+	for _, message := range preamble {
 		_ = c.Send(message)
 	}
 }
 
-// resume goes on from next on a new link; false when this entry has no part in the call.
+// resume continues the answer at sequence number next on a new link. It returns false if
+// the entry is not a subscriber of the call.
 func (l *liveCall) resume(c *link.Conn, next uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o := l.outletOf(c)
-	if o == nil {
+	sub := l.subscriberFor(c)
+	if sub == nil {
 		return false
 	}
-	l.reattach(o, c, next)
+	l.reattach(sub, c, next)
 	return true
 }
 
-func (l *liveCall) reattach(o *outlet, c *link.Conn, next uint64) {
-	if o.conn != c {
-		o.conn.Release()
+func (l *liveCall) reattach(sub *subscriber, c *link.Conn, next uint64) {
+	if sub.conn != c {
+		sub.conn.Release()
 		c.Retain()
 	}
-	o.conn = c
-	o.detached = false
-	l.sendHead(o)
+	sub.conn = c
+	sub.detached = false
+	l.sendHead(sub)
 	if next > 0 {
-		o.sender.Ack(next - 1)
+		sub.sender.Ack(next - 1)
 	}
-	o.sender.From(next, func(frame stream.Frame) bool {
-		l.sendFrame(o, frame)
+	sub.sender.From(next, func(frame stream.Frame) bool {
+		l.sendFrame(sub, frame)
 		return true
 	})
-	l.sendEnd(o)
-	l.room.Broadcast()
+	l.sendEnd(sub)
+	l.bufferSpace.Broadcast()
 }
 
-func (l *liveCall) outletOf(c *link.Conn) *outlet {
+func (l *liveCall) subscriberFor(c *link.Conn) *subscriber {
 	peer := c.Peer()
-	for _, o := range l.outlets {
-		if o.entry.VM == peer.VM && o.entry.Incarnation == peer.Incarnation {
-			return o
+	for _, sub := range l.subscribers {
+		if sub.entry.VM == peer.VM && sub.entry.Incarnation == peer.Incarnation {
+			return sub
 		}
 	}
 	return nil
 }
 
-// detach marks the outlets on a lost link; true when there was one.
+// detach marks the subscribers on a lost link as detached. It returns whether there were any.
 func (l *liveCall) detach(c *link.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	found := false
-	for _, o := range l.outlets {
-		if o.conn == c && !o.detached {
-			o.detached = true
+	for _, sub := range l.subscribers {
+		if sub.conn == c && !sub.detached {
+			sub.detached = true
 			found = true
 		}
 	}
 	return found
 }
 
-// dropOutlets removes outlets that are done or still detached; it returns how many are left.
-func (l *liveCall) dropOutlets(detached bool) int {
+// removeSubscribers removes the subscribers that are done and, if detached is set, those that
+// are detached. It returns how many are left.
+func (l *liveCall) removeSubscribers(detached bool) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := l.outlets[:0]
-	for _, o := range l.outlets {
-		if o.done || detached && o.detached {
-			o.conn.Release()
+	kept := l.subscribers[:0]
+	for _, sub := range l.subscribers {
+		if sub.done || detached && sub.detached {
+			sub.conn.Release()
 			continue
 		}
-		kept = append(kept, o)
+		kept = append(kept, sub)
 	}
-	l.outlets = kept
-	l.room.Broadcast()
+	l.subscribers = kept
+	l.bufferSpace.Broadcast()
 	return len(kept)
 }
 
-// setHead stores and sends the head of a plain service's answer.
+// setHead stores the head of a plain service's answer and sends it.
 func (l *liveCall) setHead(head *link.Head) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.head = head
-	for _, o := range l.outlets {
-		l.sendHead(o)
+	for _, sub := range l.subscribers {
+		l.sendHead(sub)
 	}
 }
 
-// emit appends one frame to the answer. It blocks while any entry's buffer is full, so
-// that a slow caller slows its own upstream call and nothing else; it returns false when
-// the call was cancelled meanwhile.
+// emit appends one frame to the answer. It blocks while any subscriber's buffer is full, so
+// that backpressure from a slow caller affects only that caller's upstream call. It returns
+// false if the call was cancelled meanwhile.
 func (l *liveCall) emit(tokens uint32, data []byte, keptBytes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.ctx.Err() == nil && !l.hasRoom(len(data)) {
-		l.room.Wait()
+		l.bufferSpace.Wait()
 	}
 	if l.ctx.Err() != nil {
 		return false
@@ -237,46 +239,46 @@
 	l.seq++
 	frame := stream.Frame{Attempt: l.offer.Attempt, Seq: l.seq, Tokens: tokens, Data: data}
 	if !l.offer.Repeatable {
-		l.kept.add(frame, keptBytes)
+		l.replay.add(frame, keptBytes)
 	}
-	for _, o := range l.outlets {
-		o.sender.Append(frame.Attempt, tokens, data)
-		l.sendFrame(o, frame)
+	for _, sub := range l.subscribers {
+		sub.sender.Append(frame.Attempt, tokens, data)
+		l.sendFrame(sub, frame)
 	}
 	return true
 }
 
-// tell sends a message beside the answer to the entries that have a link.
-func (l *liveCall) tell(message link.Message) {
+// notify sends a message that is not part of the answer to the subscribers that have a link.
+func (l *liveCall) notify(message link.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, o := range l.outlets {
-		if !o.detached {
-			_ = o.conn.Send(message)
+	for _, sub := range l.subscribers {
+		if !sub.detached {
+			_ = sub.conn.Send(message)
 		}
 	}
 }
 
 func (l *liveCall) hasRoom(n int) bool {
-	for _, o := range l.outlets {
-		if !o.sender.HasRoom(n) {
+	for _, sub := range l.subscribers {
+		if !sub.sender.HasRoom(n) {
 			return false
 		}
 	}
 	return true
 }
 
-func (a *answerLog) add(frame stream.Frame, limit int) {
+func (a *replayBuffer) add(frame stream.Frame, limit int) {
 	a.bytes += len(frame.Data)
-	if a.lost || a.bytes > limit {
-		a.lost = true
+	if a.overflowed || a.bytes > limit {
+		a.overflowed = true
 		a.frames = nil
 		return
 	}
 	a.frames = append(a.frames, frame)
 }
 
-// finish stores and sends the end of the answer.
+// finish stores the end of the answer and sends it.
 func (l *liveCall) finish(end *link.End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -284,46 +286,47 @@
 	end.Attempt = l.offer.Attempt
 	end.Seq = l.seq + 1
 	l.end = end
-	for _, o := range l.outlets {
-		l.sendEnd(o)
+	for _, sub := range l.subscribers {
+		l.sendEnd(sub)
 	}
 }
 
-// ack frees an entry's frames; true when the entry has the whole answer.
+// ack releases the frames that an entry has acknowledged. It returns true if the entry has
+// received the whole answer.
 func (l *liveCall) ack(c *link.Conn, seq uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o := l.outletOf(c)
-	if o == nil {
+	sub := l.subscriberFor(c)
+	if sub == nil {
 		return false
 	}
-	o.sender.Ack(seq)
-	l.room.Broadcast()
+	sub.sender.Ack(seq)
+	l.bufferSpace.Broadcast()
 	if l.end == nil || seq < l.end.Seq {
 		return false
 	}
-	o.done = true
+	sub.done = true
 	return true
 }
 
-// The send functions are called with mu held. A failed send needs no handling: the
-// frame stays in the outlet's buffer until the entry resumes or is given up.
-func (l *liveCall) sendHead(o *outlet) {
-	if l.head != nil && !o.detached {
-		_ = o.conn.Send(l.head)
+// The send functions are called with mu held. They ignore failed sends: a frame stays in
+// the subscriber's buffer until the entry resumes or the subscriber is removed.
+func (l *liveCall) sendHead(sub *subscriber) {
+	if l.head != nil && !sub.detached {
+		_ = sub.conn.Send(l.head)
 	}
 }
 
-func (l *liveCall) sendFrame(o *outlet, frame stream.Frame) {
-	if o.detached {
+func (l *liveCall) sendFrame(sub *subscriber, frame stream.Frame) {
+	if sub.detached {
 		return
 	}
 	l.chunk = link.Chunk{ID: l.offer.ID, Attempt: frame.Attempt, Seq: frame.Seq, Tokens: frame.Tokens, Data: frame.Data}
-	_ = o.conn.Send(&l.chunk)
+	_ = sub.conn.Send(&l.chunk)
 }
 
-func (l *liveCall) sendEnd(o *outlet) {
-	if l.end != nil && !o.detached {
-		_ = o.conn.Send(l.end)
+func (l *liveCall) sendEnd(sub *subscriber) {
+	if l.end != nil && !sub.detached {
+		_ = sub.conn.Send(l.end)
 	}
 }
--- a/agent/server/crash.go
+++ b/agent/server/crash.go
@@ -14,87 +14,90 @@
 )
 
 const (
-	// confirmAfter is how long after a broken call the upstream's address is tried: a process that
-	// ends closes its sockets one after the other.
-	confirmAfter = 20 * time.Millisecond
-	// confirmTimeout bounds that try; the upstream is on this VM.
-	confirmTimeout = 200 * time.Millisecond
+	// probeDelay is the delay between a broken call and the probe of the upstream's address. A
+	// process that exits closes its sockets one after the other, so its listening socket may
+	// still be open when a call breaks.
+	probeDelay = 20 * time.Millisecond
+	// probeTimeout bounds a probe. The upstream is on the same VM.
+	probeTimeout = 200 * time.Millisecond
 )
 
-// lives counts the ends of the upstream's process that calls have met.
-type lives struct {
-	mu    sync.Mutex
-	ended int
-	// at is when the last one was found.
-	at time.Time
-	// trying is closed at the end of the try of the address in hand; nil for none.
-	trying chan struct{}
+// crashDetector counts the crashes of the upstream's process that broke calls.
+type crashDetector struct {
+	mu      sync.Mutex
+	crashes int
+	// lastCrash is when the last crash was detected.
+	lastCrash time.Time
+	// probing is closed at the end of the current probe; nil if there is none.
+	probing chan struct{}
 }
 
-// crashed turns a call's failure into UpstreamCrashed if the upstream's process has ended under it.
-// Calls that the same end has cut off get the same detail, by which entries tell crashes apart.
-func (s *Server) crashed(started time.Time, err *result.Error) *result.Error {
+// classifyCrash converts a call's failure to UpstreamCrashed if the upstream's process has
+// crashed during the call. Calls that the same crash has broken get the same detail, by which
+// entries tell crashes apart.
+func (s *Server) classifyCrash(started time.Time, err *result.Error) *result.Error {
 	if err.Code != result.UpstreamFailed || err.Execution == result.NotRun {
 		return err
 	}
-	life := s.lives.endedSince(started, s.upstreamGone)
-	if life == 0 {
+	crash := s.crashes.crashSince(started, s.upstreamNotListening)
+	if crash == 0 {
 		return err
 	}
-	s.log.Warn().Int("life", life).Msg("the upstream's process ended under a call")
-	detail := fmt.Sprintf("life %d of the upstream beside this agent has ended", life)
+	s.log.Warn().Int("life", crash).Msg("the upstream's process ended under a call")
+	detail := fmt.Sprintf("life %d of the upstream beside this agent has ended", crash)
 	return &result.Error{Code: result.UpstreamCrashed, Execution: err.Execution, Detail: detail}
 }
 
-// endedSince returns which life of the upstream ended after a call was started there that has
-// broken off by now; zero for none. Calls that break off together try the address once.
-func (l *lives) endedSince(started time.Time, gone func() bool) int {
-	l.mu.Lock()
-	if l.at.After(started) {
-		defer l.mu.Unlock()
-		return l.ended
+// crashSince returns the number of the upstream's last crash if it happened after the start
+// of a call that has now broken, and zero otherwise. Calls that break together share one
+// probe of the address.
+func (d *crashDetector) crashSince(started time.Time, notListening func() bool) int {
+	d.mu.Lock()
+	if d.lastCrash.After(started) {
+		defer d.mu.Unlock()
+		return d.crashes
 	}
-	done := l.trying
+	done := d.probing
 	if done == nil {
 		done = make(chan struct{})
-		l.trying = done
-		go l.try(gone)
+		d.probing = done
+		go d.probe(notListening)
 	}
-	l.mu.Unlock()
+	d.mu.Unlock()
 	<-done
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.at.After(started) {
-		return l.ended
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.lastCrash.After(started) {
+		return d.crashes
 	}
 	return 0
 }
 
-// try finds out whether the upstream's process has ended, and ends the wait for that.
-func (l *lives) try(gone func() bool) {
-	time.Sleep(confirmAfter)
-	ended := gone()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if ended {
-		l.ended++
-		l.at = time.Now()
+// probe checks whether the upstream's process has crashed, and wakes the waiting calls.
+func (d *crashDetector) probe(notListening func() bool) {
+	time.Sleep(probeDelay)
+	crashed := notListening()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if crashed {
+		d.crashes++
+		d.lastCrash = time.Now()
 	}
-	close(l.trying)
-	l.trying = nil
+	close(d.probing)
+	d.probing = nil
 }
 
-// upstreamGone reports whether nobody listens at the upstream's address.
-func (s *Server) upstreamGone() bool {
+// upstreamNotListening reports whether connections to the upstream's address are refused.
+func (s *Server) upstreamNotListening() bool {
 	base, err := url.Parse(s.config.Upstream)
 	if err != nil || base.Port() == "" {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", base.Host)
 	if err == nil {
-		_ = conn.Close() // Nothing was sent over it.
+		_ = conn.Close() // The probe sent nothing.
 		return false
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
--- a/agent/server/group.go
+++ b/agent/server/group.go
@@ -11,53 +11,56 @@
 )
 
 const (
-	// groupFill is the part of an engine's memory that a group asks of it: the rest stays
-	// for short requests.
-	groupFill = 0.9
-	// groupTry bounds one try to bring a group together, under holdFor.
-	groupTry = 45 * time.Second
-	// groupAlive is how often a leader tells the members that it lives, well under the
-	// grace of core/reservation.
-	groupAlive = 3 * time.Second
-	// groupTick is how often a group's clock moves on.
-	groupTick = 100 * time.Millisecond
+	// groupMemoryShare is the fraction of an engine's memory that a group may use. The rest is
+	// left for short requests.
+	groupMemoryShare = 0.9
+	// gatherTimeout bounds one attempt to reserve memory at all members. It is below
+	// groupConfirmTimeout.
+	gatherTimeout = 45 * time.Second
+	// groupHeartbeatInterval is how often a leader sends heartbeats to the members. It is well
+	// below OwnerTimeout of core/reservation.
+	groupHeartbeatInterval = 3 * time.Second
+	// groupTickInterval is how often a group's timeouts are checked, and the pause between two
+	// attempts.
+	groupTickInterval = 100 * time.Millisecond
 )
 
-// membersNeeded is the number of engines that a request needs; 1 for most.
-func (s *Server) membersNeeded(work call.TokenDemand) int {
-	if s.config.Engine == nil || int64(work.Tokens()) <= s.memory.Capacity() {
+// membersNeeded returns the number of engines whose memory a request needs, which is 1 for
+// most requests.
+func (s *Server) membersNeeded(demand call.TokenDemand) int {
+	if s.config.Engine == nil || int64(demand.Tokens()) <= s.memory.Capacity() {
 		return 1
 	}
-	share := int64(groupFill * float64(s.memory.Capacity()))
-	return int((int64(work.Tokens()) + share - 1) / share)
+	share := int64(groupMemoryShare * float64(s.memory.Capacity()))
+	return int((int64(demand.Tokens()) + share - 1) / share)
 }
 
-// groupCall is a request that this agent leads a group for.
+// groupCall is a call for which this agent leads a group of engines.
 type groupCall struct {
 	server *Server
 	call   *liveCall
-	// attempt counts the tries to bring a group together, over all offers of the call.
+	// attempt numbers the attempts to reserve memory, over all offers of the call.
 	attempt   call.Attempt
 	addresses map[string]string
 	upstreams map[string]string
 	events    chan groupEvent
 }
 
-// groupEvent is an answer of a member, or its loss.
+// groupEvent is an answer of a member, or the loss of its link.
 type groupEvent struct {
-	agent    string
-	verb     reservation.Operation
-	attempt  call.Attempt
-	ok       bool
-	upstream string
-	lost     bool
+	agent     string
+	operation reservation.Operation
+	attempt   call.Attempt
+	ok        bool
+	upstream  string
+	lost      bool
 }
 
-// groupEvents bounds the answers that wait for the leader; a group has few members and
-// asks each one thing at a time.
-const groupEvents = 64
+// groupEventBuffer is the capacity of a leader's event channel. A group has few members, and
+// each has one request outstanding at a time.
+const groupEventBuffer = 64
 
-// runGroup brings the engines together, runs the call on them and releases them.
+// runGroup reserves memory at a group of engines, runs the call and releases the memory.
 func (s *Server) runGroup(l *liveCall) {
 	g := &groupCall{
 		server:    s,
@@ -65,7 +68,7 @@
 		attempt:   l.offer.Attempt * attemptStride,
 		addresses: make(map[string]string),
 		upstreams: make(map[string]string),
-		events:    make(chan groupEvent, groupEvents),
+		events:    make(chan groupEvent, groupEventBuffer),
 	}
 	s.mu.Lock()
 	s.groups[l.offer.ID] = g
@@ -81,21 +84,23 @@
 			g.run(group)
 			return
 		}
-		if !g.again() {
+		if !g.awaitRetry() {
 			return
 		}
 	}
 }
 
-// attemptStride leaves room for the tries of one offer between the attempts of two.
+// attemptStride is the distance between the first attempt numbers of two offers, so that the
+// attempts of one offer have distinct numbers.
 const attemptStride = 1000
 
-// again waits a moment before the next try; without time for one the call is refused.
-func (g *groupCall) again() bool {
+// awaitRetry waits before the next attempt. If there is no time left for one, it refuses the
+// call and returns false. It also returns false if the call was cancelled.
+func (g *groupCall) awaitRetry() bool {
 	s, l := g.server, g.call
 	g.attempt++
-	if time.Until(l.deadline) > groupTick && l.ctx.Err() == nil {
-		timer := time.NewTimer(groupTick)
+	if time.Until(l.deadline) > groupTickInterval && l.ctx.Err() == nil {
+		timer := time.NewTimer(groupTickInterval)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -108,25 +113,25 @@
 	if s.live[l.offer.ID] == l && l.phase == phaseQueued {
 		err := result.New(result.GroupUnavailable, result.NotRun, "")
 		err.RetryAfter = retryAfter
-		s.withdraw(l, err)
+		s.refuseUnstarted(l, err)
 	}
 	return false
 }
 
-// gather asks for the memory of all members, all or nothing.
+// gather reserves memory at all members, all or nothing.
 func (g *groupCall) gather() *reservation.Group {
-	deadline := time.Now().Add(groupTry)
+	deadline := time.Now().Add(gatherTimeout)
 	if g.call.deadline.Before(deadline) {
 		deadline = g.call.deadline
 	}
 	group, actions := reservation.NewGroup(g.members(), deadline)
 	g.perform(actions)
-	ticker := time.NewTicker(groupTick)
+	ticker := time.NewTicker(groupTickInterval)
 	defer ticker.Stop()
 	for group.Phase() < reservation.Held {
 		select {
 		case e := <-g.events:
-			g.perform(g.hand(group, e))
+			g.perform(g.handleEvent(group, e))
 		case now := <-ticker.C:
 			g.perform(group.Tick(now))
 		case <-g.call.ctx.Done():
@@ -136,7 +141,7 @@
 	return group
 }
 
-func (g *groupCall) hand(group *reservation.Group, e groupEvent) []reservation.Action {
+func (g *groupCall) handleEvent(group *reservation.Group, e groupEvent) []reservation.Action {
 	if e.lost {
 		return group.MemberLost(e.agent)
 	}
@@ -146,17 +151,17 @@
 	if e.upstream != "" {
 		g.upstreams[e.agent] = e.upstream
 	}
-	return group.HandleAnswer(e.verb, e.agent, e.ok)
+	return group.HandleAnswer(e.operation, e.agent, e.ok)
 }
 
-// members picks this agent and the first candidates of the offer. Each try starts one
-// further on, so that an engine that stays busy does not fail all of them.
+// members returns this agent and as many candidates of the offer as needed. Each attempt
+// starts at the next candidate, so that one busy engine does not fail all attempts.
 func (g *groupCall) members() []reservation.Member {
 	s, l := g.server, g.call
 	s.mu.Lock()
-	count := s.membersNeeded(l.work)
+	count := s.membersNeeded(l.demand)
 	s.mu.Unlock()
-	tokens := (int64(l.work.Tokens()) + int64(count) - 1) / int64(count)
+	tokens := (int64(l.demand.Tokens()) + int64(count) - 1) / int64(count)
 	members := []reservation.Member{{Agent: s.config.VM, Tokens: tokens}}
 	candidates := l.offer.Group
 	first := int(g.attempt-l.offer.Attempt*attemptStride) % max(len(candidates), 1)
@@ -174,56 +179,56 @@
 func (g *groupCall) perform(actions []reservation.Action) {
 	for _, action := range actions {
 		if action.Agent == g.server.config.VM {
-			g.performHere(action)
+			g.performLocal(action)
 			continue
 		}
-		go g.performThere(action, g.attempt)
+		go g.performRemote(action, g.attempt)
 	}
 }
 
-// performHere carries out an action at this agent's own book.
-func (g *groupCall) performHere(action reservation.Action) {
+// performLocal performs an action at this agent's own pool.
+func (g *groupCall) performLocal(action reservation.Action) {
 	s, l := g.server, g.call
 	attempt := g.attempt
 	now := time.Now()
 	answer := func(ok bool) {
-		g.post(groupEvent{agent: action.Agent, verb: action.Operation, attempt: attempt, ok: ok})
+		g.post(groupEvent{agent: action.Agent, operation: action.Operation, attempt: attempt, ok: ok})
 	}
 	switch action.Operation {
 	case reservation.DoReserve:
 		s.mu.Lock()
-		s.enqueueHold(&hold{
+		s.enqueueReservation(&pendingReservation{
 			id:       l.offer.ID,
 			attempt:  attempt,
 			owner:    s.config.Incarnation,
 			tokens:   action.Tokens,
 			deadline: l.deadline,
 			answer:   answer,
-		}, l.offer.Organisation, l.work.PromptTokens, now)
+		}, l.offer.Organisation, l.demand.PromptTokens, now)
 		s.mu.Unlock()
-		s.pump()
+		s.startQueued()
 	case reservation.DoConfirm:
 		s.mu.Lock()
 		err := s.memory.Confirm(l.offer.ID, attempt, s.config.Incarnation, now)
 		s.mu.Unlock()
 		answer(err == nil)
 	case reservation.DoRelease:
-		s.free(l.offer.ID, attempt)
+		s.releaseShare(l.offer.ID, attempt)
 	}
 }
 
-// performThere sends an action to another agent. One that can not be reached is lost to
-// the group; its book ends the reservation by the clock.
-func (g *groupCall) performThere(action reservation.Action, attempt call.Attempt) {
+// performRemote sends an action to another agent. An agent that cannot be reached counts as
+// lost, and its reservation expires by itself.
+func (g *groupCall) performRemote(action reservation.Action, attempt call.Attempt) {
 	s, l := g.server, g.call
-	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), memoryRequestTimeout)
 	defer cancel()
 	c, err := s.node.Dial(ctx, action.Agent, g.addresses[action.Agent])
 	if err == nil {
 		err = c.Send(g.message(action, attempt))
 	}
 	if err != nil && action.Operation != reservation.DoRelease {
-		s.log.Info().Err(err).Stringer("request", l.offer.ID).Str("peer", action.Agent).Msg("a group member can not be reached")
+		s.log.Info().Err(err).Stringer("request", l.offer.ID).Str("peer", action.Agent).Msg("cannot reach a group member")
 		g.post(groupEvent{agent: action.Agent, lost: true})
 	}
 }
@@ -239,12 +244,13 @@
 		Tokens:       action.Tokens,
 		Confirm:      action.Operation == reservation.DoConfirm,
 		Organisation: l.offer.Organisation,
-		PromptTokens: l.work.PromptTokens,
+		PromptTokens: l.demand.PromptTokens,
 		TimeLeftMs:   call.Remaining(l.deadline, time.Now()).Milliseconds(),
 	}
 }
 
-// post never blocks an event loop: a full channel means that the leader has stopped.
+// post sends an event to the leader without blocking. It drops the event if the channel is
+// full, which means that the leader has stopped.
 func (g *groupCall) post(e groupEvent) {
 	select {
 	case g.events <- e:
@@ -252,7 +258,7 @@
 	}
 }
 
-// onHeld takes a member's answer.
+// onHeld handles a member's answer.
 func (s *Server) onHeld(c *link.Conn, m *link.Held) {
 	s.mu.Lock()
 	g := s.groups[m.ID]
@@ -260,14 +266,14 @@
 	if g == nil {
 		return
 	}
-	verb := reservation.DoReserve
+	operation := reservation.DoReserve
 	if m.Confirm {
-		verb = reservation.DoConfirm
+		operation = reservation.DoConfirm
 	}
-	g.post(groupEvent{agent: c.Peer().VM, verb: verb, attempt: m.Attempt, ok: m.OK, upstream: m.Upstream})
+	g.post(groupEvent{agent: c.Peer().VM, operation: operation, attempt: m.Attempt, ok: m.OK, upstream: m.Upstream})
 }
 
-// memberLost tells the groups that this agent leads of a lost link.
+// memberLost reports a lost link to the groups that this agent leads.
 func (s *Server) memberLost(vm string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -276,7 +282,7 @@
 	}
 }
 
-// run runs the call on a complete group and releases the members together.
+// run executes the call on a complete group and then releases the memory at all members.
 func (g *groupCall) run(group *reservation.Group) {
 	s, l := g.server, g.call
 	var members []string
@@ -288,21 +294,21 @@
 	}
 	now := time.Now()
 	s.mu.Lock()
-	begin := s.live[l.offer.ID] == l && l.phase == phaseQueued && s.begin(l, now)
+	begin := s.live[l.offer.ID] == l && l.phase == phaseQueued && s.startCall(l, now)
 	s.mu.Unlock()
 	if begin {
 		done := make(chan struct{})
-		go g.stayAlive(members, done)
+		go g.sendHeartbeats(members, done)
 		s.run(l)
 		close(done)
 	}
 	g.perform(group.Release())
 }
 
-// stayAlive tells the members that the leader lives until the call has ended. The members
-// of a leader that died release their memory by themselves.
-func (g *groupCall) stayAlive(members []string, done <-chan struct{}) {
-	ticker := time.NewTicker(groupAlive)
+// sendHeartbeats sends repeated confirmations to the members until the call has ended. If the
+// leader dies, the members' reservations expire by themselves.
+func (g *groupCall) sendHeartbeats(members []string, done <-chan struct{}) {
+	ticker := time.NewTicker(groupHeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -310,7 +316,7 @@
 			return
 		case <-ticker.C:
 			for _, agent := range members {
-				g.performThere(reservation.Action{Operation: reservation.DoConfirm, Agent: agent}, g.attempt)
+				g.performRemote(reservation.Action{Operation: reservation.DoConfirm, Agent: agent}, g.attempt)
 			}
 		}
 	}
--- a/agent/server/hold.go
+++ b/agent/server/hold.go
@@ -10,21 +10,24 @@
 	"acaciacleat.example/peers/link"
 )
 
-// hold is a wish for memory here by a group that another agent, or this one, leads. It
-// waits in the queue like a request: a group must not stop everything else.
-type hold struct {
+// pendingReservation is a request for memory at this engine, for a group that this or
+// another agent leads. It waits in the queue like a call, so that a group does not block
+// other calls.
+type pendingReservation struct {
 	id       call.ID
 	attempt  call.Attempt
 	owner    call.Incarnation
 	tokens   int64
 	deadline time.Time
-	// remote is set when another agent leads; the engine must then know the reservation.
+	// remote is set if another agent leads the group. The engine must then reserve the memory
+	// as well.
 	remote bool
-	// answer tells the leader; it does not block.
+	// answer sends the outcome to the leader. It does not block.
 	answer func(ok bool)
 }
 
-// onHold takes a leader's wish for memory, or its sign that the group is complete.
+// onHold handles a leader's request for memory, or its confirmation that the group is
+// complete.
 func (s *Server) onHold(c *link.Conn, m *link.Hold) {
 	now := time.Now()
 	owner := c.Peer().Incarnation
@@ -39,7 +42,7 @@
 		answer(err == nil)
 		return
 	}
-	s.enqueueHold(&hold{
+	s.enqueueReservation(&pendingReservation{
 		id:       m.ID,
 		attempt:  m.Attempt,
 		owner:    owner,
@@ -49,86 +52,89 @@
 		answer:   answer,
 	}, m.Organisation, m.PromptTokens, now)
 	s.mu.Unlock()
-	s.pump()
+	s.startQueued()
 }
 
-// enqueueHold is called with mu held.
-func (s *Server) enqueueHold(h *hold, organisation string, promptTokens int, now time.Time) {
-	if s.leaving || h.tokens > s.memory.Capacity() {
-		h.answer(false)
+// enqueueReservation queues a group reservation and replaces an earlier one of the same call.
+// It is called with mu held.
+func (s *Server) enqueueReservation(p *pendingReservation, organisation string, promptTokens int, now time.Time) {
+	if s.leaving || p.tokens > s.memory.Capacity() {
+		p.answer(false)
 		return
 	}
-	if old := s.holds[h.id]; old != nil {
-		s.queue.Remove(h.id)
+	if old := s.pendingReservations[p.id]; old != nil {
+		s.queue.Remove(p.id)
 	}
 	ok := s.queue.Push(scheduling.Item{
-		ID:           h.id,
+		ID:           p.id,
 		Organisation: organisation,
 		Work:         call.TokenDemand{PromptTokens: promptTokens},
-		MemoryTokens: h.tokens,
+		MemoryTokens: p.tokens,
 		Enqueued:     now,
-		Deadline:     h.deadline,
+		Deadline:     p.deadline,
 	})
 	if !ok {
-		h.answer(false)
+		p.answer(false)
 		return
 	}
-	s.holds[h.id] = h
+	s.pendingReservations[p.id] = p
 }
 
-// grant reserves memory for a hold whose turn has come. It is called with mu held.
-func (s *Server) grant(h *hold, now time.Time) {
-	delete(s.holds, h.id)
-	// The queue counts what it hands out as work inside this engine. A share of a group is
-	// not: its prompt is prefilled by the leader's. Counted, it would keep everything
-	// behind it from starting for good.
-	s.tellQueue()
+// grantReservation reserves memory for a group reservation that has left the queue. It is
+// called with mu held.
+func (s *Server) grantReservation(p *pendingReservation, now time.Time) {
+	delete(s.pendingReservations, p.id)
+	// The queue counts the prompts of the items that it pops as outstanding prefill in this
+	// engine. The prompt of a group is prefilled by the leader's engine; if it stayed counted
+	// here, no item behind it would ever start.
+	s.updateQueue()
 	err := s.memory.Reserve(reservation.Reservation{
-		ID:       h.id,
-		Attempt:  h.attempt,
-		Owner:    h.owner,
-		Tokens:   h.tokens,
-		Deadline: h.deadline.Add(reservationSlack),
+		ID:       p.id,
+		Attempt:  p.attempt,
+		Owner:    p.owner,
+		Tokens:   p.tokens,
+		Deadline: p.deadline.Add(reservationSlack),
 	}, now)
 	if err != nil {
-		s.log.Info().Err(err).Stringer("request", h.id).Msg("a group's share could not be reserved")
-		h.answer(false)
+		s.log.Info().Err(err).Stringer("request", p.id).Msg("could not reserve memory for a group")
+		p.answer(false)
 		return
 	}
-	if !h.remote {
-		h.answer(true)
+	if !p.remote {
+		p.answer(true)
 		return
 	}
-	go s.reserveAtEngine(h)
+	go s.reserveAtEngine(p)
 }
 
-// reserveAtEngine makes the engine keep the memory too, until the request's deadline at
-// the longest.
-func (s *Server) reserveAtEngine(h *hold) {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+// reserveAtEngine reserves the memory at the engine as well, at most until shortly after the
+// request's deadline.
+func (s *Server) reserveAtEngine(p *pendingReservation) {
+	ctx, cancel := context.WithTimeout(context.Background(), memoryRequestTimeout)
 	defer cancel()
-	err := s.config.Engine.Reserve(ctx, h.id, h.tokens, time.Until(h.deadline)+reservationSlack)
+	err := s.config.Engine.Reserve(ctx, p.id, p.tokens, time.Until(p.deadline)+reservationSlack)
 	if err != nil {
-		s.log.Warn().Err(err).Stringer("request", h.id).Msg("the engine did not reserve a group's share")
-		s.free(h.id, h.attempt)
+		s.log.Warn().Err(err).Stringer("request", p.id).Msg("the engine did not reserve a group's share")
+		s.releaseShare(p.id, p.attempt)
 	}
-	h.answer(err == nil)
+	p.answer(err == nil)
 }
 
-// onRelease gives a group's share back.
-func (s *Server) onRelease(m *link.Release) { s.free(m.ID, m.Attempt) }
+// onRelease releases a group's share of the memory.
+func (s *Server) onRelease(m *link.Release) { s.releaseShare(m.ID, m.Attempt) }
 
-// free takes a hold out of the queue or the book, whichever it has reached.
-func (s *Server) free(id call.ID, attempt call.Attempt) {
+// releaseShare removes a group reservation from the queue or, if it was granted, from the
+// pool and the engine.
+func (s *Server) releaseShare(id call.ID, attempt call.Attempt) {
 	s.mu.Lock()
-	if h := s.holds[id]; h != nil && h.attempt <= attempt {
-		delete(s.holds, id)
+	if p := s.pendingReservations[id]; p != nil && p.attempt <= attempt {
+		delete(s.pendingReservations, id)
 		s.queue.Remove(id)
 	}
 	released := s.memory.Release(id, attempt, time.Now())
 	s.mu.Unlock()
 	if released {
 		s.cancelAtEngine(id)
-		s.pump()
+		s.startQueued()
 	}
 }
--- a/agent/server/intake.go
+++ b/agent/server/intake.go
@@ -11,7 +11,8 @@
 	"acaciacleat.example/peers/link"
 )
 
-// onOffer decides about an offer: run, attach to a run, replay a result, or refuse.
+// onOffer handles an offer: it queues a new call, attaches the entry to a call in flight,
+// replays a stored answer or refuses the offer.
 func (s *Server) onOffer(c *link.Conn, offer *link.Offer) {
 	now := time.Now()
 	if err := s.precheck(offer); err != nil {
@@ -19,22 +20,24 @@
 		return
 	}
 	s.mu.Lock()
-	s.learn(offer)
-	err := s.decide(c, offer, now)
+	s.updateObjective(offer)
+	err := s.applyVerdict(c, offer, now)
 	s.mu.Unlock()
 	if err != nil {
 		s.refuse(c, offer.ID, offer.Attempt, err)
 		return
 	}
-	s.pump()
+	s.startQueued()
 }
 
-// decide carries out the ledger's verdict, or returns why the offer is refused. It is
-// called with mu held, and the entry is attached to its call before mu is released: from
-// then on the pump of any other request may start the call. An engine that answers at
-// once would have its first frame out before the entry is there to get it; a repeatable
-// call keeps no frames, so the entry would be refused a call that runs.
-func (s *Server) decide(c *link.Conn, offer *link.Offer, now time.Time) *result.Error {
+// applyVerdict applies the ledger's verdict, or returns why the offer is refused. It is
+// called with mu held.
+//
+// The entry is attached to its call before mu is released, because from then on the handler
+// of any other message may start the call. If the engine answered at once, the first frame
+// would be emitted before the entry is attached; a repeatable call stores no frames, so the
+// entry would be refused a call that runs.
+func (s *Server) applyVerdict(c *link.Conn, offer *link.Offer, now time.Time) *result.Error {
 	verdict := s.ledger.Offer(now, idempotency.Offer{
 		ID:         offer.ID,
 		Attempt:    offer.Attempt,
@@ -46,7 +49,7 @@
 	case idempotency.Run:
 		return s.admit(c, offer, now)
 	case idempotency.AttachRunning:
-		return s.join(c, s.live[offer.ID])
+		return s.attachRepeat(c, s.live[offer.ID])
 	case idempotency.Replay:
 		l, _ := verdict.Result.(*liveCall)
 		return s.replay(c, offer, l, now)
@@ -55,38 +58,39 @@
 	}
 }
 
-// join attaches an entry to a call that was offered before. It is called with mu held.
-func (s *Server) join(c *link.Conn, l *liveCall) *result.Error {
+// attachRepeat attaches an entry to a call that was offered before. It is called with mu
+// held.
+func (s *Server) attachRepeat(c *link.Conn, l *liveCall) *result.Error {
 	if l == nil {
 		return result.New(result.Internal, result.Unknown, "the call's state was lost")
 	}
-	if !l.attach(c, s.config.Limits.StreamBytes, s.greeting(l)) {
+	if !l.attach(c, s.config.Limits.StreamBytes, s.acceptanceMessages(l)) {
 		return result.New(result.FirstRunLost, result.Ran, "the first answer was not kept")
 	}
 	return nil
 }
 
-// replay gives the answer of a call that has ended. It is called with mu held.
+// replay sends the stored answer of a call that has ended. It is called with mu held.
 //
-// What goes wrong without the timer: an entry that dies before its ack, or that is refused
-// because the answer was not kept, leaves the call among the live ones for good, and a
-// drain waits for it until its limit. So only a call that was joined becomes live, and it
-// is retired like one that has just ended.
+// Only a call that an entry was attached to becomes live again, and its removal is scheduled
+// as for a call that has just ended. Otherwise the call would stay live forever if the entry
+// dies before its ack, or is refused because the answer was not kept, and a drain would wait
+// for it until its limit.
 func (s *Server) replay(c *link.Conn, offer *link.Offer, l *liveCall, now time.Time) *result.Error {
-	if err := s.join(c, l); err != nil {
+	if err := s.attachRepeat(c, l); err != nil {
 		return err
 	}
-	l.keepUntil = now.Add(time.Duration(offer.TimeLeftMs) * time.Millisecond)
+	l.retainUntil = now.Add(time.Duration(offer.TimeLeftMs) * time.Millisecond)
 	if s.live[offer.ID] != l {
 		s.live[offer.ID] = l
-		s.retireLater(l)
+		s.scheduleRemoval(l)
 	}
 	return nil
 }
 
-// precheck refuses what no copy of the offer can have run: the body's announced size and
-// the service are the same in every copy, so it says not-run without asking the ledger and
-// needs no tombstone.
+// precheck refuses offers that are invalid in every copy: the body's announced size and the
+// service are the same in all of them, so no copy can have run. It therefore reports not-run
+// without asking the ledger and needs no tombstone.
 func (s *Server) precheck(offer *link.Offer) *result.Error {
 	if offer.BodyBytes > s.config.Limits.BodyBytes {
 		return result.New(result.BodyTooLarge, result.NotRun, "%d bytes, at most %d", offer.BodyBytes, s.config.Limits.BodyBytes)
@@ -97,8 +101,8 @@
 	return nil
 }
 
-// admit makes a new call of an offer that the ledger lets run, or refuses it there and
-// returns why. It is called with mu held.
+// admit creates the call of an offer that the ledger permits, or records its refusal in the
+// ledger and returns the reason. It is called with mu held.
 func (s *Server) admit(c *link.Conn, offer *link.Offer, now time.Time) *result.Error {
 	l := newCall(offer, now)
 	if err := s.admissible(l); err != nil {
@@ -108,18 +112,18 @@
 	l.span = s.config.Tracer.StartAt(offer.TraceParent, collector.HopAgent, now)
 	s.live[offer.ID] = l
 	l.body = append(make([]byte, 0, offer.BodyBytes), offer.Body...)
-	l.got = len(l.body)
+	l.bodyReceived = len(l.body)
 	l.offer.Body = nil
 	l.timer = time.AfterFunc(time.Until(l.deadline), func() { s.onDeadline(l) })
 	l.attach(c, s.config.Limits.StreamBytes, nil)
-	if l.got == offer.BodyBytes {
+	if l.bodyReceived == offer.BodyBytes {
 		s.enqueue(l, now)
 	}
 	if l.phase == phaseEnded {
-		// The queue took no more; the refusal is on its way to the outlet.
+		// The queue was full, and the refusal is being sent to the subscriber.
 		return nil
 	}
-	greet(c, s.greeting(l))
+	sendAll(c, s.acceptanceMessages(l))
 	return nil
 }
 
@@ -132,38 +136,39 @@
 	case len(s.live) >= s.config.Limits.Queue:
 		return result.New(result.QueueFull, result.NotRun, "%d calls", len(s.live))
 	}
-	if members := s.membersNeeded(l.work); members > 1+len(l.offer.Group) {
-		return result.New(result.GroupUnavailable, result.NotRun, "%d engines are needed for %d tokens", members, l.work.Tokens())
+	if members := s.membersNeeded(l.demand); members > 1+len(l.offer.Group) {
+		return result.New(result.GroupUnavailable, result.NotRun, "%d engines are needed for %d tokens", members, l.demand.Tokens())
 	}
 	return nil
 }
 
-// enqueue is called with mu held.
+// enqueue adds a call to the queue, or starts to reserve memory for it at several engines.
+// It is called with mu held.
 func (s *Server) enqueue(l *liveCall, now time.Time) {
 	l.phase = phaseQueued
-	if s.membersNeeded(l.work) > 1 {
-		s.load.queued(l.work, 1)
+	if s.membersNeeded(l.demand) > 1 {
+		s.loadCounters.addQueued(l.demand, 1)
 		go s.runGroup(l)
 		return
 	}
 	item := scheduling.Item{
 		ID:           l.offer.ID,
 		Organisation: l.offer.Organisation,
-		Work:         l.work,
+		Work:         l.demand,
 		Enqueued:     now,
 		Deadline:     l.deadline,
 	}
 	if !s.queue.Push(item) {
 		l.phase = phaseBody
-		s.withdraw(l, result.New(result.QueueFull, result.NotRun, ""))
+		s.refuseUnstarted(l, result.New(result.QueueFull, result.NotRun, ""))
 		return
 	}
-	s.load.queued(l.work, 1)
+	s.loadCounters.addQueued(l.demand, 1)
 }
 
-// greeting is what an entry gets before anything of its call's answer. It is called with
-// mu held.
-func (s *Server) greeting(l *liveCall) []link.Message {
+// acceptanceMessages returns the messages that an entry receives before its call's answer.
+// It is called with mu held.
+func (s *Server) acceptanceMessages(l *liveCall) []link.Message {
 	messages := []link.Message{&link.Accepted{
 		ID:      l.offer.ID,
 		Attempt: l.offer.Attempt,
@@ -176,16 +181,16 @@
 	return messages
 }
 
-// betterMargin is how much less a replica must have in hand, in prompt tokens, to be
-// named in a refusal: the work of a tenth of a second.
-const betterMargin = 4000
+// betterReplicaMargin is how many outstanding prompt tokens fewer than this agent a replica
+// must have to be named in a refusal. It corresponds to a tenth of a second of prefill.
+const betterReplicaMargin = 4000
 
-// refuse tells an entry why its offer does not run.
+// refuse sends a refusal of an offer to its entry.
 func (s *Server) refuse(c *link.Conn, id call.ID, attempt call.Attempt, err *result.Error) {
 	now := time.Now()
 	s.mu.Lock()
 	if err.Better == "" {
-		err.Better = s.group.LessLoadedPeer(now, &s.load.load, 0, betterMargin)
+		err.Better = s.group.LessLoadedPeer(now, &s.loadCounters.load, 0, betterReplicaMargin)
 	}
 	message := &link.Refused{
 		ID:           id,
@@ -202,40 +207,41 @@
 	_ = c.Send(message)
 }
 
-// onBody adds a part of a body.
+// onBody appends a part of a body, and queues the call once the body is complete.
 func (s *Server) onBody(m *link.Body) {
 	s.mu.Lock()
 	l := s.live[m.ID]
-	if l == nil || l.phase != phaseBody || m.Offset != l.got || l.got+len(m.Data) > l.offer.BodyBytes {
+	if l == nil || l.phase != phaseBody || m.Offset != l.bodyReceived || l.bodyReceived+len(m.Data) > l.offer.BodyBytes {
 		s.mu.Unlock()
 		return
 	}
 	l.body = append(l.body, m.Data...)
-	l.got = len(l.body)
-	whole := l.got == l.offer.BodyBytes
+	l.bodyReceived = len(l.body)
+	whole := l.bodyReceived == l.offer.BodyBytes
 	if whole {
 		s.enqueue(l, time.Now())
 	}
 	s.mu.Unlock()
 	if whole {
-		s.pump()
+		s.startQueued()
 	}
 }
 
-// onAck frees frames, and forgets the call once its entry has all of it.
+// onAck releases acknowledged frames, and removes the call once all its subscribers have the
+// whole answer.
 func (s *Server) onAck(c *link.Conn, m *link.Ack) {
-	l := s.find(m.ID)
+	l := s.findCall(m.ID)
 	if l == nil || !l.ack(c, m.Seq) {
 		return
 	}
-	if l.dropOutlets(false) == 0 {
-		s.forget(l)
+	if l.removeSubscribers(false) == 0 {
+		s.removeEnded(l)
 	}
 }
 
-// forget takes an ended call out of the live ones. The ledger still knows its id, and
-// the answer of a non-repeatable one.
-func (s *Server) forget(l *liveCall) {
+// removeEnded removes a call from the live calls if it has ended. The ledger still holds its
+// id, and the answer of a non-repeatable call.
+func (s *Server) removeEnded(l *liveCall) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.live[l.offer.ID] == l && l.phase == phaseEnded {
@@ -244,8 +250,8 @@
 	s.signalIdle()
 }
 
-// onCancel takes a call back. Another entry may wait for the same run, so a running
-// call is stopped only when nobody else does.
+// onCancel cancels an entry's call. Other entries may wait for the same run, so a running call
+// is stopped only if no subscriber is left. A non-repeatable call runs to its end.
 func (s *Server) onCancel(c *link.Conn, m *link.Cancel) {
 	now := time.Now()
 	s.mu.Lock()
@@ -257,7 +263,7 @@
 	l := s.live[m.ID]
 	if answer.Dequeued && l != nil {
 		s.queue.Remove(m.ID)
-		s.unqueue(l)
+		s.removeUnstarted(l)
 	}
 	stamp := int64(s.ledger.Stamp(now))
 	s.mu.Unlock()
@@ -265,41 +271,42 @@
 	if l == nil {
 		return
 	}
-	left := l.leave(c)
+	left := l.unsubscribe(c)
 	switch {
 	case answer.Dequeued:
-		// Other tries of the same key may wait for this call; it will never run here.
-		s.tellRefused(l, result.New(result.Tombstoned, result.NotRun, ""))
+		// Other tries of the same key may wait for this call, which will never run here.
+		s.sendRefusal(l, result.New(result.Tombstoned, result.NotRun, ""))
 	case answer.Running && left == 0 && l.offer.Repeatable:
 		l.cancel(result.New(result.Cancelled, answer.Execution, ""))
 	}
 }
 
-// leave drops the outlet of one entry and returns how many are left.
-func (l *liveCall) leave(c *link.Conn) int {
+// unsubscribe removes the subscriber of one entry and returns how many are left.
+func (l *liveCall) unsubscribe(c *link.Conn) int {
 	l.mu.Lock()
-	if o := l.outletOf(c); o != nil {
-		o.done = true
+	if sub := l.subscriberFor(c); sub != nil {
+		sub.done = true
 	}
 	l.mu.Unlock()
-	return l.dropOutlets(false)
+	return l.removeSubscribers(false)
 }
 
-// onResume goes on with an answer over a new link.
+// onResume continues an answer over a new link.
 func (s *Server) onResume(c *link.Conn, m *link.Resume) {
-	l := s.find(m.ID)
+	l := s.findCall(m.ID)
 	if l == nil || l.offer.Attempt != m.Attempt || !l.resume(c, m.NextSeq) {
 		_ = c.Send(&link.Gone{ID: m.ID, Attempt: m.Attempt})
 	}
 }
 
-// onDeadline ends a call whose time is over: a waiting one is proved not to have run.
+// onDeadline ends a call whose deadline has passed. If the call has not started, it is
+// refused as not-run.
 func (s *Server) onDeadline(l *liveCall) {
 	s.mu.Lock()
 	waiting := l.phase < phaseRunning
 	if waiting {
 		s.queue.Remove(l.offer.ID)
-		s.withdraw(l, result.New(result.DeadlinePassed, result.NotRun, "it was still waiting"))
+		s.refuseUnstarted(l, result.New(result.DeadlinePassed, result.NotRun, "it was still waiting"))
 	}
 	s.mu.Unlock()
 	if !waiting {
@@ -307,18 +314,18 @@
 	}
 }
 
-// withdraw takes a call that never began out of the books and tells its entries. It is
-// called with mu held.
-func (s *Server) withdraw(l *liveCall, err *result.Error) {
+// refuseUnstarted removes a call that has not started and sends a refusal to its entries. It
+// is called with mu held.
+func (s *Server) refuseUnstarted(l *liveCall, err *result.Error) {
 	s.ledger.Refuse(time.Now(), l.offer.ID)
-	s.unqueue(l)
-	go s.tellRefused(l, err)
+	s.removeUnstarted(l)
+	go s.sendRefusal(l, err)
 }
 
-// unqueue is called with mu held.
-func (s *Server) unqueue(l *liveCall) {
+// removeUnstarted removes a call that has not started. It is called with mu held.
+func (s *Server) removeUnstarted(l *liveCall) {
 	if l.phase == phaseQueued {
-		s.load.queued(l.work, -1)
+		s.loadCounters.addQueued(l.demand, -1)
 	}
 	l.phase = phaseEnded
 	l.timer.Stop()
@@ -327,31 +334,32 @@
 	s.signalIdle()
 }
 
-func (s *Server) tellRefused(l *liveCall, err *result.Error) {
+func (s *Server) sendRefusal(l *liveCall, err *result.Error) {
 	l.cancel(err)
-	for _, c := range l.takeOutlets() {
+	for _, c := range l.removeAllSubscribers() {
 		s.refuse(c, l.offer.ID, l.offer.Attempt, err)
 		c.Release()
 	}
 }
 
-// takeOutlets removes all outlets and returns their links.
-func (l *liveCall) takeOutlets() []*link.Conn {
+// removeAllSubscribers removes all subscribers and returns their links. The caller releases
+// the links.
+func (l *liveCall) removeAllSubscribers() []*link.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var conns []*link.Conn
-	for _, o := range l.outlets {
-		conns = append(conns, o.conn)
+	for _, sub := range l.subscribers {
+		conns = append(conns, sub.conn)
 	}
-	l.outlets = nil
+	l.subscribers = nil
 	return conns
 }
 
-// dropDetached gives up on entries that did not come back in time. Repeatable work that
-// nobody waits for is cancelled, so that its memory is free; other work runs to its end,
-// because its key may be asked for again.
+// dropDetached removes the subscribers whose entries have not resumed in time. A repeatable
+// call without subscribers is cancelled, so that its memory becomes free. A non-repeatable
+// call runs to its end, because a repeat of its key may ask for the answer.
 func (s *Server) dropDetached(l *liveCall) {
-	if l.dropOutlets(true) == 0 && l.offer.Repeatable {
+	if l.removeSubscribers(true) == 0 && l.offer.Repeatable {
 		s.abandon(l)
 	}
 }
@@ -361,7 +369,7 @@
 	s.mu.Lock()
 	if l.phase < phaseRunning {
 		s.queue.Remove(l.offer.ID)
-		s.withdraw(l, err)
+		s.refuseUnstarted(l, err)
 	}
 	s.mu.Unlock()
 	l.cancel(err)
--- a/agent/server/intake_test.go
+++ b/agent/server/intake_test.go
@@ -16,12 +16,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a call is refused as first_run_lost, or its answer comes before the word that
-// it was accepted, although it runs.
-// Sequence: several entries offer calls at once to an engine that answers at once.
-// Cause: the pump of one request starts another's call before that one's entry is
-// attached to it, and the first frame finds nobody.
-func TestCallsOfManyEntriesAreAcceptedBeforeTheirAnswer(t *testing.T) {
+// Several entries offer calls concurrently to an engine that answers at once. If the handler
+// of one offer could start another offer's call before its entry is attached, the first frame
+// would be lost: the running call would be refused as first_run_lost, or its answer would be
+// sent before Accepted.
+func TestCallsAreAcceptedBeforeTheirAnswerIsSent(t *testing.T) {
 	const entries, each = 8, 64
 	s := startServer(t, nil)
 	var all []*entry
@@ -39,34 +38,34 @@
 			e.await(t, "the end", func() bool { return e.answered(id) })
 			want := []link.Type{(&link.Accepted{}).Type(), (&link.Chunk{}).Type(), (&link.Chunk{}).Type(), (&link.End{}).Type()}
 			refused, _ := e.refusal(id)
-			require.Equal(t, want, e.kinds(id), "%v", refused)
+			require.Equal(t, want, e.receivedTypes(id), "%v", refused)
 		}
 	}
 }
 
-// plainAnswer is a plain service that answers each call with the same body.
-type plainAnswer struct {
+// fixedAnswerService is a plain service that answers every call with the same body.
+type fixedAnswerService struct {
 	service.Service
 	body string
 }
 
-func (p *plainAnswer) Do(context.Context, service.Call) (*service.Answer, error) {
+func (p *fixedAnswerService) Do(context.Context, service.Call) (*service.Answer, error) {
 	return &service.Answer{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader(p.body))}, nil
 }
 
-// startPlain starts an agent that waits no longer than a moment for lost entries.
+// startPlain starts an agent of a plain service that waits only 10 ms for entries to resume.
 func startPlain(t *testing.T, body string, keptBytes int) *Server {
 	t.Helper()
 	return startServer(t, func(c *Config) {
 		c.Engine = nil
-		c.Plain = &plainAnswer{body: body}
+		c.Plain = &fixedAnswerService{body: body}
 		c.Limits = DefaultLimits
 		c.Limits.KeptBytes = keptBytes
 		c.Limits.Detached = 10 * time.Millisecond
 	})
 }
 
-// runToEnd has a non-repeatable call run and acknowledges its whole answer.
+// runToEnd runs a non-repeatable call and acknowledges its whole answer.
 func (e *entry) runToEnd(t *testing.T, s *Server, id call.ID) {
 	t.Helper()
 	require.NoError(t, e.conn.Send(offerOf(id, s, false)))
@@ -77,24 +76,22 @@
 
 func awaitNoCalls(t *testing.T, s *Server) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for len(s.calls()) > 0 {
-		require.True(t, time.Now().Before(deadline), "the call was not forgotten")
+		require.True(t, time.Now().Before(deadline), "calls are still live")
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Symptom: an agent that is told to stop waits for its whole drain limit with nothing in
-// hand.
-// Sequence: a call ends; a repeat of its key gets the answer again, and the repeat's entry
-// dies before it acknowledges it.
-// Cause: a replayed call is live again and nothing takes it out.
-func TestDrainDoesNotWaitForAReplayWhoseEntryDied(t *testing.T) {
+// A call ends, a repeat of its key gets the answer again, and the repeat's entry dies before
+// it acknowledges the answer. If the replayed call were never removed, a drain would wait for
+// its whole limit although no call is in flight.
+func TestDrainDoesNotWaitForReplayOfDeadEntry(t *testing.T) {
 	s := startPlain(t, "answer", 1<<20)
 	id, later := call.ID{1}, call.ID{2}
 	first := dialEntry(t, "entry-1", s)
 	first.runToEnd(t, s, id)
-	// A later call that is retired shows that the first one's own timer is over.
+	// Once a later call has been removed, the first call's own removal timer has fired.
 	require.NoError(t, first.conn.Send(offerOf(later, s, false)))
 	first.await(t, "the end", func() bool { return first.answered(later) })
 	first.node.Close()
@@ -105,13 +102,13 @@
 	_, refused := second.refusal(id)
 	require.False(t, refused)
 	second.node.Close()
-	awaitDrained(t, s)
+	requireDrains(t, s)
 }
 
-// Symptom: as above; and answers of other calls are dropped although there is room.
-// Sequence: an answer outgrows what is kept of one; a repeat of its key is refused.
-// Cause: the refused replay is live again, and the bytes that were not kept are booked.
-func TestAnswerThatWasNotKeptCostsNothing(t *testing.T) {
+// An answer exceeds the limit for kept answers, so a repeat of its key is refused. The refused
+// replay must not become live again, which would delay a drain, and the bytes that were not
+// kept must not count in the ledger, which would evict the answers of other calls.
+func TestUnkeptAnswerIsNotCountedOrRetained(t *testing.T) {
 	s := startPlain(t, strings.Repeat("x", 100), 10)
 	id := call.ID{1}
 	dialEntry(t, "entry-1", s).runToEnd(t, s, id)
@@ -122,8 +119,8 @@
 	require.Equal(t, result.FirstRunLost, refused.Code)
 	require.Equal(t, result.Ran, refused.Execution)
 	s.mu.Lock()
-	booked := s.ledger.ResultBytes()
+	storedBytes := s.ledger.ResultBytes()
 	s.mu.Unlock()
-	require.Zero(t, booked)
-	awaitDrained(t, s)
+	require.Zero(t, storedBytes)
+	requireDrains(t, s)
 }
--- a/agent/server/leave.go
+++ b/agent/server/leave.go
@@ -5,8 +5,8 @@
 	"acaciacleat.example/peers/vmlist"
 )
 
-// Leave refuses new work from now on and tells every VM that has a link. Those of entries
-// are remembered before they are told: their word may come back at once.
+// Leave makes the agent refuse new calls and sends Leaving on every link. The links of
+// entries are recorded before the message is sent, because Left may be received at once.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	s.leaving = true
@@ -14,7 +14,7 @@
 	s.node.Each(func(c *link.Conn) {
 		if c.Peer().Role == string(vmlist.RoleEntry) {
 			s.mu.Lock()
-			s.told[c] = struct{}{}
+			s.awaitingLeft[c] = struct{}{}
 			s.mu.Unlock()
 		}
 		if err := c.Send(&link.Leaving{Agent: s.config.VM}); err != nil {
@@ -23,16 +23,17 @@
 	})
 }
 
-// onLeft takes the word, or the end, of a link over which a call might still have come.
+// onLeft records that no more calls are offered over a link, because of a Left message or
+// because the link has closed.
 func (s *Server) onLeft(c *link.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.told, c)
+	delete(s.awaitingLeft, c)
 	s.signalIdle()
 }
 
-// Drained returns a channel that is closed once no call is queued or running and no entry
-// is about to offer one. Call it after Leave.
+// Drained returns a channel that is closed once no call is in flight and no entry can still
+// offer one. Call it after Leave.
 func (s *Server) Drained() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,9 +44,9 @@
 	return s.idle
 }
 
-// signalIdle is called with mu held.
+// signalIdle closes the channel of Drained if the agent is idle. It is called with mu held.
 func (s *Server) signalIdle() {
-	if s.idle == nil || len(s.live) > 0 || len(s.told) > 0 {
+	if s.idle == nil || len(s.live) > 0 || len(s.awaitingLeft) > 0 {
 		return
 	}
 	select {
--- a/agent/server/load.go
+++ b/agent/server/load.go
@@ -8,49 +8,51 @@
 	"acaciacleat.example/peers/link"
 )
 
-// loadBook counts what the agent has in hand. It belongs to Server.mu.
-type loadBook struct {
+// loadCounters counts the agent's queued and running work. It is guarded by Server.mu.
+type loadCounters struct {
 	load routing.Load
 }
 
-func (b *loadBook) queued(work call.TokenDemand, sign int64) {
-	b.load.QueuedPrompt[call.ClassOf(work.PromptTokens)] += sign * int64(work.PromptTokens)
-	b.load.QueuedCalls += int32(sign)
+func (c *loadCounters) addQueued(demand call.TokenDemand, sign int64) {
+	c.load.QueuedPrompt[call.ClassOf(demand.PromptTokens)] += sign * int64(demand.PromptTokens)
+	c.load.QueuedCalls += int32(sign)
 }
 
-func (b *loadBook) running(work call.TokenDemand, sign int64) {
-	b.load.RunningPrompt[call.ClassOf(work.PromptTokens)] += sign * int64(work.PromptTokens)
+func (c *loadCounters) addRunning(demand call.TokenDemand, sign int64) {
+	c.load.RunningPrompt[call.ClassOf(demand.PromptTokens)] += sign * int64(demand.PromptTokens)
 }
 
-// rateWeight is the weight of one more measurement of the prefill rate.
+// rateWeight is the weight of a new sample in the moving average of the prefill rate.
 const rateWeight = 0.1
 
-// minRatePrompt is the least prompt, in tokens, whose prefill time tells a rate.
-const minRatePrompt = 2000
+// minRatePromptTokens is the minimum size of a prompt, in tokens, for its prefill time to
+// count as a sample of the prefill rate.
+const minRatePromptTokens = 2000
 
-func (b *loadBook) prefilled(work call.TokenDemand, took time.Duration) {
-	if work.PromptTokens < minRatePrompt || took <= 0 {
+func (c *loadCounters) recordPrefill(demand call.TokenDemand, took time.Duration) {
+	if demand.PromptTokens < minRatePromptTokens || took <= 0 {
 		return
 	}
-	rate := float64(work.PromptTokens) / took.Seconds()
-	if b.load.PrefillRate == 0 {
-		b.load.PrefillRate = rate
+	rate := float64(demand.PromptTokens) / took.Seconds()
+	if c.load.PrefillRate == 0 {
+		c.load.PrefillRate = rate
 	}
-	b.load.PrefillRate += rateWeight * (rate - b.load.PrefillRate)
+	c.load.PrefillRate += rateWeight * (rate - c.load.PrefillRate)
 }
 
-// report makes the digest that travels with replies. It is called with mu held.
+// report returns the agent's load digest and advances its sequence number. It is called
+// with mu held.
 func (s *Server) report() link.LoadReport {
-	s.load.load.Sequence++
-	s.load.load.Down = s.engineDown()
-	s.load.load.FreeTokens = s.memory.Free()
-	s.load.load.CapacityTokens = s.memory.Capacity()
+	s.loadCounters.load.Sequence++
+	s.loadCounters.load.Down = s.engineDown()
+	s.loadCounters.load.FreeTokens = s.memory.Free()
+	s.loadCounters.load.CapacityTokens = s.memory.Capacity()
 	return link.LoadReport{
 		Agent:       s.config.VM,
 		Incarnation: s.config.Incarnation,
 		Model:       s.model,
 		Leaving:     s.leaving,
-		Load:        s.load.load,
+		Load:        s.loadCounters.load,
 		Revision:    s.revision,
 	}
 }
--- a/agent/server/memory.go
+++ b/agent/server/memory.go
@@ -15,36 +15,38 @@
 )
 
 const (
-	// assumedCapacity stands until the engine's first report, in tokens; it lets requests
-	// of ordinary length through.
+	// assumedCapacity is the capacity in tokens until the engine's first report. It admits
+	// requests of ordinary length.
 	assumedCapacity = call.MediumMax
-	// unbounded is the memory of an upstream that has no KV cache.
-	unbounded = math.MaxInt64 / 2
-	// holdFor is how long a reservation for a group waits for the rest of the group,
-	// which may stand in the queues of busy engines.
-	holdFor = 60 * time.Second
-	// cancelTimeout bounds one order to the engine to free memory.
-	cancelTimeout = 2 * time.Second
-	// reservationSlack is how long after its deadline a running call's reservation ends by
-	// itself. The call's own deadline cancels it before; this covers a fault in that path.
+	// unboundedCapacity is the capacity of an upstream without a KV cache, in tokens.
+	unboundedCapacity = math.MaxInt64 / 2
+	// groupConfirmTimeout is how long a reservation for a group waits for the other members,
+	// whose reservations may be queued at busy engines.
+	groupConfirmTimeout = 60 * time.Second
+	// memoryRequestTimeout bounds one request to the engine or to another agent that reserves
+	// or frees memory.
+	memoryRequestTimeout = 2 * time.Second
+	// reservationSlack is how long after a call's deadline its reservation expires. The call
+	// is cancelled at its deadline, so the expiry takes effect only if that cancellation
+	// fails.
 	reservationSlack = 5 * time.Second
 )
 
 func (s *Server) initialCapacity() int64 {
 	if s.config.Engine == nil {
-		return unbounded
+		return unboundedCapacity
 	}
 	return assumedCapacity
 }
 
 func reservationOptions() reservation.Options {
 	options := reservation.DefaultOptions()
-	options.ConfirmTimeout = holdFor
+	options.ConfirmTimeout = groupConfirmTimeout
 	return options
 }
 
-// reserve books a call's memory before it starts; false puts the call off to a refusal.
-// It is called with mu held.
+// reserve reserves a call's memory before the call starts. If that fails, it refuses the
+// call and returns false. It is called with mu held.
 func (s *Server) reserve(l *liveCall, now time.Time) bool {
 	if s.config.Engine == nil {
 		return true
@@ -53,20 +55,20 @@
 		ID:       l.offer.ID,
 		Attempt:  l.offer.Attempt,
 		Owner:    s.config.Incarnation,
-		Tokens:   int64(l.work.Tokens()),
+		Tokens:   int64(l.demand.Tokens()),
 		Deadline: l.deadline.Add(reservationSlack),
 	}, now)
 	if err == nil {
 		err = s.memory.Confirm(l.offer.ID, l.offer.Attempt, s.config.Incarnation, now)
 	}
 	if err != nil {
-		s.withdraw(l, asResult(err))
+		s.refuseUnstarted(l, asResult(err))
 		return false
 	}
 	return true
 }
 
-// asResult returns the *result.Error that core packages return as error.
+// asResult converts an error of a core package to a *result.Error.
 func asResult(err error) *result.Error {
 	if r, ok := err.(*result.Error); ok {
 		return r
@@ -74,9 +76,9 @@
 	return result.New(result.Internal, result.Unknown, "%v", err)
 }
 
-// learn takes what an offer tells of the documents: agents keep none of their own. It is
-// called with mu held.
-func (s *Server) learn(offer *link.Offer) {
+// updateObjective takes the service's objective and the documents' revision from an offer,
+// since agents hold no documents. It is called with mu held.
+func (s *Server) updateObjective(offer *link.Offer) {
 	if offer.Revision < s.revision || offer.Objective == "" {
 		return
 	}
@@ -87,14 +89,15 @@
 	}
 }
 
-// configureQueue is called with mu held.
+// configureQueue adapts the queue's settings to the objective, the memory and the prefill
+// rate. It is called with mu held.
 func (s *Server) configureQueue() {
 	if s.priority == nil {
 		return
 	}
 	settings := scheduling.SettingsFor(document.Objective(s.objective), s.memory.Capacity())
-	if s.load.load.PrefillRate > 0 {
-		settings.PrefillRate = s.load.load.PrefillRate
+	if s.loadCounters.load.PrefillRate > 0 {
+		settings.PrefillRate = s.loadCounters.load.PrefillRate
 	}
 	settings.Limit = s.config.Limits.Queue
 	s.priority.Configure(settings)
@@ -107,40 +110,40 @@
 	return s.priority.EnginePriority(item, now)
 }
 
-// countRunning keeps the queue informed of the memory that short calls hold. It is called
-// with mu held.
+// countRunning updates the memory held by short calls, which the queue takes into account.
+// It is called with mu held.
 func (s *Server) countRunning(l *liveCall, sign int64) {
-	if call.ClassOf(l.work.PromptTokens) == call.Short {
-		s.running.ShortMemory += sign * int64(l.work.Tokens())
+	if call.ClassOf(l.demand.PromptTokens) == call.Short {
+		s.running.ShortMemory += sign * int64(l.demand.Tokens())
 	}
-	s.tellQueue()
+	s.updateQueue()
 }
 
-// countPrefill counts a call's prompt as work inside the engine from its start to its first
-// token. It is called with mu held.
+// countPrefill counts a call's prompt as outstanding prefill in the engine, from the call's
+// start to its first token. It is called with mu held.
 func (s *Server) countPrefill(l *liveCall, sign int64) {
-	s.load.running(l.work, sign)
+	s.loadCounters.addRunning(l.demand, sign)
 	if l.priority == scheduling.PriorityFlood {
-		s.running.FloodPrefill += sign * int64(l.work.PromptTokens)
+		s.running.FloodPrefill += sign * int64(l.demand.PromptTokens)
 	} else {
-		s.running.Prefill[call.ClassOf(l.work.PromptTokens)] += sign * int64(l.work.PromptTokens)
+		s.running.Prefill[call.ClassOf(l.demand.PromptTokens)] += sign * int64(l.demand.PromptTokens)
 	}
 	l.prefilling = sign > 0
-	s.tellQueue()
+	s.updateQueue()
 }
 
-func (s *Server) tellQueue() {
+func (s *Server) updateQueue() {
 	if s.priority != nil {
 		s.priority.SetRunning(s.running)
 	}
 }
 
-// Watch reads the engine's reports until ctx ends.
-func (s *Server) Watch(ctx context.Context, every time.Duration) {
+// PollReports reads the engine's reports until ctx is done.
+func (s *Server) PollReports(ctx context.Context, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for {
-		s.readReport(ctx, every)
+		s.pollReport(ctx, every)
 		select {
 		case <-ctx.Done():
 			return
@@ -149,14 +152,14 @@
 	}
 }
 
-func (s *Server) readReport(ctx context.Context, limit time.Duration) {
+func (s *Server) pollReport(ctx context.Context, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	report, err := s.config.Engine.Report(ctx)
 	if s.config.Placement != nil {
 		s.config.Placement.Reported(time.Now(), report, err)
 	}
-	s.engineAnswered(err == nil)
+	s.recordReportOutcome(err == nil)
 	if err != nil {
 		s.log.Warn().Err(err).Msg("the engine gave no report")
 		return
@@ -170,7 +173,7 @@
 	}
 	difference := s.memory.Reconcile(toReport(&report, now))
 	lost := s.releaseLost(difference.Missing, now)
-	s.orphans += int64(len(difference.Orphans))
+	s.orphansCancelled += int64(len(difference.Orphans))
 	s.mu.Unlock()
 	for _, id := range lost {
 		s.log.Warn().Stringer("request", id).Msg("the engine lost memory that was reserved; it is released")
@@ -179,40 +182,40 @@
 		s.log.Warn().Stringer("request", id).Msg("the engine holds memory that nobody owns; cancelling")
 		go s.cancelAtEngine(id)
 	}
-	s.pump()
+	s.startQueued()
 }
 
-// releaseLost gives back what the engine does not hold, unless its call is in hand here,
-// and returns it. It is called with mu held.
+// releaseLost releases the reservations that the engine does not hold, except those of calls
+// in flight here, and returns them. It is called with mu held.
 //
-// What goes wrong without it: an engine restarts and loses a group's share, while the
-// leader's sign of life keeps it in the book. It shows as calls that wait beside an empty
-// engine, until the reservation's deadline. A call in hand is left alone: while it waits
-// for its group its own share is in no engine yet, and once it runs, its stream's end
-// frees its memory.
+// When an engine restarts, it loses its share of a group's memory, but the leader's
+// heartbeats keep the reservation alive. Without the release, calls would wait beside an
+// empty engine until the reservation's deadline. Calls in flight are excluded: while a call
+// waits for its group, no engine holds its own share yet, and once it runs, the end of its
+// stream frees its memory.
 func (s *Server) releaseLost(missing []call.ID, now time.Time) []call.ID {
 	var lost []call.ID
 	for _, id := range missing {
 		if l := s.live[id]; l != nil && l.phase != phaseEnded {
 			continue
 		}
-		booked, _ := s.memory.Get(id)
-		if s.memory.Release(id, booked.Attempt, now) {
+		reserved, _ := s.memory.Get(id)
+		if s.memory.Release(id, reserved.Attempt, now) {
 			lost = append(lost, id)
 		}
 	}
 	return lost
 }
 
-// downAfter is the number of reports in a row that an engine misses before it counts as
-// down. One may be lost to a busy moment.
-const downAfter = 2
+// missedReportsUntilDown is the number of consecutive missed reports after which an engine
+// counts as down. A busy engine may miss a single one.
+const missedReportsUntilDown = 2
 
-func (s *Server) engineDown() bool { return s.missedReports >= downAfter }
+func (s *Server) engineDown() bool { return s.missedReports >= missedReportsUntilDown }
 
-// engineAnswered counts missed reports. When the engine goes down, the calls that wait
-// for it are refused, so that they go elsewhere at once.
-func (s *Server) engineAnswered(ok bool) {
+// recordReportOutcome counts consecutive missed reports. When the engine goes down, it
+// refuses the queued calls, so that entries can send them elsewhere at once.
+func (s *Server) recordReportOutcome(ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ok {
@@ -220,14 +223,14 @@
 		return
 	}
 	s.missedReports++
-	if s.missedReports != downAfter {
+	if s.missedReports != missedReportsUntilDown {
 		return
 	}
 	s.log.Warn().Msg("the engine is down; waiting calls are refused")
 	for _, l := range s.live {
 		if l.phase == phaseQueued {
 			s.queue.Remove(l.offer.ID)
-			s.withdraw(l, errEngineDown())
+			s.refuseUnstarted(l, errEngineDown())
 		}
 	}
 }
@@ -236,7 +239,8 @@
 	return result.New(result.UpstreamFailed, result.NotRun, "the engine gives no report")
 }
 
-// toReport translates an engine's report; what has no id of ours is foreign.
+// toReport converts an engine's report. Memory held under a name that is not a call.ID is
+// foreign.
 func toReport(report *engine.Report, now time.Time) reservation.Report {
 	r := reservation.Report{TakenAt: now.Add(-time.Duration(report.AgeMs) * time.Millisecond)}
 	for _, held := range report.Held {
@@ -251,22 +255,22 @@
 }
 
 func (s *Server) cancelAtEngine(id call.ID) {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), memoryRequestTimeout)
 	defer cancel()
 	if err := s.config.Engine.Cancel(ctx, id); err != nil {
 		s.log.Warn().Err(err).Stringer("request", id).Msg("the engine did not confirm a cancellation; its next report will tell")
 	}
 }
 
-// expire ends what the clock ends: calls that can not meet their deadline any more, and
-// reservations whose owner is silent.
+// expire refuses calls that can no longer meet their deadline, and releases expired
+// reservations.
 func (s *Server) expire(now time.Time) {
 	s.mu.Lock()
 	s.memory.RefreshOwner(s.config.Incarnation, now)
 	expired := s.memory.Expire(now)
-	s.expired += int64(len(expired))
+	s.reservationsExpired += int64(len(expired))
 	if s.priority != nil {
-		s.giveUp(s.priority.Expire(now))
+		s.refuseExpired(s.priority.Expire(now))
 	}
 	s.mu.Unlock()
 	for _, r := range expired {
@@ -274,34 +278,34 @@
 		go s.cancelAtEngine(r.ID)
 	}
 	if len(expired) > 0 {
-		s.pump()
+		s.startQueued()
 	}
 }
 
-// retryAfter is told to callers whose request could not start in time: by then the queue
-// that it stood in has moved on.
+// retryAfter is the time after which a caller whose request could not start in time may
+// retry. The queue should be shorter by then.
 const retryAfter = 5 * time.Second
 
-// giveUp answers calls that can not meet their deadline any more at once. It is called
-// with mu held.
-func (s *Server) giveUp(items []scheduling.Item) {
+// refuseExpired refuses calls and group reservations that can no longer meet their deadline.
+// It is called with mu held.
+func (s *Server) refuseExpired(items []scheduling.Item) {
 	for _, item := range items {
-		if h := s.holds[item.ID]; h != nil {
-			delete(s.holds, item.ID)
-			h.answer(false)
+		if p := s.pendingReservations[item.ID]; p != nil {
+			delete(s.pendingReservations, item.ID)
+			p.answer(false)
 			continue
 		}
 		if l := s.live[item.ID]; l != nil {
 			err := result.New(result.CannotStartInTime, result.NotRun, "it waited %s", time.Since(l.arrived).Round(time.Millisecond))
 			err.RetryAfter = retryAfter
-			s.withdraw(l, err)
+			s.refuseUnstarted(l, err)
 		}
 	}
 }
 
-// Free reports whether nothing holds memory in the agent's book.
+// Free reports whether no memory is reserved and no reservation is queued.
 func (s *Server) Free() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.memory.Len() == 0 && len(s.holds) == 0
+	return s.memory.Len() == 0 && len(s.pendingReservations) == 0
 }
--- a/agent/server/memory_test.go
+++ b/agent/server/memory_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// emptyEngine holds nothing and reports so; its calls run until they are cancelled.
+// emptyEngine reports that it holds no memory. Its calls run until they are cancelled.
 type emptyEngine struct {
 	engine.Engine
-	begun chan call.ID
+	started chan call.ID
 }
 
 func (e *emptyEngine) Generate(ctx context.Context, request engine.Generate) (engine.Stream, error) {
-	e.begun <- request.ID
+	e.started <- request.ID
 	<-ctx.Done()
 	return nil, engine.ErrBroken
 }
@@ -31,23 +31,22 @@
 
 const testCapacity = 1000
 
-// Symptom: an agent refuses calls for lack of memory beside an engine that is empty.
-// Sequence: a group's share is reserved and confirmed; the engine restarts and loses it;
-// the leader's sign of life goes on.
-// Cause: the book is compared with the engine's report, and what the engine does not hold
-// stays booked. A call with an open stream is another matter: its end frees its memory.
-func TestMemoryThatTheEngineLostIsReleased(t *testing.T) {
-	upstream := &emptyEngine{begun: make(chan call.ID, 1)}
+// A group's share is reserved and confirmed, then the engine restarts and loses it while the
+// leader's heartbeats continue. If the share stayed reserved, the agent would refuse calls
+// for lack of memory beside an empty engine. The reservation of a call with an open stream
+// stays, since the end of the stream frees it.
+func TestMemoryLostByEngineIsReleased(t *testing.T) {
+	upstream := &emptyEngine{started: make(chan call.ID, 1)}
 	s := startServer(t, func(c *Config) { c.Engine = upstream })
-	s.readReport(t.Context(), time.Minute)
+	s.pollReport(t.Context(), time.Minute)
 	running, lost := call.ID{1}, call.ID{2}
 	e := dialEntry(t, "entry", s)
 	require.NoError(t, e.conn.Send(offerOf(running, s, true)))
-	require.Equal(t, running, <-upstream.begun)
+	require.Equal(t, running, <-upstream.started)
 	const leader call.Incarnation = 77
 	before := time.Now().Add(-time.Minute)
 	s.mu.Lock()
-	// Both were confirmed long before the report.
+	// Both reservations were confirmed long before the report.
 	s.memory.Release(running, 1, before)
 	for id, owner := range map[call.ID]call.Incarnation{running: s.config.Incarnation, lost: leader} {
 		require.NoError(t, s.memory.Reserve(reservation.Reservation{
@@ -56,12 +55,12 @@
 		require.NoError(t, s.memory.Confirm(id, 2, owner, before))
 	}
 	s.mu.Unlock()
-	s.readReport(t.Context(), time.Minute)
+	s.pollReport(t.Context(), time.Minute)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, stillBooked := s.memory.Get(lost)
-	require.False(t, stillBooked, "the engine does not hold it and nobody reads its stream")
-	_, stillBooked = s.memory.Get(running)
-	require.True(t, stillBooked, "its stream is open")
+	_, stillReserved := s.memory.Get(lost)
+	require.False(t, stillReserved, "the engine does not hold it and it has no open stream")
+	_, stillReserved = s.memory.Get(running)
+	require.True(t, stillReserved, "its stream is open")
 	require.Equal(t, int64(testCapacity-400), s.memory.Free())
 }
--- a/agent/server/metrics.go
+++ b/agent/server/metrics.go
@@ -1,38 +1,38 @@
 package server
 
-// Metrics is what an operator wants to know of an agent at one moment.
+// Metrics are an agent's metrics at one moment.
 type Metrics struct {
-	// Queue is the number of calls and group shares that wait for the upstream.
+	// Queue is the number of queued calls and group reservations.
 	Queue int
-	// Live is the number of calls in hand, answers that are still being read included.
+	// Live is the number of calls in flight, including those whose answer is still being read.
 	Live int
-	// MemoryUsed, MemoryFree and MemoryCapacity are the engine's KV cache by the agent's
-	// book, in tokens; all 0 beside a plain service.
+	// MemoryUsed, MemoryFree and MemoryCapacity describe the engine's KV cache according to
+	// the agent's pool, in tokens. All are 0 for a plain service.
 	MemoryUsed, MemoryFree, MemoryCapacity int64
-	// PrefillRate is the measured rate in prompt tokens a second; 0 until there is one.
+	// PrefillRate is the measured rate in prompt tokens per second; 0 until one is measured.
 	PrefillRate float64
 	// EngineDown is set while the engine gives no reports.
 	EngineDown bool
-	// Leaving is set once the agent takes no new work.
+	// Leaving is set once the agent refuses new calls.
 	Leaving bool
-	// ReservationsExpired counts the reservations that the clock ended.
+	// ReservationsExpired counts the reservations that expired before they were released.
 	ReservationsExpired int64
-	// OrphansCancelled counts the cancellations of what the engine held for nobody.
+	// OrphansCancelled counts the cancellations of engine memory that had no reservation.
 	OrphansCancelled int64
 }
 
-// Metrics returns the agent's metrics at this moment.
+// Metrics returns the agent's current metrics.
 func (s *Server) Metrics() Metrics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := Metrics{
 		Queue:               s.queue.Len(),
 		Live:                len(s.live),
-		PrefillRate:         s.load.load.PrefillRate,
+		PrefillRate:         s.loadCounters.load.PrefillRate,
 		EngineDown:          s.engineDown(),
 		Leaving:             s.leaving,
-		ReservationsExpired: s.expired,
-		OrphansCancelled:    s.orphans,
+		ReservationsExpired: s.reservationsExpired,
+		OrphansCancelled:    s.orphansCancelled,
 	}
 	if s.config.Engine != nil {
 		m.MemoryUsed = s.memory.Used()
--- a/agent/server/run.go
+++ b/agent/server/run.go
@@ -14,10 +14,10 @@
 	"github.com/pkg/errors"
 )
 
-// pump starts queued calls while the upstream has room.
-func (s *Server) pump() {
+// startQueued starts queued calls while the upstream has capacity.
+func (s *Server) startQueued() {
 	for {
-		l := s.next()
+		l := s.nextCall()
 		if l == nil {
 			return
 		}
@@ -25,42 +25,44 @@
 	}
 }
 
-// next takes the next call to start out of the queue, or returns nil.
-func (s *Server) next() *liveCall {
+// nextCall removes the next call to start from the queue and returns it, or nil if none can
+// start. It also grants the group reservations that it finds at the head of the queue.
+func (s *Server) nextCall() *liveCall {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.started < s.config.Limits.Running {
+	for s.runningCalls < s.config.Limits.Running {
 		item, ok := s.queue.Pop(now, s.memory.Free())
 		if !ok {
 			return nil
 		}
-		if h := s.holds[item.ID]; h != nil {
-			s.grant(h, now)
+		if p := s.pendingReservations[item.ID]; p != nil {
+			s.grantReservation(p, now)
 			continue
 		}
 		l := s.live[item.ID]
 		if l == nil || !s.reserve(l, now) {
-			s.tellQueue()
+			s.updateQueue()
 			continue
 		}
 		l.priority = s.enginePriority(&item, now)
-		if s.begin(l, now) {
+		if s.startCall(l, now) {
 			return l
 		}
 	}
 	return nil
 }
 
-// begin is called with mu held. It returns false when the call must not run after all.
-func (s *Server) begin(l *liveCall, now time.Time) bool {
+// startCall marks a call as running. It returns false if the call was cancelled before. It
+// is called with mu held.
+func (s *Server) startCall(l *liveCall, now time.Time) bool {
 	if !s.ledger.Begin(l.offer.ID) {
 		s.memory.Release(l.offer.ID, l.offer.Attempt, now)
 		return false
 	}
-	s.load.queued(l.work, -1)
-	s.started++
-	s.load.load.RunningCalls++
+	s.loadCounters.addQueued(l.demand, -1)
+	s.runningCalls++
+	s.loadCounters.load.RunningCalls++
 	s.countRunning(l, 1)
 	s.countPrefill(l, 1)
 	l.phase = phaseRunning
@@ -68,7 +70,7 @@
 	return true
 }
 
-// run carries one call through the upstream.
+// run executes one call at the upstream.
 func (s *Server) run(l *liveCall) {
 	ctx, cancel := context.WithDeadline(l.ctx, l.deadline)
 	defer cancel()
@@ -84,30 +86,30 @@
 	upstream.End(id, end.Code)
 	l.span.End(id, end.Code)
 	end.QueueMs = milliseconds(l.started.Sub(l.arrived))
-	s.finished(l, end)
-	s.pump()
+	s.completeCall(l, end)
+	s.startQueued()
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// finished closes the books of a call that ran.
-func (s *Server) finished(l *liveCall, end *link.End) {
+// completeCall updates the counters for a call that has run, records its end and sends it.
+func (s *Server) completeCall(l *liveCall, end *link.End) {
 	now := time.Now()
 	s.mu.Lock()
 	if len(l.group) == 0 {
 		s.memory.Release(l.offer.ID, l.offer.Attempt, now)
 	}
-	s.started--
+	s.runningCalls--
 	s.countRunning(l, -1)
 	if l.prefilling {
 		s.countPrefill(l, -1)
 	}
-	s.load.load.RunningCalls--
+	s.loadCounters.load.RunningCalls--
 	l.phase = phaseEnded
-	l.keepUntil = l.deadline
+	l.retainUntil = l.deadline
 	l.timer.Stop()
 	end.Load = s.report()
-	s.ledger.Finish(now, l.offer.ID, l, l.keptSize())
+	s.ledger.Finish(now, l.offer.ID, l, l.replayBytes())
 	s.mu.Unlock()
 	if s.config.Placement != nil {
 		s.config.Placement.Ended(now, end)
@@ -115,42 +117,42 @@
 	l.finish(end)
 	l.body = nil
 	s.log.Debug().Stringer("request", l.offer.ID).Int("code", int(end.Code)).Msg("call ended")
-	s.retireLater(l)
+	s.scheduleRemoval(l)
 }
 
-func (s *Server) retireLater(l *liveCall) {
-	time.AfterFunc(s.config.Limits.Detached, func() { s.retire(l) })
+func (s *Server) scheduleRemoval(l *liveCall) {
+	time.AfterFunc(s.config.Limits.Detached, func() { s.removeAfterRetention(l) })
 }
 
-// retire forgets a call some time after its end; entries that read slowly keep it alive
-// as long as they have a link and their time lasts.
-func (s *Server) retire(l *liveCall) {
-	left := l.dropOutlets(true)
+// removeAfterRetention removes a call some time after its end. Attached entries that read
+// slowly keep the call until retainUntil.
+func (s *Server) removeAfterRetention(l *liveCall) {
+	left := l.removeSubscribers(true)
 	s.mu.Lock()
-	wait := left > 0 && time.Now().Before(l.keepUntil)
+	wait := left > 0 && time.Now().Before(l.retainUntil)
 	s.mu.Unlock()
 	if wait {
-		s.retireLater(l)
+		s.scheduleRemoval(l)
 		return
 	}
-	// An outlet holds its link busy, so it must not outlive the call.
-	for _, c := range l.takeOutlets() {
+	// A subscriber retains its link, so it must not outlive the call.
+	for _, c := range l.removeAllSubscribers() {
 		c.Release()
 	}
-	s.forget(l)
+	s.removeEnded(l)
 }
 
-// keptSize is the number of bytes that the call holds for repeats.
-func (l *liveCall) keptSize() int {
+// replayBytes returns the number of bytes that the call holds for repeats.
+func (l *liveCall) replayBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.kept.lost {
+	if l.replay.overflowed {
 		return 0
 	}
-	return l.kept.bytes
+	return l.replay.bytes
 }
 
-// generate runs a call at the engine.
+// generate executes a call at the engine.
 func (s *Server) generate(ctx context.Context, l *liveCall, traceParent string) *link.End {
 	answer, err := s.config.Engine.Generate(ctx, engine.Generate{
 		ID:              l.offer.ID,
@@ -164,41 +166,41 @@
 		TraceParent:     traceParent,
 	})
 	if err != nil {
-		return s.failed(l, engineError(err, false))
+		return s.failureEnd(l, engineError(err, false))
 	}
 	defer answer.Close()
 	var first time.Time
 	for {
 		delta, ok, err := answer.Next()
 		if err != nil {
-			return s.failed(l, engineError(err, true))
+			return s.failureEnd(l, engineError(err, true))
 		}
 		if !ok {
-			return generated(l, answer.Final(), first)
+			return successEnd(l, answer.Final(), first)
 		}
 		if first.IsZero() {
 			first = time.Now()
-			s.prefilled(l)
+			s.onFirstToken(l)
 		}
 		if !l.emit(uint32(delta.Tokens), []byte(delta.Text), s.config.Limits.KeptBytes) {
-			return s.failed(l, result.New(result.Cancelled, result.Ran, ""))
+			return s.failureEnd(l, result.New(result.Cancelled, result.Ran, ""))
 		}
 	}
 }
 
-func (s *Server) prefilled(l *liveCall) {
+func (s *Server) onFirstToken(l *liveCall) {
 	s.mu.Lock()
-	s.load.prefilled(l.work, time.Since(l.started))
+	s.loadCounters.recordPrefill(l.demand, time.Since(l.started))
 	s.countPrefill(l, -1)
 	loads := &link.Loads{Reports: []link.LoadReport{s.report()}}
 	s.mu.Unlock()
-	// The entry would otherwise count the prompt as work ahead until the answer's end.
-	l.tell(loads)
-	// The engine has room for the next prompt.
-	s.pump()
+	// Otherwise the entry would count the prompt as outstanding until the answer's end.
+	l.notify(loads)
+	// The engine can prefill the next prompt.
+	s.startQueued()
 }
 
-func generated(l *liveCall, final engine.Final, first time.Time) *link.End {
+func successEnd(l *liveCall, final engine.Final, first time.Time) *link.End {
 	return &link.End{
 		Execution:        result.Ran,
 		FinishReason:     final.FinishReason,
@@ -209,20 +211,20 @@
 	}
 }
 
-// failed makes the end of a call that did not finish; a cancellation's own reason goes
-// before what it caused at the upstream.
-func (s *Server) failed(l *liveCall, err *result.Error) *link.End {
-	if reason := l.reason(); reason != nil {
+// failureEnd returns the End message of a call that failed. The reason of a cancellation
+// takes precedence over the failure that it caused at the upstream.
+func (s *Server) failureEnd(l *liveCall, err *result.Error) *link.End {
+	if reason := l.cancelReason(); reason != nil {
 		err = &result.Error{Code: reason.Code, Execution: err.Execution, Detail: reason.Detail}
 	} else if !time.Now().Before(l.deadline) {
 		err = &result.Error{Code: result.DeadlinePassed, Execution: err.Execution}
 	} else {
-		err = s.crashed(l.started, err)
+		err = s.classifyCrash(l.started, err)
 	}
 	return &link.End{Code: err.Code, Execution: err.Execution, Detail: err.Detail}
 }
 
-// engineError translates a failure of the engine; begun says that its stream had begun.
+// engineError converts a failure of the engine; begun means that its stream had begun.
 func engineError(err error, begun bool) *result.Error {
 	return result.New(engineCode(err), engineExecution(err, begun), "%v", err)
 }
@@ -238,9 +240,10 @@
 	}
 }
 
-// engineExecution says what a failure proves. A refusal for lack of memory may come in the
-// middle of a run, and a connection that broke without an answer may have carried the
-// request: taken as not-run or ran, the caller would be told what nobody knows.
+// engineExecution returns what a failure proves about the execution of the call. A refusal
+// for lack of memory may come in the middle of a run, and a connection that broke without an
+// answer may have delivered the request. Reporting either as not-run or ran would claim more
+// than is known.
 func engineExecution(err error, begun bool) result.Execution {
 	switch {
 	case begun:
@@ -252,10 +255,10 @@
 	}
 }
 
-// answerPart is the size of the pieces in which a plain service's answer travels.
-const answerPart = 16 << 10
+// answerChunkBytes is the maximum size of one chunk of a plain service's answer.
+const answerChunkBytes = 16 << 10
 
-// serve runs a call at the plain service.
+// serve executes a call at the plain service.
 func (s *Server) serve(ctx context.Context, l *liveCall, traceParent string) *link.End {
 	header := make(http.Header, len(l.offer.Header)+1)
 	for _, field := range l.offer.Header {
@@ -273,21 +276,21 @@
 		TimeLeft: time.Until(l.deadline),
 	})
 	if err != nil {
-		return s.failed(l, serviceError(err))
+		return s.failureEnd(l, serviceError(err))
 	}
 	defer answer.Body.Close()
 	l.setHead(&link.Head{ID: l.offer.ID, Attempt: l.offer.Attempt, Status: answer.Status, Header: fields(answer.Header)})
 	for {
-		part := make([]byte, answerPart)
+		part := make([]byte, answerChunkBytes)
 		n, err := answer.Body.Read(part)
 		if n > 0 && !l.emit(0, part[:n], s.config.Limits.KeptBytes) {
-			return s.failed(l, result.New(result.Cancelled, result.Ran, ""))
+			return s.failureEnd(l, result.New(result.Cancelled, result.Ran, ""))
 		}
 		if err == io.EOF {
 			return &link.End{Execution: result.Ran}
 		}
 		if err != nil {
-			return s.failed(l, result.New(result.UpstreamFailed, result.Ran, "%v", err))
+			return s.failureEnd(l, result.New(result.UpstreamFailed, result.Ran, "%v", err))
 		}
 	}
 }
--- a/agent/server/run_test.go
+++ b/agent/server/run_test.go
@@ -11,25 +11,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// both matches an engine's refusal for lack of memory with its own word not-run, as
-// package engine makes it.
-type both struct{}
+// memoryNotStartedError matches the error by which package engine represents an engine's
+// refusal for lack of memory that explicitly states not-run.
+type memoryNotStartedError struct{}
 
-func (both) Error() string   { return "memory" }
-func (both) Unwrap() []error { return []error{engine.ErrMemory, engine.ErrNotStarted} }
+func (memoryNotStartedError) Error() string   { return "memory" }
+func (memoryNotStartedError) Unwrap() []error { return []error{engine.ErrMemory, engine.ErrNotStarted} }
 
-// Symptom: an answer says not-run of a call that ran, or ran of one that nobody saw run.
-// Sequence: the engine's call fails in each way that its adapter tells apart, before the
-// stream or in it.
-// Cause: taking a failure's kind as proof of what only the engine's own word, or a stream
-// that has begun, proves.
-func TestEngineFailuresSayWhatIsProved(t *testing.T) {
+// An answer must not report not-run for a call that ran, nor ran for a call that is not known
+// to have run. Only an explicit statement of the engine, or a stream that has begun, proves
+// either; the kind of failure alone does not. The cases are the failures that the engine's
+// adapter distinguishes, before and during the stream.
+func TestEngineFailuresReportProvenExecution(t *testing.T) {
 	refuse := func(err error) func(context.Context, engine.Generate) (engine.Stream, error) {
 		return func(context.Context, engine.Generate) (engine.Stream, error) { return nil, err }
 	}
 	breakOff := func(deltas ...engine.Delta) func(context.Context, engine.Generate) (engine.Stream, error) {
 		return func(context.Context, engine.Generate) (engine.Stream, error) {
-			return &tokens{deltas: deltas, err: engine.ErrBroken}, nil
+			return &tokenStream{deltas: deltas, err: engine.ErrBroken}, nil
 		}
 	}
 	cases := []struct {
@@ -38,17 +37,17 @@
 		code      result.Code
 		execution result.Execution
 	}{
-		{"memory with the engine's word", refuse(both{}), result.MemoryFull, result.NotRun},
-		{"memory without a word", refuse(errors.Wrap(engine.ErrMemory, "503")), result.MemoryFull, result.Unknown},
+		{"out of memory, engine states not-run", refuse(memoryNotStartedError{}), result.MemoryFull, result.NotRun},
+		{"out of memory, execution not stated", refuse(errors.Wrap(engine.ErrMemory, "503")), result.MemoryFull, result.Unknown},
 		{"no connection", refuse(engine.ErrNotStarted), result.UpstreamFailed, result.NotRun},
 		{"rejected", refuse(engine.ErrRejected), result.UpstreamRejected, result.NotRun},
 		{"broken before any answer", refuse(engine.ErrBroken), result.UpstreamFailed, result.Unknown},
-		{"broken after the stream's begin", breakOff(), result.UpstreamFailed, result.Ran},
+		{"broken after the stream has begun", breakOff(), result.UpstreamFailed, result.Ran},
 		{"broken after a delta", breakOff(engine.Delta{Tokens: 1, Text: "a"}), result.UpstreamFailed, result.Ran},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := startServer(t, func(c *Config) { c.Engine = &script{generate: tc.generate} })
+			s := startServer(t, func(c *Config) { c.Engine = &scriptedEngine{generate: tc.generate} })
 			e := dialEntry(t, "entry", s)
 			id := call.ID{1}
 			require.NoError(t, e.conn.Send(offerOf(id, s, true)))
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -1,8 +1,9 @@
-// Package server is the agent's shell: it takes offers over links, orders them in a
-// queue, runs them at its one upstream and carries the answers back.
+// Package server implements the agent's I/O: it receives offers over links, queues them,
+// executes them at its one upstream and sends the answers back.
 //
-// The agent is the one authority on its upstream. Entries guess where a call should
-// go; the agent accepts or refuses, and a refusal proves that the call did not run.
+// The agent alone decides what its upstream runs. Entries choose an agent from estimates;
+// the agent accepts or refuses the call, and a refusal states whether it is proved that the
+// call did not run.
 package server
 
 import (
@@ -23,16 +24,16 @@
 	"github.com/rs/zerolog"
 )
 
-// Limits bounds what one agent holds.
+// Limits bounds the calls and the memory of one agent.
 type Limits struct {
-	// Queue is the largest number of calls in hand: those whose body is arriving, that wait,
-	// run, or whose answer is still being read.
+	// Queue is the maximum number of calls in flight: those whose body is being received, that
+	// are queued or running, or whose answer is still being read.
 	Queue int
-	// Running is the largest number of calls at the upstream at once.
+	// Running is the maximum number of concurrent calls at the upstream.
 	Running int
-	// StreamBytes bounds the unacknowledged bytes of one answer.
+	// StreamBytes bounds the unacknowledged bytes of one answer per entry.
 	StreamBytes int
-	// KeptBytes bounds the whole answer of a non-repeatable call kept for a repeat.
+	// KeptBytes bounds the answer of a non-repeatable call that is kept for a repeat.
 	KeptBytes int
 	// BodyBytes bounds a call's body.
 	BodyBytes int
@@ -40,7 +41,7 @@
 	Detached time.Duration
 }
 
-// DefaultLimits suit one agent beside one upstream.
+// DefaultLimits are the limits for one agent beside one upstream.
 var DefaultLimits = Limits{
 	Queue:       10_000,
 	Running:     256,
@@ -50,15 +51,15 @@
 	Detached:    5 * time.Second,
 }
 
-// Placement carries out the orders of the entry that places the service's models.
+// Placement executes the orders of the entry that holds the placement lease of the service.
 // orders.Executor implements it.
 type Placement interface {
-	// OnMessage takes a message that concerns placement. clock is the agent's clock, as
-	// Server.Stamp gives it. It does not block.
+	// OnMessage handles a message about placement. clock is the agent's clock, as returned by
+	// Server.Stamp. It does not block.
 	OnMessage(c *link.Conn, clock func() int64, message link.Message)
-	// Ended takes the end of a call that ran at the engine.
+	// Ended records the end of a call that ran at the engine.
 	Ended(now time.Time, end *link.End)
-	// Reported takes the outcome of asking the engine for its report.
+	// Reported records an engine's report, or the error of reading it.
 	Reported(now time.Time, report engine.Report, err error)
 }
 
@@ -68,23 +69,23 @@
 	Zone    string
 	Service string
 	Model   string
-	// Upstream is the base URL of the upstream, told to other agents for groups.
+	// Upstream is the base URL of the upstream. Other agents of a group receive it.
 	Upstream string
 	Listen   string
 	Keys     *link.Keys
 	Engine   engine.Engine
 	Plain    service.Service
-	// Table is where the agent reads the fencing number of the lease on placement. Without
-	// it the agent obeys no orders.
+	// Table is the store from which the agent reads the fencing number of the placement
+	// lease. Without it the agent executes no orders.
 	Table table.Store
-	// Placement carries out orders; nil if there is none.
+	// Placement executes orders. It may be nil.
 	Placement Placement
 	Queue     scheduling.Queue
-	// Incarnation identifies this life of the process; see call.Incarnation.
+	// Incarnation identifies this run of the process; see call.Incarnation.
 	Incarnation call.Incarnation
 	Limits      Limits
 	Timing      link.Timing
-	// Tracer makes the spans of this hop; nil makes none.
+	// Tracer creates the spans of this hop; nil creates none.
 	Tracer *collector.Tracer
 	Log    zerolog.Logger
 }
@@ -100,52 +101,52 @@
 	queue  scheduling.Queue
 	live   map[call.ID]*liveCall
 	memory *reservation.Pool
-	// priority is the queue where it is not the baseline; it takes settings.
-	priority  *scheduling.Priority
-	objective string
-	holds     map[call.ID]*hold
-	groups    map[call.ID]*groupCall
-	// running is what started calls hold, as the queue wants to know it.
+	// priority is the queue if it is a scheduling.Priority, which takes settings; nil otherwise.
+	priority            *scheduling.Priority
+	objective           string
+	pendingReservations map[call.ID]*pendingReservation
+	groups              map[call.ID]*groupCall
+	// running describes the started calls for the queue.
 	running scheduling.Running
-	// started is the number of calls at the upstream.
-	started int
-	load    loadBook
-	group   *load.Group
-	// model is the one that the engine served at its last report.
+	// runningCalls is the number of calls running at the upstream.
+	runningCalls int
+	loadCounters loadCounters
+	group        *load.Group
+	// model is the model in the engine's last report.
 	model string
-	// missedReports counts the reports in a row that the engine did not give.
+	// missedReports counts consecutive missed reports of the engine.
 	missedReports int
-	// revision is the highest revision of the documents heard of; it rides on replies, so
-	// that an entry that missed a change learns of it from agents too.
+	// revision is the highest known revision of the documents. Replies carry it, so that an
+	// entry that missed a change learns of it from agents as well.
 	revision uint64
-	// expired and orphans count for Metrics.
-	expired int64
-	orphans int64
-	leaving bool
-	lives   lives
-	// told are the links of entries that know that this agent leaves and may still have
-	// chosen it for a call; see link.Left.
-	told map[*link.Conn]struct{}
-	idle chan struct{}
+	// reservationsExpired and orphansCancelled are counters for Metrics.
+	reservationsExpired int64
+	orphansCancelled    int64
+	leaving             bool
+	crashes             crashDetector
+	// awaitingLeft holds the links of entries that were sent Leaving and have not yet answered
+	// Left, so that they may still offer a call; see link.Left.
+	awaitingLeft map[*link.Conn]struct{}
+	idle         chan struct{}
 }
 
-// Start opens the agent: it learns the engine's memory when the engine answers, and
-// takes links at once.
+// Start starts the agent, which accepts links at once. The engine's memory capacity is
+// assumed until PollReports has read its first report.
 func Start(config Config) (*Server, error) {
 	if config.Limits == (Limits{}) {
 		config.Limits = DefaultLimits
 	}
 	s := &Server{
-		config: config,
-		log:    config.Log.With().Str("vm", config.VM).Logger(),
-		ledger: idempotency.NewLedger(config.Incarnation, idempotency.DefaultLimits),
-		queue:  config.Queue,
-		live:   make(map[call.ID]*liveCall),
-		group:  load.NewGroup(config.VM),
-		holds:  make(map[call.ID]*hold),
-		groups: make(map[call.ID]*groupCall),
-		told:   make(map[*link.Conn]struct{}),
-		model:  config.Model,
+		config:              config,
+		log:                 config.Log.With().Str("vm", config.VM).Logger(),
+		ledger:              idempotency.NewLedger(config.Incarnation, idempotency.DefaultLimits),
+		queue:               config.Queue,
+		live:                make(map[call.ID]*liveCall),
+		group:               load.NewGroup(config.VM),
+		pendingReservations: make(map[call.ID]*pendingReservation),
+		groups:              make(map[call.ID]*groupCall),
+		awaitingLeft:        make(map[*link.Conn]struct{}),
+		model:               config.Model,
 	}
 	s.ledger.Stamp(time.Now())
 	s.memory = reservation.NewPool(s.initialCapacity(), reservationOptions())
@@ -170,18 +171,19 @@
 	return s, nil
 }
 
-// Addr returns the address on which the agent takes links.
+// Addr returns the address on which the agent accepts links.
 func (s *Server) Addr() string { return s.node.Addr() }
 
-// Stamp returns the agent's clock for entries to echo, in nanoseconds since its start.
+// Stamp returns the agent's clock, in nanoseconds since its start. Entries echo it in their
+// messages.
 func (s *Server) Stamp() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(s.ledger.Stamp(time.Now()))
 }
 
-// OnOpen implements link.Handler. An entry that opens a link to an agent that leaves can
-// have no call bound to it from before, so its word is not waited for.
+// OnOpen implements link.Handler. An entry that opens a link to a leaving agent cannot have
+// calls bound to the agent from before, so the agent does not wait for its Left message.
 func (s *Server) OnOpen(c *link.Conn) {
 	s.mu.Lock()
 	leaving := s.leaving
@@ -221,8 +223,8 @@
 	}
 }
 
-// OnClose implements link.Handler: answers on the lost link wait for their entry to
-// dial anew.
+// OnClose implements link.Handler. Answers on the lost link are kept for a while, for the
+// entry to resume them on a new link.
 func (s *Server) OnClose(c *link.Conn, _ error) {
 	s.onLeft(c)
 	s.memberLost(c.Peer().VM)
@@ -243,13 +245,13 @@
 	return all
 }
 
-func (s *Server) find(id call.ID) *liveCall {
+func (s *Server) findCall(id call.ID) *liveCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.live[id]
 }
 
-// Close ends all calls and links at once.
+// Close cancels all calls and closes all links at once.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.leaving = true
--- a/agent/server/server_test.go
+++ b/agent/server/server_test.go
@@ -18,29 +18,30 @@
 const (
 	testService = "assistant"
 	testModel   = "assistant-1"
-	// patience bounds what a test waits for; only a fault makes it pass.
-	patience = 20 * time.Second
+	// testTimeout bounds the waits of a test. Only a failing test reaches it.
+	testTimeout = 20 * time.Second
 )
 
-// script is an engine of which the test says what it does.
-type script struct {
+// scriptedEngine is an engine whose Generate is defined by the test.
+type scriptedEngine struct {
 	engine.Engine
 	generate func(ctx context.Context, request engine.Generate) (engine.Stream, error)
 }
 
-func (s *script) Generate(ctx context.Context, request engine.Generate) (engine.Stream, error) {
+func (s *scriptedEngine) Generate(ctx context.Context, request engine.Generate) (engine.Stream, error) {
 	return s.generate(ctx, request)
 }
 
-func (s *script) Cancel(context.Context, call.ID) error { return nil }
+func (s *scriptedEngine) Cancel(context.Context, call.ID) error { return nil }
 
-// tokens is a stream of deltas that are there at once.
-type tokens struct {
+// tokenStream is a stream whose deltas are available at once. After them it ends or fails
+// with err.
+type tokenStream struct {
 	deltas []engine.Delta
 	err    error
 }
 
-func (s *tokens) Next() (engine.Delta, bool, error) {
+func (s *tokenStream) Next() (engine.Delta, bool, error) {
 	if len(s.deltas) == 0 {
 		return engine.Delta{}, false, s.err
 	}
@@ -49,11 +50,11 @@
 	return delta, true, nil
 }
 
-func (s *tokens) Final() engine.Final { return engine.Final{FinishReason: "stop"} }
-func (s *tokens) Close() error        { return nil }
+func (s *tokenStream) Final() engine.Final { return engine.Final{FinishReason: "stop"} }
+func (s *tokenStream) Close() error        { return nil }
 
-func atOnce(context.Context, engine.Generate) (engine.Stream, error) {
-	return &tokens{deltas: []engine.Delta{{Tokens: 1, Text: "a"}, {Tokens: 1, Text: "b"}}}, nil
+func immediateAnswer(context.Context, engine.Generate) (engine.Stream, error) {
+	return &tokenStream{deltas: []engine.Delta{{Tokens: 1, Text: "a"}, {Tokens: 1, Text: "b"}}}, nil
 }
 
 func startServer(t *testing.T, change func(*Config)) *Server {
@@ -65,7 +66,7 @@
 		Model:       testModel,
 		Listen:      "127.0.0.1:0",
 		Keys:        testKeys(),
-		Engine:      &script{generate: atOnce},
+		Engine:      &scriptedEngine{generate: immediateAnswer},
 		Queue:       scheduling.NewFIFO(DefaultLimits.Queue),
 		Incarnation: 9,
 		Log:         zerolog.Nop(),
@@ -81,26 +82,26 @@
 
 func testKeys() *link.Keys { return link.NewKeys([]byte("k"), nil) }
 
-// entry is a caller's side of links; it keeps the kinds of messages by call.
+// entry is an entry's end of a link. It records the received messages by call.
 type entry struct {
 	node *link.Node
 	conn *link.Conn
 
-	mu      sync.Mutex
-	heard   map[call.ID][]link.Type
-	refused map[call.ID]link.Refused
-	ends    map[call.ID]link.End
-	left    bool
-	changed chan struct{}
+	mu              sync.Mutex
+	received        map[call.ID][]link.Type
+	refused         map[call.ID]link.Refused
+	ends            map[call.ID]link.End
+	leavingReceived bool
+	changed         chan struct{}
 }
 
 func dialEntry(t *testing.T, vm string, s *Server) *entry {
 	t.Helper()
 	e := &entry{
-		heard:   make(map[call.ID][]link.Type),
-		refused: make(map[call.ID]link.Refused),
-		ends:    make(map[call.ID]link.End),
-		changed: make(chan struct{}, 1),
+		received: make(map[call.ID][]link.Type),
+		refused:  make(map[call.ID]link.Refused),
+		ends:     make(map[call.ID]link.End),
+		changed:  make(chan struct{}, 1),
 	}
 	node, err := link.Start(link.Config{
 		Listen:  "127.0.0.1:0",
@@ -123,19 +124,19 @@
 	e.mu.Lock()
 	switch m := message.(type) {
 	case *link.Accepted:
-		e.heard[m.ID] = append(e.heard[m.ID], m.Type())
+		e.received[m.ID] = append(e.received[m.ID], m.Type())
 	case *link.Head:
-		e.heard[m.ID] = append(e.heard[m.ID], m.Type())
+		e.received[m.ID] = append(e.received[m.ID], m.Type())
 	case *link.Chunk:
-		e.heard[m.ID] = append(e.heard[m.ID], m.Type())
+		e.received[m.ID] = append(e.received[m.ID], m.Type())
 	case *link.End:
-		e.heard[m.ID] = append(e.heard[m.ID], m.Type())
+		e.received[m.ID] = append(e.received[m.ID], m.Type())
 		e.ends[m.ID] = *m
 	case *link.Refused:
-		e.heard[m.ID] = append(e.heard[m.ID], m.Type())
+		e.received[m.ID] = append(e.received[m.ID], m.Type())
 		e.refused[m.ID] = *m
 	case *link.Leaving:
-		e.left = true
+		e.leavingReceived = true
 		_ = c.Send(&link.Left{})
 	}
 	e.mu.Unlock()
@@ -145,13 +146,13 @@
 	}
 }
 
-// await waits until what it asks for is there.
-func (e *entry) await(t *testing.T, what string, there func() bool) {
+// await waits until the condition holds. It evaluates the condition with mu held.
+func (e *entry) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	limit := time.After(patience)
+	limit := time.After(testTimeout)
 	for {
 		e.mu.Lock()
-		ok := there()
+		ok := condition()
 		e.mu.Unlock()
 		if ok {
 			return
@@ -159,26 +160,26 @@
 		select {
 		case <-e.changed:
 		case <-limit:
-			require.FailNow(t, "it did not come: "+what)
+			require.FailNow(t, "timed out waiting for "+what)
 		}
 	}
 }
 
-// kinds returns what came for a call, in order.
-func (e *entry) kinds(id call.ID) []link.Type {
+// receivedTypes returns the types of the messages received for a call, in order.
+func (e *entry) receivedTypes(id call.ID) []link.Type {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.heard[id])
+	return slices.Clone(e.received[id])
 }
 
-// end returns the end that came for a call.
+// end returns the End message received for a call.
 func (e *entry) end(id call.ID) link.End {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ends[id]
 }
 
-// refusal returns the refusal that came for a call, and whether there was one.
+// refusal returns the refusal received for a call, and whether there was one.
 func (e *entry) refusal(id call.ID) (link.Refused, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -186,7 +187,8 @@
 	return refused, found
 }
 
-// answered tells whether a call has ended or was refused. It is for await, which holds mu.
+// answered reports whether a call has ended or was refused. It is called with mu held, in
+// conditions for await.
 func (e *entry) answered(id call.ID) bool {
 	_, refused := e.refused[id]
 	_, ended := e.ends[id]
@@ -207,13 +209,13 @@
 	}
 }
 
-// awaitDrained waits until no call is in hand.
-func awaitDrained(t *testing.T, s *Server) {
+// requireDrains makes the agent leave and waits until no call is in flight.
+func requireDrains(t *testing.T, s *Server) {
 	t.Helper()
 	s.Leave()
 	select {
 	case <-s.Drained():
-	case <-time.After(patience):
-		require.FailNow(t, "calls stayed in hand", "%d", len(s.calls()))
+	case <-time.After(testTimeout):
+		require.FailNow(t, "calls are still in flight", "%d", len(s.calls()))
 	}
 }
--- a/agent/server/tell.go
+++ b/agent/server/tell.go
@@ -11,49 +11,51 @@
 )
 
 const (
-	// listEvery is how often an agent reads the list of VMs: for its peers' addresses and for
-	// the mark that its own VM is leaving.
-	listEvery = 5 * time.Second
-	// tellEvery is how often the clock moves on: what has expired ends, and core/load is asked
-	// whether the peers must be told.
-	tellEvery = 100 * time.Millisecond
-	// bestPeers is the number of peers' digests that a reply to an entry carries.
-	bestPeers = 3
+	// listInterval is how often an agent reads the list of VMs, for its peers' addresses and
+	// for the mark that its own VM is leaving.
+	listInterval = 5 * time.Second
+	// tickInterval is how often the agent handles expiries and asks core/load whether to send
+	// a digest to peers.
+	tickInterval = 100 * time.Millisecond
+	// maxPeerDigests is the maximum number of peers' digests in a reply to an entry.
+	maxPeerDigests = 3
 )
 
-// Tell keeps the agents of the same service and zone informed of this one's load, those
-// of other models seldom, and learns theirs, until ctx ends.
-func (s *Server) Tell(ctx context.Context, lister vmlist.Lister) {
-	list := time.NewTicker(listEvery)
+// ExchangeLoad sends this agent's load digest to the agents of the same service and zone
+// until ctx is done. Agents of other models get it seldom. It also handles expiries and
+// reads the list of VMs.
+func (s *Server) ExchangeLoad(ctx context.Context, lister vmlist.Lister) {
+	list := time.NewTicker(listInterval)
 	defer list.Stop()
-	ask := time.NewTicker(tellEvery)
-	defer ask.Stop()
-	addresses := s.readGroup(ctx, lister, nil)
+	tick := time.NewTicker(tickInterval)
+	defer tick.Stop()
+	addresses := s.refreshPeers(ctx, lister, nil)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-list.C:
-			addresses = s.readGroup(ctx, lister, addresses)
-		case <-ask.C:
+			addresses = s.refreshPeers(ctx, lister, addresses)
+		case <-tick.C:
 			s.expire(time.Now())
-			s.tellGroup(ctx, addresses)
+			s.sendLoadToGroup(ctx, addresses)
 		}
 	}
 }
 
-// readGroup reads the addresses of the agents of the same service and zone; the list does
-// not say which model they serve, so core/load tells them apart by their digests. While the list is down, the group stays as it was.
-func (s *Server) readGroup(ctx context.Context, lister vmlist.Lister, old map[string]string) map[string]string {
-	ctx, cancel := context.WithTimeout(ctx, listEvery)
+// refreshPeers reads the addresses of the agents of the same service and zone. The list does
+// not contain the model that an agent serves, so core/load takes it from the agent's digests.
+// While the list is unavailable, the previous addresses stay in use.
+func (s *Server) refreshPeers(ctx context.Context, lister vmlist.Lister, old map[string]string) map[string]string {
+	ctx, cancel := context.WithTimeout(ctx, listInterval)
 	defer cancel()
 	vms, err := lister.List(ctx)
 	if err != nil {
 		s.log.Warn().Err(err).Msg("the list of VMs could not be read; the last one stands")
 		return old
 	}
-	if s.markedLeaving(vms) {
-		s.log.Info().Msg("the list of VMs marks this one as leaving; no new work is taken")
+	if s.newlyMarkedLeaving(vms) {
+		s.log.Info().Msg("this VM is marked as leaving in the list of VMs; refusing new calls")
 		s.Leave()
 	}
 	addresses := make(map[string]string)
@@ -71,10 +73,10 @@
 	return addresses
 }
 
-// markedLeaving tells whether the list marks this VM as leaving and the agent does not
-// know yet. Entries read the mark too, each when it next reads the list; until the last of
-// them has, calls would go to a VM that is about to be taken away.
-func (s *Server) markedLeaving(vms []vmlist.VM) bool {
+// newlyMarkedLeaving reports whether the list marks this VM as leaving and the agent is not
+// leaving yet. Entries see the mark as well, but each only when it next reads the list; until
+// the last one has, calls would go to a VM that is about to be removed.
+func (s *Server) newlyMarkedLeaving(vms []vmlist.VM) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.leaving && slices.ContainsFunc(vms, func(vm vmlist.VM) bool {
@@ -82,7 +84,7 @@
 	})
 }
 
-func (s *Server) tellGroup(ctx context.Context, addresses map[string]string) {
+func (s *Server) sendLoadToGroup(ctx context.Context, addresses map[string]string) {
 	now := time.Now()
 	s.mu.Lock()
 	own := s.report()
@@ -91,13 +93,13 @@
 	to := s.group.Recipients(now, &digest)
 	s.mu.Unlock()
 	for _, vm := range to {
-		go s.tell(ctx, vm, addresses[vm], &link.Loads{Reports: []link.LoadReport{own}})
+		go s.sendLoads(ctx, vm, addresses[vm], &link.Loads{Reports: []link.LoadReport{own}})
 	}
 }
 
-// tell sends a digest to one peer. A peer that can not be reached misses it; the next
-// digest replaces it anyway.
-func (s *Server) tell(ctx context.Context, vm, addr string, loads *link.Loads) {
+// sendLoads sends digests to one peer. It ignores failures, because the next digest replaces
+// this one.
+func (s *Server) sendLoads(ctx context.Context, vm, addr string, loads *link.Loads) {
 	c, err := s.node.Dial(ctx, vm, addr)
 	if err == nil {
 		_ = c.Send(loads)
@@ -114,10 +116,10 @@
 	}
 }
 
-// peerLoads returns the digests of the least loaded peers for a reply. It is called with
-// mu held.
+// peerLoads returns the digests of the least loaded peers for a reply, or nil if there are
+// none. It is called with mu held.
 func (s *Server) peerLoads(now time.Time) *link.Loads {
-	best := s.group.LeastLoaded(now, bestPeers)
+	best := s.group.LeastLoaded(now, maxPeerDigests)
 	if len(best) == 0 {
 		return nil
 	}
--- a/agent/server/tell_test.go
+++ b/agent/server/tell_test.go
@@ -10,28 +10,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fixedList is a list of VMs that stays as it is.
-type fixedList []vmlist.VM
+// fixedVMList is a list of VMs that does not change.
+type fixedVMList []vmlist.VM
 
-func (l fixedList) List(context.Context) ([]vmlist.VM, error) { return l, nil }
+func (l fixedVMList) List(context.Context) ([]vmlist.VM, error) { return l, nil }
 
-// Symptom: calls are sent to a VM until the moment when the platform takes it away.
-// Sequence: the platform marks the agent's VM as leaving; the process gets no signal.
-// Cause: the agent reads the list for its peers alone.
-func TestLeavingMarkOfItsOwnVMIsObeyed(t *testing.T) {
+// The platform marks the agent's VM as leaving, but the process gets no signal. If the agent
+// ignored the mark, it would accept calls until the platform removes the VM.
+func TestAgentLeavesWhenItsVMIsMarkedLeaving(t *testing.T) {
 	s := startServer(t, nil)
 	e := dialEntry(t, "entry", s)
 	own := vmlist.VM{ID: "agent", Role: vmlist.RoleAgent, Zone: "zone-a", Service: testService}
 	other := vmlist.VM{ID: "other", Role: vmlist.RoleAgent, Zone: "zone-a", Service: testService, Leaving: true}
-	s.readGroup(t.Context(), fixedList{own, other}, nil)
+	s.refreshPeers(t.Context(), fixedVMList{own, other}, nil)
 	first, second := call.ID{1}, call.ID{2}
 	require.NoError(t, e.conn.Send(offerOf(first, s, true)))
 	e.await(t, "the end", func() bool { return e.answered(first) })
 	_, refused := e.refusal(first)
-	require.False(t, refused, "another VM's mark says nothing about this one")
+	require.False(t, refused, "the leaving mark of another VM does not concern this one")
 	own.Leaving = true
-	s.readGroup(t.Context(), fixedList{own, other}, nil)
-	e.await(t, "the word that the agent leaves", func() bool { return e.left })
+	s.refreshPeers(t.Context(), fixedVMList{own, other}, nil)
+	e.await(t, "the Leaving message", func() bool { return e.leavingReceived })
 	require.NoError(t, e.conn.Send(offerOf(second, s, true)))
 	e.await(t, "the refusal", func() bool { return e.answered(second) })
 	refusal, _ := e.refusal(second)
--- a/agent/settings/settings.go
+++ b/agent/settings/settings.go
@@ -7,26 +7,26 @@
 	"acaciacleat.example/peers/settings"
 )
 
-// Settings are the settings of one agent; see package peers/settings for the parts that
-// entries have too.
+// Settings are the settings of one agent. Package peers/settings defines the parts that
+// entries have as well.
 type Settings struct {
-	// VM tells where the agent runs.
+	// VM identifies the VM on which the agent runs.
 	VM settings.VM `json:"vm"`
-	// Link is the agent's end of links.
+	// Link configures the agent's side of links.
 	Link settings.Link `json:"link"`
 	// Upstream is the engine or plain service beside the agent.
 	Upstream Upstream `json:"upstream"`
 	// Platform holds the base URLs of the platform's services.
 	Platform settings.Platform `json:"platform"`
-	// Limits bounds what the agent holds.
+	// Limits bounds the calls and the memory of the agent.
 	Limits Limits `json:"limits"`
-	// Metrics says where health and variables are served.
+	// Metrics configures the endpoint for health checks and variables.
 	Metrics Metrics `json:"metrics"`
-	// Drain bounds a planned stop.
+	// Drain configures graceful stops.
 	Drain Drain `json:"drain"`
-	// Log says what is logged.
+	// Log configures the log.
 	Log settings.Log `json:"log"`
-	// Trace says where spans go.
+	// Trace configures the export of spans.
 	Trace settings.Trace `json:"trace"`
 }
 
@@ -36,7 +36,7 @@
 	KindPlain  = "plain"
 )
 
-// Upstream is the one upstream that the agent stands beside.
+// Upstream is the one upstream that the agent serves.
 type Upstream struct {
 	// Kind is engine or plain. Required.
 	Kind string `json:"kind" validate:"oneof=engine plain"`
@@ -45,18 +45,18 @@
 	// Model is the model that the engine serves; engines only, and required for them.
 	Model string `json:"model"`
 	// URL is the upstream's base URL. Other agents of a group that shares a long prompt
-	// are told it too, so it names the VM's own IP address. Required.
+	// receive it as well, so it must contain the VM's own IP address. Required.
 	URL string `json:"url" validate:"baseurl"`
 }
 
-// Limits bounds what the agent holds.
+// Limits bounds the calls and the memory of the agent.
 type Limits struct {
-	// Queue is the largest number of calls in hand: those whose body is arriving, that wait,
-	// run, or whose answer is still being read. Default 10000.
+	// Queue is the maximum number of calls in flight: those whose body is being received, that
+	// are queued or running, or whose answer is still being read. Default 10000.
 	Queue int `json:"queue" validate:"gte=1,lte=1000000"`
-	// Running is the largest number of calls at the upstream at once. Default 256.
+	// Running is the maximum number of concurrent calls at the upstream. Default 256.
 	Running int `json:"running" validate:"gte=1,lte=100000"`
-	// StreamBytes bounds what is kept of one answer until its entry has acknowledged it.
+	// StreamBytes bounds the unacknowledged bytes of one answer per entry.
 	// Default 65536 (64 KiB).
 	StreamBytes int `json:"streamBytes" validate:"gte=1024,lte=1073741824"`
 	// KeptBytes bounds the answer of a non-repeatable call that is kept for a repeat with
@@ -69,22 +69,22 @@
 	DetachedMs int `json:"detachedMs" validate:"gte=1,lte=600000"`
 }
 
-// Metrics says where health and variables are served.
+// Metrics configures the endpoint for health checks and variables.
 type Metrics struct {
-	// Listen is the IP address and port for operators; port 0 chooses a free one. Without
-	// it nothing is served.
+	// Listen is the IP address and port for operators; port 0 chooses a free port. If it is
+	// empty, there is no endpoint.
 	Listen string `json:"listen" validate:"omitempty,ipport"`
 }
 
-// Drain bounds a planned stop, which SIGTERM or SIGINT begins; a second signal ends the
+// Drain configures graceful stops, which SIGTERM or SIGINT begins. A second signal stops the
 // process at once.
 type Drain struct {
-	// LimitMs is the time in which calls in hand may finish; those that have not are cut
-	// off. Default 600000 (10 minutes).
+	// LimitMs is how long a stop waits for the calls in flight to end; it then cancels the
+	// rest. Default 600000 (10 minutes).
 	LimitMs int `json:"limitMs" validate:"gte=0,lte=86400000"`
 }
 
-// Default returns the settings with every default and without what is required.
+// Default returns the default settings, in which the required ones are not set.
 func Default() *Settings {
 	limits := server.DefaultLimits
 	return &Settings{
@@ -103,17 +103,18 @@
 	}
 }
 
-// Parse reads settings strictly and returns all faults at once; the settings are nil
-// when there is any.
+// Parse parses settings strictly and returns all faults at once. The settings are nil if
+// there is any fault.
 func Parse(data []byte) (*Settings, []settings.Fault) {
 	s := Default()
-	if faults := settings.Parse(data, s, together); len(faults) > 0 {
+	if faults := settings.Parse(data, s, checkCombinations); len(faults) > 0 {
 		return nil, faults
 	}
 	return s, nil
 }
 
-func together(s *Settings) []settings.Fault {
+// checkCombinations checks settings that depend on each other.
+func checkCombinations(s *Settings) []settings.Fault {
 	faults := s.Link.Check("$.link")
 	faults = append(faults, s.Upstream.check("$.upstream")...)
 	return append(faults, s.Trace.Check("$.trace")...)
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// ServerLimits returns the limits for the server.
+// ServerLimits converts the limits to those of the server.
 func (l Limits) ServerLimits() server.Limits {
 	limits := server.DefaultLimits
 	limits.Queue = l.Queue
