--- a/agent/orders/orders.go
+++ b/agent/orders/orders.go
@@ -83,7 +83,7 @@
 
 func (x *Executor) onOrder(c *link.Conn, clock func() int64, order *link.Order) {
 	answer := &link.OrderAnswer{Nonce: order.Nonce, OK: true}
-	if err := x.Take(context.Background(), clock, order); err != nil {
+	if err := x.Accept(context.Background(), clock, order); err != nil {
 		answer.OK = false
 		answer.Detail = err.Error()
 		x.config.Log.Warn().Err(err).Str("kind", order.Kind).Uint64("fence", order.Fence).Msg("order refused")
@@ -91,9 +91,9 @@
 	_ = c.Send(answer)
 }
 
-// Take starts an order, or returns why it is refused. An order that is already running is
+// Accept starts an order, or returns why it is refused. An order that is already running is
 // accepted without being started again. clock is the clock from which order.Stamp was read.
-func (x *Executor) Take(ctx context.Context, clock func() int64, order *link.Order) error {
+func (x *Executor) Accept(ctx context.Context, clock func() int64, order *link.Order) error {
 	if err := x.check(ctx, order.Fence); err != nil {
 		return err
 	}
--- a/agent/orders/orders_test.go
+++ b/agent/orders/orders_test.go
@@ -69,7 +69,7 @@
 				clock := func() int64 { return int64(time.Since(start)) }
 				time.Sleep(tc.after)
 				for i, order := range tc.orders {
-					require.ErrorIs(t, x.Take(t.Context(), clock, order), tc.want[i])
+					require.ErrorIs(t, x.Accept(t.Context(), clock, order), tc.want[i])
 					synctest.Wait()
 				}
 				require.Len(t, e.started, tc.started)
@@ -84,12 +84,12 @@
 	x := New(Config{})
 	now := time.Unix(6000, 0)
 	require.False(t, x.Status(now).Reported)
-	x.Reported(now, engine.Report{Model: "m", Version: "1"}, nil)
+	x.RecordReport(now, engine.Report{Model: "m", Version: "1"}, nil)
 	for range 3 {
-		x.Ended(now, &link.End{FirstMs: 40})
+		x.RecordEnd(now, &link.End{FirstMs: 40})
 	}
-	x.Ended(now, &link.End{Code: result.UpstreamFailed})
-	x.Ended(now, &link.End{Code: result.Cancelled})
+	x.RecordEnd(now, &link.End{Code: result.UpstreamFailed})
+	x.RecordEnd(now, &link.End{Code: result.Cancelled})
 	status := x.Status(now)
 	require.Equal(t, 4, status.Requests)
 	require.Equal(t, 0.25, status.ErrorRate)
@@ -98,9 +98,9 @@
 	require.Equal(t, 4, x.Status(now.Add(bucketLength)).Requests)
 	require.Zero(t, x.Status(now.Add(bucketCount*bucketLength)).Requests, "the bucket is too old")
 
-	x.Reported(now, engine.Report{}, errTableDown)
+	x.RecordReport(now, engine.Report{}, errTableDown)
 	require.False(t, x.Status(now).EngineDown)
 	require.True(t, x.Status(now.Add(2*engineDownTimeout)).EngineDown)
-	x.Reported(now.Add(time.Second), engine.Report{Model: "m", Version: "2"}, nil)
+	x.RecordReport(now.Add(time.Second), engine.Report{Model: "m", Version: "2"}, nil)
 	require.Zero(t, x.Status(now.Add(time.Second)).Requests, "the calls ran on the other version")
 }
--- a/agent/orders/status.go
+++ b/agent/orders/status.go
@@ -36,9 +36,9 @@
 	firstTokenMs float64
 }
 
-// Reported records an engine's report, or the error of reading it. A change of model or
+// RecordReport records an engine's report, or the error of reading it. A change of model or
 // version resets the statistics.
-func (x *Executor) Reported(now time.Time, report engine.Report, err error) {
+func (x *Executor) RecordReport(now time.Time, report engine.Report, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := &x.stats
@@ -55,8 +55,8 @@
 	s.reportedAt = now
 }
 
-// Ended adds a call that ran at the engine to the statistics.
-func (x *Executor) Ended(now time.Time, end *link.End) {
+// RecordEnd adds a call that ran at the engine to the statistics.
+func (x *Executor) RecordEnd(now time.Time, end *link.End) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	b := x.stats.bucket(now)
--- a/agent/serve/serve.go
+++ b/agent/serve/serve.go
@@ -20,8 +20,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Surroundings is the environment of a process besides its settings.
-type Surroundings struct {
+// Environment is the environment of a process besides its settings.
+type Environment struct {
 	// Log receives the log lines.
 	Log io.Writer
 	// Signals stop the process: the first gracefully, the second at once.
@@ -31,7 +31,7 @@
 }
 
 // Run runs an agent until a signal stops it.
-func Run(s *settings.Settings, env Surroundings) error {
+func Run(s *settings.Settings, env Environment) error {
 	log := zerolog.New(env.Log).Level(s.Log.ZerologLevel()).With().Timestamp().Logger()
 	keys, files, err := s.Link.WatchedKeys()
 	if err != nil {
--- a/agent/server/memory.go
+++ b/agent/server/memory.go
@@ -157,7 +157,7 @@
 	defer cancel()
 	report, err := s.config.Engine.Report(ctx)
 	if s.config.Placement != nil {
-		s.config.Placement.Reported(time.Now(), report, err)
+		s.config.Placement.RecordReport(time.Now(), report, err)
 	}
 	s.recordReportOutcome(err == nil)
 	if err != nil {
@@ -303,8 +303,8 @@
 	}
 }
 
-// Free reports whether no memory is reserved and no reservation is queued.
-func (s *Server) Free() bool {
+// HoldsNoMemory reports whether no memory is reserved and no reservation is queued.
+func (s *Server) HoldsNoMemory() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.memory.Len() == 0 && len(s.pendingReservations) == 0
--- a/agent/server/run.go
+++ b/agent/server/run.go
@@ -112,7 +112,7 @@
 	s.ledger.Finish(now, l.offer.ID, l, l.replayBytes())
 	s.mu.Unlock()
 	if s.config.Placement != nil {
-		s.config.Placement.Ended(now, end)
+		s.config.Placement.RecordEnd(now, end)
 	}
 	l.finish(end)
 	l.body = nil
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -57,10 +57,10 @@
 	// OnMessage handles a message about placement. clock is the agent's clock, as returned by
 	// Server.Stamp. It does not block.
 	OnMessage(c *link.Conn, clock func() int64, message link.Message)
-	// Ended records the end of a call that ran at the engine.
-	Ended(now time.Time, end *link.End)
-	// Reported records an engine's report, or the error of reading it.
-	Reported(now time.Time, report engine.Report, err error)
+	// RecordEnd records the end of a call that ran at the engine.
+	RecordEnd(now time.Time, end *link.End)
+	// RecordReport records an engine's report, or the error of reading it.
+	RecordReport(now time.Time, report engine.Report, err error)
 }
 
 // Config configures a Server. Exactly one of Engine and Plain is set.
--- a/entry/command/serve_test.go
+++ b/entry/command/serve_test.go
@@ -91,7 +91,7 @@
 	started := make(chan struct{})
 	var addr string
 	f.process(func(signals <-chan os.Signal) error {
-		return agentserve.Run(s, agentserve.Surroundings{Log: io.Discard, Signals: signals, Started: func(a *agentprocess.Agent) {
+		return agentserve.Run(s, agentserve.Environment{Log: io.Discard, Signals: signals, Started: func(a *agentprocess.Agent) {
 			addr = a.Addr()
 			close(started)
 		}})
--- a/entry/dev/group_test.go
+++ b/entry/dev/group_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	deadline := time.Now().Add(settle)
 	for i, e := range d.Engines {
-		for e.Stats().HeldTokens > 0 || !d.Agents[i].Free() {
+		for e.Stats().HeldTokens > 0 || !d.Agents[i].HoldsNoMemory() {
 			require.True(t, time.Now().Before(deadline), "engine %d still holds %d tokens", i, e.Stats().HeldTokens)
 			time.Sleep(readyPoll)
 		}
--- a/entry/placement/placement_test.go
+++ b/entry/placement/placement_test.go
@@ -133,7 +133,7 @@
 	e := w.engines[vm]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w.executors[vm].Reported(time.Now(), e.report, nil)
+	w.executors[vm].RecordReport(time.Now(), e.report, nil)
 	return w.executors[vm].Status(time.Now()), nil
 }
 
@@ -141,7 +141,7 @@
 	order.Stamp = w.clock()
 	refusal := error(nil)
 	take := func() error {
-		refusal = w.executors[vm].Take(context.WithoutCancel(ctx), w.clock, &order)
+		refusal = w.executors[vm].Accept(context.WithoutCancel(ctx), w.clock, &order)
 		return nil
 	}
 	deliver := w.deliver
@@ -288,7 +288,7 @@
 				end.Code = result.UpstreamFailed
 			}
 			for range 30 {
-				x.Ended(time.Now(), &end)
+				x.RecordEnd(time.Now(), &end)
 			}
 		}
 		w.rounds(10, first)
