--- a/entry/placement/placement_test.go
+++ b/entry/placement/placement_test.go
@@ -137,7 +137,7 @@
 	e := c.engines[vm]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c.executors[vm].Reported(time.Now(), e.report, nil)
+	c.executors[vm].RecordReport(time.Now(), e.report, nil)
 	return c.executors[vm].Status(time.Now()), nil
 }
 
@@ -145,7 +145,7 @@
 	order.Stamp = c.clock()
 	refusal := error(nil)
 	execute := func() error {
-		refusal = c.executors[vm].Take(context.WithoutCancel(ctx), c.clock, &order)
+		refusal = c.executors[vm].Accept(context.WithoutCancel(ctx), c.clock, &order)
 		return nil
 	}
 	intercept := c.intercept
@@ -291,7 +291,7 @@
 				end.Code = result.UpstreamFailed
 			}
 			for range 30 {
-				x.Ended(time.Now(), &end)
+				x.RecordEnd(time.Now(), &end)
 			}
 		}
 		c.runRounds(10, first)
