--- a/core/routing/baselines.go
+++ b/core/routing/baselines.go
@@ -7,7 +7,7 @@
 	"acaciacleat.example/core/prefix"
 )
 
-// The names that ByName knows.
+// The names of policies that ByName accepts.
 const (
 	NameNaive          = "naive"
 	NameLeastLoaded    = "least-loaded"
@@ -18,10 +18,10 @@
 	NamePlain          = "plain"
 )
 
-// Names lists what ByName knows.
+// Names lists the names that ByName accepts.
 var Names = []string{NameNaive, NameLeastLoaded, NamePowerOfTwo, NamePrefixOnly, NameCombined, NameCombinedSpread, NamePlain}
 
-// ByName returns a new policy of the given name; false when there is none.
+// ByName returns a new policy of the given name; false if there is none.
 func ByName(name string, seed uint64) (Policy, bool) {
 	options := DefaultOptions(seed)
 	switch name {
@@ -36,7 +36,7 @@
 	case NameCombined:
 		return NewCombined(options), true
 	case NameCombinedSpread:
-		options.HotSpread = true
+		options.SplitHotPrefixes = true
 		return NewCombined(options), true
 	case NamePlain:
 		return NewPlain(), true
@@ -45,8 +45,8 @@
 	}
 }
 
-// LeastLoaded is a baseline: the replica that reported the fewest prompt tokens, however
-// old the report is.
+// LeastLoaded is a baseline: the replica that reported the fewest prompt tokens, whatever
+// the age of the report.
 type LeastLoaded struct{}
 
 // Choose implements Policy.
@@ -56,15 +56,15 @@
 		if !Usable(request, &replicas[i]) {
 			continue
 		}
-		if best < 0 || reported(&replicas[i]) < reported(&replicas[best]) {
+		if best < 0 || reportedTokens(&replicas[i]) < reportedTokens(&replicas[best]) {
 			best = i
 		}
 	}
 	return Choice{Index: best}
 }
 
-// reported is the sum of prompt tokens in the last digest.
-func reported(replica *Replica) int64 {
+// reportedTokens returns the sum of prompt tokens in the last load report.
+func reportedTokens(replica *Replica) int64 {
 	sum := int64(0)
 	for class := range replica.Load.QueuedPrompt {
 		sum += replica.Load.QueuedPrompt[class] + replica.Load.RunningPrompt[class]
@@ -72,10 +72,11 @@
 	return sum
 }
 
-// PowerOfTwo is a baseline: the less loaded of two random replicas, own requests counted.
+// PowerOfTwo is a baseline: the less loaded of two random replicas, counting the reader's
+// own requests too.
 type PowerOfTwo struct{ random *rand.Rand }
 
-// NewPowerOfTwo returns a PowerOfTwo that draws from the seed.
+// NewPowerOfTwo returns a PowerOfTwo with the given random seed.
 func NewPowerOfTwo(seed uint64) *PowerOfTwo {
 	return &PowerOfTwo{random: rand.New(rand.NewPCG(seed, 0))}
 }
@@ -87,21 +88,22 @@
 		return Choice{Index: -1}
 	}
 	b := p.draw(request, replicas, a)
-	if b >= 0 && reported(&replicas[b])+replicas[b].InFlightPrompt < reported(&replicas[a])+replicas[a].InFlightPrompt {
+	if b >= 0 && reportedTokens(&replicas[b])+replicas[b].InFlightPrompt < reportedTokens(&replicas[a])+replicas[a].InFlightPrompt {
 		a = b
 	}
 	return Choice{Index: a}
 }
 
-// draw returns a random usable replica other than not; -1 when there is none.
-func (p *PowerOfTwo) draw(request *Request, replicas []Replica, not int) int {
+// draw returns the index of a random usable replica other than exclude; -1 if there is
+// none.
+func (p *PowerOfTwo) draw(request *Request, replicas []Replica, exclude int) int {
 	if len(replicas) == 0 {
 		return -1
 	}
 	first := p.random.IntN(len(replicas))
 	for step := range replicas {
 		i := (first + step) % len(replicas)
-		if i != not && Usable(request, &replicas[i]) {
+		if i != exclude && Usable(request, &replicas[i]) {
 			return i
 		}
 	}
@@ -109,13 +111,13 @@
 }
 
 // PrefixOnly is a baseline: the replica with the longest cached prefix, else the
-// prefix's rendezvous home, blind to load.
+// prefix's rendezvous home, whatever their load.
 type PrefixOnly struct {
 	estimator *prefix.Estimator
 	group     group
 }
 
-// NewPrefixOnly returns a PrefixOnly that knows of no cached prefix.
+// NewPrefixOnly returns a PrefixOnly without any recorded prefix.
 func NewPrefixOnly() *PrefixOnly { return &PrefixOnly{estimator: prefix.NewEstimator(0, 0)} }
 
 // Choose implements Policy.
@@ -125,7 +127,7 @@
 	}
 	g := &p.group
 	g.refresh(p.estimator, replicas, now)
-	best := p.longest(request, replicas, now)
+	best := p.longestCached(request, replicas, now)
 	if best < 0 {
 		best = p.home(request, replicas)
 	}
@@ -136,7 +138,9 @@
 	return Choice{Index: best}
 }
 
-func (p *PrefixOnly) longest(request *Request, replicas []Replica, now time.Time) int {
+// longestCached returns the usable replica with the longest cached prefix; -1 if none has
+// a part of the prompt.
+func (p *PrefixOnly) longestCached(request *Request, replicas []Replica, now time.Time) int {
 	for _, match := range p.estimator.Match(request.Prefix, now, nil) {
 		if i, ok := p.group.index(match.Holder); ok && Usable(request, &replicas[i]) {
 			return i
@@ -145,15 +149,15 @@
 	return -1
 }
 
-// home returns the first usable rendezvous home; for a prompt too short to have digests
-// the replicas take turns.
+// home returns the first usable rendezvous home. Prompts too short to have digests are
+// spread over the replicas.
 func (p *PrefixOnly) home(request *Request, replicas []Replica) int {
 	key := homeKey(request)
 	if key == 0 {
-		key = mix(p.group.choices)
+		key = mix(p.group.choiceCount)
 	}
 	p.group.rank(key)
-	for _, i := range p.group.top[:p.group.found] {
+	for _, i := range p.group.ranked[:p.group.rankedCount] {
 		if Usable(request, &replicas[i]) {
 			return i
 		}
--- a/core/routing/combined.go
+++ b/core/routing/combined.go
@@ -9,14 +9,15 @@
 	"acaciacleat.example/core/prefix"
 )
 
-// Combined chooses by predicted time to first token: the work ahead under the agent's
-// priority rules, the prompt tokens not cached, the zone and the memory. Old digests
-// count for less and add jitter, so that entries with the same old view spread out.
+// Combined minimises the predicted time to first token, computed from the tokens ahead
+// under the agent's priority rules, the prompt tokens not cached, the zone and the free
+// memory. Older load reports have less weight and add jitter, so that entries with the
+// same old reports don't all choose the same replica.
 type Combined struct {
 	options   Options
 	random    *rand.Rand
 	estimator *prefix.Estimator
-	heat      *heat
+	loads     *prefixLoads
 	groups    map[string]*group
 	matches   []prefix.Match
 }
@@ -27,22 +28,23 @@
 		options:   options,
 		random:    rand.New(rand.NewPCG(options.Seed, 0)),
 		estimator: prefix.NewEstimator(options.CacheSlots, options.CacheAge),
-		heat:      newHeat(),
+		loads:     newPrefixLoads(),
 		groups:    make(map[string]*group),
 		matches:   make([]prefix.Match, 0, prefix.MaxDigests),
 	}
 }
 
-// Caches is the estimator behind the policy, for the cache events and usage counts that
-// the shell hears of. Holders are registered by Choose; see Holder.
+// Caches returns the policy's estimator of cached prefixes, to which the caller passes
+// cache events and usage counts. Choose registers the holders; see Holder.
 func (c *Combined) Caches() *prefix.Estimator { return c.estimator }
 
-// Holder returns the estimator's number for a replica.
+// Holder returns the estimator's holder for a replica.
 func (c *Combined) Holder(replica *Replica, now time.Time) prefix.Holder {
 	return c.estimator.Register(replica.Agent, replica.Incarnation, now)
 }
 
-// Choose implements Policy. A chosen replica is believed to cache the prompt from now on.
+// Choose implements Policy. The estimator then counts the prompt as cached at the chosen
+// replica.
 func (c *Combined) Choose(request *Request, replicas []Replica, now time.Time) Choice {
 	if len(replicas) == 0 {
 		return Choice{Index: -1}
@@ -51,19 +53,19 @@
 	g.refresh(c.estimator, replicas, now)
 	c.matches = c.estimator.Match(request.Prefix, now, c.matches[:0])
 	key := homeKey(request)
-	g.pick(c.matches, key, len(replicas), c.random)
-	g.measure(request, replicas, now, c.options.Staleness)
+	g.selectCandidates(c.matches, key, len(replicas), c.random)
+	g.estimateLoads(request, replicas, now, c.options.StalenessHalfLife)
 	if g.usable == 0 {
 		return Choice{Index: -1}
 	}
-	c.addCached(g, request)
-	c.addHomes(g, request, key, now)
+	c.applyCacheMatches(g, request)
+	c.creditHomes(g, request, key, now)
 	choice := c.best(g, request, replicas)
 	c.estimator.RecordPrompt(g.members[choice.Index].holder, request.Prefix, now)
 	return choice
 }
 
-// homeKey returns the digest that decides the homes of a prompt; 0 when it has none.
+// homeKey returns the digest that determines the homes of a prompt; 0 if it has none.
 func homeKey(request *Request) uint64 {
 	if depth := min(len(request.Prefix), homeDepth); depth > 0 {
 		return request.Prefix[depth-1]
@@ -71,41 +73,41 @@
 	return 0
 }
 
-// addCached enters what each replica is believed to hold of the prompt.
-func (c *Combined) addCached(g *group, request *Request) {
+// applyCacheMatches sets the part of the prompt that each replica is estimated to cache.
+func (c *Combined) applyCacheMatches(g *group, request *Request) {
 	for _, match := range c.matches {
 		if i, ok := g.index(match.Holder); ok {
-			g.members[i].cached = prefixTokens(request, match.Depth)
+			g.members[i].cachedTokens = prefixTokens(request, match.Depth)
 		}
 	}
 }
 
-// addHomes credits the homes of the prompt's beginning with a part of it.
+// creditHomes counts a part of the prompt's prefix as cached at its homes.
 //
-// What goes wrong: each of many entries sees a small part of the requests with one
-// prefix and would settle it on a replica of its own, so each replica computes it anew
-// and caches fill with copies. It shows as a low share of cached tokens. Rendezvous
-// hashing gives all entries the same homes without a message. The credit is a part of
-// homeDepth digests, so a home that is busier than another replica by more than that
-// loses the request: its load is bounded.
-func (c *Combined) addHomes(g *group, request *Request, key uint64, now time.Time) {
+// Each of many entries sees few of the requests with a given prefix and would send them to
+// a replica of its own choice, so that each replica computes the prefix again and the
+// caches fill with copies. Rendezvous hashing gives all entries the same homes without
+// communication. The credit is a share of at most homeDepth digests, so that a home whose
+// backlog exceeds another replica's by more than that loses the request, which bounds the
+// load of the homes.
+func (c *Combined) creditHomes(g *group, request *Request, key uint64, now time.Time) {
 	if key == 0 {
 		return
 	}
 	homes := 1
-	c.heat.add(key, request.Work.PromptTokens, now)
-	if c.options.HotSpread {
-		homes = c.heat.homes(key, len(g.members), now)
+	c.loads.add(key, request.Work.PromptTokens, now)
+	if c.options.SplitHotPrefixes {
+		homes = c.loads.homes(key, len(g.members), now)
 	}
-	credit := c.options.HomeBelief * prefixTokens(request, min(len(request.Prefix), homeDepth))
-	for _, i := range g.top[:g.found] {
+	credit := c.options.HomeCachedShare * prefixTokens(request, min(len(request.Prefix), homeDepth))
+	for _, i := range g.ranked[:g.rankedCount] {
 		m := &g.members[i]
 		if homes == 0 {
 			return
 		}
 		if m.usable {
 			homes--
-			m.cached = max(m.cached, credit)
+			m.cachedTokens = max(m.cachedTokens, credit)
 		}
 	}
 }
@@ -116,22 +118,22 @@
 	lowest := math.Inf(1)
 	salt := c.random.Uint64()
 	zoneDelay := c.options.ZoneDelay.Seconds()
-	prompt, need := float64(request.Work.PromptTokens), float64(request.Work.Tokens())
+	prompt, demand := float64(request.Work.PromptTokens), float64(request.Work.Tokens())
 	for _, i := range g.candidates {
 		m := &g.members[i]
 		if !m.usable {
 			continue
 		}
 		replica := &replicas[i]
-		work := m.ahead + max(0, prompt-m.cached)
-		if missing := need - m.cached - float64(replica.Load.FreeTokens); missing > 0 && replica.Load.CapacityTokens > 0 {
-			work += memoryWait * missing
+		tokens := m.tokensAhead + max(0, prompt-m.cachedTokens)
+		if missingMemory := demand - m.cachedTokens - float64(replica.Load.FreeTokens); missingMemory > 0 && replica.Load.CapacityTokens > 0 {
+			tokens += missingMemoryWeight * missingMemory
 		}
-		predicted := work / m.rate
+		predicted := tokens / m.prefillRate
 		if replica.Zone != request.Zone {
 			predicted += zoneDelay
 		}
-		score := predicted * (1 + c.options.Jitter*m.doubt*unit(mix(m.hash^salt)))
+		score := predicted * (1 + c.options.Jitter*m.staleness*unitInterval(mix(m.hash^salt)))
 		if score < lowest {
 			lowest = score
 			choice = Choice{Index: i, Predicted: time.Duration(predicted * float64(time.Second))}
@@ -140,10 +142,10 @@
 	return choice
 }
 
-// unit maps random bits to [0, 1).
-func unit(bits uint64) float64 { return float64(bits>>11) * 0x1p-53 }
+// unitInterval maps random bits to a number in [0, 1).
+func unitInterval(bits uint64) float64 { return float64(bits>>11) * 0x1p-53 }
 
-// prefixTokens converts a number of digests to prompt tokens.
+// prefixTokens estimates the number of prompt tokens that the first digests cover.
 func prefixTokens(request *Request, depth int) float64 {
 	bytes := float64(prefix.Boundary(depth))
 	if request.PromptBytes > 0 {
@@ -152,9 +154,9 @@
 	return min(bytes/defaultBytesPerToken, float64(request.Work.PromptTokens))
 }
 
-// ahead returns the prompt tokens that a request of the class waits for at a replica,
-// without the reader's own requests since the digest.
-func ahead(class call.Class, weights *queuedWeights, load *Load) float64 {
+// tokensAhead returns the prompt tokens that a request of the class waits for at a replica,
+// not counting the reader's own requests since the load report.
+func tokensAhead(class call.Class, weights *queuedWeights, load *Load) float64 {
 	row := &weights[class]
 	queued, running, longer := int64(0), int64(0), int64(0)
 	for other := range row {
--- a/core/routing/combined_test.go
+++ b/core/routing/combined_test.go
@@ -12,23 +12,23 @@
 	"pgregory.net/rapid"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-func fleet(n int, random *rand.Rand) []Replica {
+func testReplicas(n int, random *rand.Rand) []Replica {
 	replicas := make([]Replica, n)
 	for i := range replicas {
-		replicas[i] = Replica{Agent: fmt.Sprintf("agent-%d", i), Zone: fmt.Sprintf("zone-%d", i%3), Incarnation: 1, Seen: start}
+		replicas[i] = Replica{Agent: fmt.Sprintf("agent-%d", i), Zone: fmt.Sprintf("zone-%d", i%3), Incarnation: 1, Seen: startTime}
 		replicas[i].Load = Load{FreeTokens: 400_000, CapacityTokens: 400_000, PrefillRate: 40_000}
 		if random != nil {
 			replicas[i].Load.QueuedPrompt[call.Short] = random.Int64N(50_000)
 			replicas[i].Load.RunningPrompt[call.Long] = random.Int64N(300_000)
-			replicas[i].Seen = start.Add(-time.Duration(random.Int64N(int64(2 * time.Second))))
+			replicas[i].Seen = startTime.Add(-time.Duration(random.Int64N(int64(2 * time.Second))))
 		}
 	}
 	return replicas
 }
 
-func digestsOf(document uint64, count int) []uint64 {
+func testDigests(document uint64, count int) []uint64 {
 	digests := make([]uint64, count)
 	for i := range digests {
 		digests[i] = mix(document<<8 + uint64(i) + 1)
@@ -44,9 +44,9 @@
 		first, ok := ByName(name, seed)
 		require.True(t, ok)
 		second, _ := ByName(name, seed)
-		now := start
+		now := startTime
 		for range 30 {
-			replicas := fleet(1+random.IntN(20), random)
+			replicas := testReplicas(1+random.IntN(20), random)
 			usable := 0
 			for i := range replicas {
 				replicas[i].State = State(random.IntN(4))
@@ -55,7 +55,7 @@
 					usable++
 				}
 			}
-			request := &Request{Model: "served", Work: call.TokenDemand{PromptTokens: 1 + random.IntN(1_000_000)}, Zone: "zone-0", Prefix: digestsOf(uint64(random.IntN(5)), random.IntN(20))}
+			request := &Request{Model: "served", Work: call.TokenDemand{PromptTokens: 1 + random.IntN(1_000_000)}, Zone: "zone-0", Prefix: testDigests(uint64(random.IntN(5)), random.IntN(20))}
 			choice := first.Choose(request, replicas, now)
 			require.Equal(t, choice, second.Choose(request, replicas, now))
 			require.Equal(t, usable > 0, choice.Index >= 0)
@@ -70,35 +70,35 @@
 
 func TestCombinedWeighsCacheLoadZoneAndMemory(t *testing.T) {
 	c := NewCombined(DefaultOptions(1))
-	replicas := fleet(6, nil)
-	request := &Request{Work: call.TokenDemand{PromptTokens: 20_000}, Zone: "zone-1", Prefix: digestsOf(1, 19)}
-	home := c.Choose(request, replicas, start).Index
-	require.Equal(t, home, c.Choose(request, replicas, start).Index, "the prefix is cached there")
+	replicas := testReplicas(6, nil)
+	request := &Request{Work: call.TokenDemand{PromptTokens: 20_000}, Zone: "zone-1", Prefix: testDigests(1, 19)}
+	home := c.Choose(request, replicas, startTime).Index
+	require.Equal(t, home, c.Choose(request, replicas, startTime).Index, "the prefix is cached at its home")
 
 	replicas[home].Load.QueuedPrompt[call.Short] = 200_000
-	require.NotEqual(t, home, c.Choose(request, replicas, start).Index, "waiting there costs more than computing anew")
+	require.NotEqual(t, home, c.Choose(request, replicas, startTime).Index, "waiting at the home costs more than prefilling the prefix elsewhere")
 
 	plain := &Request{Work: call.TokenDemand{PromptTokens: 1000}, Zone: "zone-1"}
-	chosen := c.Choose(plain, replicas, start)
+	chosen := c.Choose(plain, replicas, startTime)
 	require.Equal(t, "zone-1", replicas[chosen.Index].Zone)
 	require.InDelta(t, 25*time.Millisecond, chosen.Predicted, float64(time.Millisecond))
 	replicas[1].Load.FreeTokens, replicas[4].Load.FreeTokens = 0, 0
-	require.NotEqual(t, "zone-1", replicas[c.Choose(plain, replicas, start).Index].Zone, "no memory there")
+	require.NotEqual(t, "zone-1", replicas[c.Choose(plain, replicas, startTime).Index].Zone, "the replicas of the zone have no free memory")
 }
 
-// Symptom: all entries send to the same replica until its next digest arrives.
-// Sequence: one replica reports an empty queue, the report grows old, forty entries decide.
-// Cause: an old report was believed as if it were fresh.
-func TestStaleViewsSpread(t *testing.T) {
+// One replica reports a short queue, and many entries decide by that report while it grows
+// old. If they trusted it like a new one, all would send to the same replica until its next
+// report arrives.
+func TestStaleViewsSpreadRequests(t *testing.T) {
 	counts := make(map[int]int)
 	for seed := range uint64(40) {
-		replicas := fleet(10, nil)
+		replicas := testReplicas(10, nil)
 		for i := range replicas {
 			replicas[i].Zone = "zone-0"
 			replicas[i].Load.QueuedPrompt[call.Short] = 40_000
 		}
 		replicas[3].Load.QueuedPrompt[call.Short] = 30_000
-		choice := NewCombined(DefaultOptions(seed)).Choose(&Request{Work: call.TokenDemand{PromptTokens: 4000}, Zone: "zone-0"}, replicas, start.Add(20*time.Second))
+		choice := NewCombined(DefaultOptions(seed)).Choose(&Request{Work: call.TokenDemand{PromptTokens: 4000}, Zone: "zone-0"}, replicas, startTime.Add(20*time.Second))
 		counts[choice.Index]++
 	}
 	require.GreaterOrEqual(t, len(counts), 5)
@@ -106,25 +106,25 @@
 }
 
 func TestHotPrefixSplitsAndMerges(t *testing.T) {
-	h := newHeat()
-	now := start
+	loads := newPrefixLoads()
+	now := startTime
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		h.add(1, 2000, now)
-		h.add(2, 100, now)
+		loads.add(1, 2000, now)
+		loads.add(2, 100, now)
 	}
-	require.Equal(t, maxHomes, h.homes(1, 14, now))
-	require.Equal(t, 2, h.homes(2, 14, now))
+	require.Equal(t, maxHomes, loads.homes(1, 14, now))
+	require.Equal(t, 2, loads.homes(2, 14, now))
 	for range 4000 {
 		now = now.Add(50 * time.Millisecond)
-		h.add(3, 2000, now)
+		loads.add(3, 2000, now)
 	}
-	require.Equal(t, 1, h.homes(1, 14, now), "it has gone cold")
+	require.Equal(t, 1, loads.homes(1, 14, now), "its load has decayed")
 }
 
 func TestPlainEjectsAndStartsSlowly(t *testing.T) {
 	p := NewPlain()
-	replicas := fleet(3, nil)
+	replicas := testReplicas(3, nil)
 	request := &Request{}
 	picks := func(at time.Time) (counts [3]int) {
 		for range 30 {
@@ -132,23 +132,23 @@
 		}
 		return counts
 	}
-	require.Equal(t, [3]int{10, 10, 10}, picks(start))
-	for range ejectAfter {
-		p.Finished("agent-1", true, start)
+	require.Equal(t, [3]int{10, 10, 10}, picks(startTime))
+	for range plainEjectThreshold {
+		p.Finished("agent-1", true, startTime)
 	}
-	require.Zero(t, picks(start)[1])
+	require.Zero(t, picks(startTime)[1])
 	for i := range replicas {
 		replicas[i].InFlight = 4
 	}
 	replicas[1].InFlight = 0
-	require.Zero(t, picks(start.Add(ejectBase + time.Second))[1], "slow start: one request weighs as ten")
-	require.Equal(t, 30, picks(start.Add(ejectBase + slowStart))[1])
+	require.Zero(t, picks(startTime.Add(minEjection + time.Second))[1], "slow start: one request counts as ten")
+	require.Equal(t, 30, picks(startTime.Add(minEjection + slowStart))[1])
 	for _, agent := range []string{"agent-0", "agent-1", "agent-2"} {
-		for range ejectAfter {
-			p.Finished(agent, true, start.Add(time.Hour))
+		for range plainEjectThreshold {
+			p.Finished(agent, true, startTime.Add(time.Hour))
 		}
 	}
-	require.GreaterOrEqual(t, p.Choose(request, replicas, start.Add(time.Hour)).Index, 0, "too many ejected: ignored")
+	require.GreaterOrEqual(t, p.Choose(request, replicas, startTime.Add(time.Hour)).Index, 0, "ejections are ignored if too many replicas are ejected")
 }
 
 func BenchmarkChoose(b *testing.B) {
@@ -163,13 +163,13 @@
 
 func benchmarkChoose(b *testing.B, n, digests int) {
 	random := rand.New(rand.NewPCG(1, 2))
-	replicas := fleet(n, random)
+	replicas := testReplicas(n, random)
 	c := NewCombined(DefaultOptions(1))
 	requests := make([]Request, 256)
 	for i := range requests {
-		requests[i] = Request{Work: call.TokenDemand{PromptTokens: digests * 512, MaxTokens: 500}, Zone: "zone-1", Prefix: digestsOf(uint64(i/4), digests)}
+		requests[i] = Request{Work: call.TokenDemand{PromptTokens: digests * 512, MaxTokens: 500}, Zone: "zone-1", Prefix: testDigests(uint64(i/4), digests)}
 	}
-	now := start
+	now := startTime
 	i := 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/routing/ejecting.go
+++ b/core/routing/ejecting.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// ejectEngineAfter is the number of failures in a row that eject an engine. An engine's
-// failure is seldom the request's doing, and each one costs a retry.
-const ejectEngineAfter = 2
+// engineEjectThreshold is the number of consecutive failures that eject an engine. The
+// request seldom causes an engine's failure, and each failure costs a retry.
+const engineEjectThreshold = 2
 
-// Learner is a policy that learns from how requests end.
+// Learner is a policy that takes the outcomes of requests into account.
 type Learner interface {
-	// Finished tells how a request to an agent's replica ended. A failure is one of the
+	// Finished records the end of a request to an agent's replica. A failure is one of the
 	// replica itself, not of the request.
 	Finished(agent string, failed bool, now time.Time)
 }
 
-// Ejecting keeps requests away from replicas that fail several times in a row, and asks
-// another policy about the rest.
+// Ejecting excludes replicas that fail several times in a row, for a time, and leaves the
+// choice among the rest to another policy.
 //
-// What goes wrong: an engine that breaks every stream frees its memory at once, looks
-// idle and draws all requests. It shows as one replica with most failures. Its failures
-// take it out for a time, unless so many fail that the fault is probably elsewhere.
+// An engine that breaks every stream frees its memory at once, so it looks idle and would
+// attract all requests. If more than maxEjectedShare of the replicas are ejected, the
+// cause is probably elsewhere, and the ejections are ignored.
 type Ejecting struct {
 	policy  Policy
-	states  map[string]*outlier
+	health  map[string]*replicaHealth
 	scratch []Replica
 }
 
-// NewEjecting wraps a policy.
+// NewEjecting returns an Ejecting that wraps a policy.
 func NewEjecting(policy Policy) *Ejecting {
-	return &Ejecting{policy: policy, states: make(map[string]*outlier)}
+	return &Ejecting{policy: policy, health: make(map[string]*replicaHealth)}
 }
 
 // Choose implements Policy.
 func (e *Ejecting) Choose(request *Request, replicas []Replica, now time.Time) Choice {
-	ejected := e.ejected(replicas, now)
-	if ejected == 0 || float64(ejected) > ejectShare*float64(live(replicas)) {
+	ejected := e.countEjected(replicas, now)
+	if ejected == 0 || float64(ejected) > maxEjectedShare*float64(countLive(replicas)) {
 		return e.policy.Choose(request, replicas, now)
 	}
 	e.scratch = append(e.scratch[:0], replicas...)
@@ -49,8 +49,8 @@
 	return choice
 }
 
-func (e *Ejecting) ejected(replicas []Replica, now time.Time) int {
-	if len(e.states) == 0 {
+func (e *Ejecting) countEjected(replicas []Replica, now time.Time) int {
+	if len(e.health) == 0 {
 		return 0
 	}
 	n := 0
@@ -63,11 +63,11 @@
 }
 
 func (e *Ejecting) isEjected(replica *Replica, now time.Time) bool {
-	state := e.states[replica.Agent]
+	state := e.health[replica.Agent]
 	return state != nil && state.ejectedUntil.After(now)
 }
 
-func live(replicas []Replica) int {
+func countLive(replicas []Replica) int {
 	n := 0
 	for i := range replicas {
 		if replicas[i].State == Live {
@@ -77,15 +77,15 @@
 	return n
 }
 
-// Finished implements Learner. Only replicas that failed are remembered.
+// Finished implements Learner. It tracks only replicas that have failed.
 func (e *Ejecting) Finished(agent string, failed bool, now time.Time) {
-	state := e.states[agent]
+	state := e.health[agent]
 	if state == nil {
-		if !failed || len(e.states) >= maxOutliers {
+		if !failed || len(e.health) >= maxTrackedReplicas {
 			return
 		}
-		state = &outlier{}
-		e.states[agent] = state
+		state = &replicaHealth{}
+		e.health[agent] = state
 	}
-	state.finished(failed, ejectEngineAfter, now)
+	state.record(failed, engineEjectThreshold, now)
 }
--- a/core/routing/ejecting_test.go
+++ b/core/routing/ejecting_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: most requests of a service fail although one engine of many is broken.
-// Sequence: the engine breaks each stream; its memory is free at once, so that it looks
-// the least loaded and gets the next request too.
-// Cause: load alone decides.
+// An engine that breaks each stream frees its memory at once, so that by load alone it gets
+// the next request too, and most requests of a service fail although one engine of many is
+// broken. Consecutive failures eject the engine for a time.
 func TestFailingEngineIsEjectedForATime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	replicas := []Replica{{Agent: "a"}, {Agent: "b"}, {Agent: "c"}}
@@ -25,14 +24,14 @@
 	e.Finished("a", true, now)
 	e.Finished("a", false, now)
 	e.Finished("a", true, now)
-	require.Len(t, chosen(now), 3, "failures that are not in a row eject nothing")
+	require.Len(t, chosen(now), 3, "failures that are not consecutive eject no replica")
 	e.Finished("a", true, now)
 	require.NotContains(t, chosen(now), 0)
-	require.Len(t, chosen(now.Add(ejectBase+1)), 3, "an ejection ends")
+	require.Len(t, chosen(now.Add(minEjection+1)), 3, "an ejection ends")
 	for _, agent := range []string{"a", "b"} {
 		e.Finished(agent, true, now)
 		e.Finished(agent, true, now)
 	}
-	require.Len(t, chosen(now), 3, "when most fail, nobody is ejected")
+	require.Len(t, chosen(now), 3, "ejections are ignored if most replicas fail")
 	require.Equal(t, 2, e.Choose(&Request{Exclude: []string{"a", "b"}}, replicas, now).Index)
 }
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -9,53 +9,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxGroups bounds the models remembered, should their names ever come from callers.
+// maxGroups bounds the number of groups, in case callers choose the model names.
 const maxGroups = 1024
 
 const (
 	// maxHomes bounds the homes of one prefix.
 	maxHomes = 8
-	// scanAll is the largest group of which every replica is scored. Of a larger one the
-	// likely holders, the homes and sample random replicas are, which bounds the time of
-	// a choice and keeps entries with the same old view apart.
-	scanAll = 32
-	sample  = 24
-	// recheck is the number of choices after which a large group's names are compared anew.
-	recheck = 64
+	// fullScanLimit is the largest group of which every replica is scored. In a larger group
+	// only the likely holders, the homes and sampleSize random replicas are scored, which
+	// bounds the time of a choice and makes entries with the same old reports choose
+	// differently.
+	fullScanLimit = 32
+	sampleSize    = 24
+	// recheckInterval is the number of choices after which the replicas of a large group are
+	// compared with the members again.
+	recheckInterval = 64
 )
 
-// member is what a choice computes of one replica. Its identity is kept between choices.
+// member holds the values that a choice computes for one replica. The identity and the
+// time of the load report are kept between choices.
 type member struct {
 	agent       string
 	incarnation call.Incarnation
 	holder      prefix.Holder
 	hash        uint64
-	seen        time.Time
-	seenAt      int64 // seen in ns since the group's origin
+	takenAt     time.Time
+	takenOffset int64 // takenAt in ns since the group's origin
 
-	usable bool
-	round  uint64  // the choice in which the member was last a candidate
-	own    float64 // prompt tokens of the reader's requests since the digest
-	ahead  float64 // prompt tokens to wait for
-	cached float64 // prompt tokens believed to be cached
-	rate   float64 // prompt tokens prefilled a second
-	doubt  float64 // 0 for a fresh digest, towards 1 with its age
+	usable        bool
+	lastCandidate uint64  // choiceCount of the last choice that had the member as a candidate
+	ownTokens     float64 // prompt tokens of the reader's requests since the load report
+	tokensAhead   float64 // prompt tokens to wait for
+	cachedTokens  float64 // prompt tokens estimated to be cached
+	prefillRate   float64 // prompt tokens per second
+	staleness     float64 // 0 for a new load report, approaches 1 with its age
 }
 
 // group holds the replicas of one model, in the order of the caller's slice.
 type group struct {
-	origin  time.Time
-	first   *Replica
-	choices uint64
-	members []member
-	hashes  []uint64
-	// places maps a holder to its place in members.
-	places     []int32
+	origin time.Time
+	// firstReplica is the first element of the last slice, to recognise the same slice.
+	firstReplica *Replica
+	choiceCount  uint64
+	members      []member
+	hashes       []uint64
+	// indexByHolder maps a holder to its index in members.
+	indexByHolder []int32
+	// candidates are the indexes that the current choice scores, usable the number of usable
+	// ones among them.
 	candidates []int
 	usable     int
-	top        [maxHomes]int
-	weight     [maxHomes]uint64
-	found      int
+	// ranked holds the rankedCount indexes with the highest rendezvous weights, and
+	// rankWeights these weights, in descending order.
+	ranked      [maxHomes]int
+	rankWeights [maxHomes]uint64
+	rankedCount int
 }
 
 func (c *Combined) group(model string) *group {
@@ -70,13 +78,13 @@
 	return g
 }
 
-// refresh brings members in line with replicas. Names in a large group are compared now
-// and then only; a replica that changed place meanwhile is scored with another's cache,
-// which costs time and nothing else.
+// refresh updates members to match replicas. In a large group the replicas are compared
+// only every recheckInterval choices. If a replica's index changes meanwhile, it is scored
+// with another replica's cache contents, which may cost time but is harmless otherwise.
 func (g *group) refresh(estimator *prefix.Estimator, replicas []Replica, now time.Time) {
-	g.choices++
-	same := g.first == &replicas[0] && len(g.members) == len(replicas)
-	if same && len(replicas) > scanAll && g.choices%recheck != 0 {
+	g.choiceCount++
+	same := g.firstReplica == &replicas[0] && len(g.members) == len(replicas)
+	if same && len(replicas) > fullScanLimit && g.choiceCount%recheckInterval != 0 {
 		return
 	}
 	if len(g.members) != len(replicas) {
@@ -86,7 +94,7 @@
 	if g.origin.IsZero() {
 		g.origin = now
 	}
-	g.first = &replicas[0]
+	g.firstReplica = &replicas[0]
 	for i := range replicas {
 		m := &g.members[i]
 		if m.agent == replicas[i].Agent && m.incarnation == replicas[i].Incarnation && m.hash != 0 {
@@ -97,31 +105,31 @@
 		m.hash = mix(xxhash.Sum64String(m.agent))
 		g.hashes[i] = m.hash
 		m.holder = estimator.Register(m.agent, m.incarnation, now)
-		g.place(m.holder, i)
+		g.setIndex(m.holder, i)
 	}
 }
 
-func (g *group) place(h prefix.Holder, i int) {
-	if missing := int(h) + 1 - len(g.places); missing > 0 {
-		g.places = append(g.places, make([]int32, missing)...)
+func (g *group) setIndex(h prefix.Holder, i int) {
+	if missing := int(h) + 1 - len(g.indexByHolder); missing > 0 {
+		g.indexByHolder = append(g.indexByHolder, make([]int32, missing)...)
 	}
-	g.places[h] = int32(i)
+	g.indexByHolder[h] = int32(i)
 }
 
-// index returns the place of a holder; false when it is none of this model's.
+// index returns the index of a holder in members; false if it does not belong to the group.
 func (g *group) index(h prefix.Holder) (int, bool) {
-	if int(h) >= len(g.places) {
+	if int(h) >= len(g.indexByHolder) {
 		return 0, false
 	}
-	i := int(g.places[h])
+	i := int(g.indexByHolder[h])
 	return i, i < len(g.members) && g.members[i].holder == h
 }
 
-// pick lists the places that the choice will score.
-func (g *group) pick(matches []prefix.Match, key uint64, count int, random *rand.Rand) {
+// selectCandidates sets the indexes that the choice scores.
+func (g *group) selectCandidates(matches []prefix.Match, key uint64, count int, random *rand.Rand) {
 	g.candidates = g.candidates[:0]
 	g.rank(key)
-	if count <= scanAll {
+	if count <= fullScanLimit {
 		for i := range count {
 			g.candidates = append(g.candidates, i)
 		}
@@ -129,29 +137,30 @@
 	}
 	for _, match := range matches {
 		if i, ok := g.index(match.Holder); ok {
-			g.add(i)
+			g.addCandidate(i)
 		}
-		if len(g.candidates) >= sample {
+		if len(g.candidates) >= sampleSize {
 			break
 		}
 	}
-	for _, i := range g.top[:g.found] {
-		g.add(i)
+	for _, i := range g.ranked[:g.rankedCount] {
+		g.addCandidate(i)
 	}
-	for range sample {
-		g.add(random.IntN(count))
+	for range sampleSize {
+		g.addCandidate(random.IntN(count))
 	}
 }
 
-func (g *group) add(i int) {
-	if m := &g.members[i]; m.round != g.choices {
-		m.round = g.choices
+func (g *group) addCandidate(i int) {
+	if m := &g.members[i]; m.lastCandidate != g.choiceCount {
+		m.lastCandidate = g.choiceCount
 		g.candidates = append(g.candidates, i)
 	}
 }
 
-// measure computes the work ahead at each candidate and draws old digests to the mean.
-func (g *group) measure(request *Request, replicas []Replica, now time.Time, staleness time.Duration) {
+// estimateLoads computes the tokens ahead at each candidate and shrinks those of old load
+// reports towards the mean.
+func (g *group) estimateLoads(request *Request, replicas []Replica, now time.Time, halfLife time.Duration) {
 	class := call.ClassOf(request.Work.PromptTokens)
 	weights := weightsFor(request.Objective)
 	at := int64(now.Sub(g.origin))
@@ -160,26 +169,27 @@
 	for _, i := range g.candidates {
 		m := &g.members[i]
 		r := &replicas[i]
-		m.cached = 0
+		m.cachedTokens = 0
 		m.usable = Usable(request, r)
 		if !m.usable {
 			continue
 		}
-		if m.seen != r.Seen {
-			m.seen = r.Seen
-			m.seenAt = g.sinceOrigin(r.Seen)
+		if m.takenAt != r.Seen {
+			m.takenAt = r.Seen
+			m.takenOffset = g.sinceOrigin(r.Seen)
 		}
-		m.own = float64(r.InFlightPrompt)
-		m.rate = rateOf(&r.Load)
-		m.ahead = ahead(class, weights, &r.Load)
-		m.doubt = doubt(at-m.seenAt, staleness)
-		total += m.ahead
+		m.ownTokens = float64(r.InFlightPrompt)
+		m.prefillRate = prefillRateOf(&r.Load)
+		m.tokensAhead = tokensAhead(class, weights, &r.Load)
+		m.staleness = stalenessOf(at-m.takenOffset, halfLife)
+		total += m.tokensAhead
 		g.usable++
 	}
-	g.shrink(total / float64(max(1, g.usable)))
+	g.shrinkToMean(total / float64(max(1, g.usable)))
 }
 
-// sinceOrigin converts the time of a digest; one never received is a century old.
+// sinceOrigin converts the time of a load report to ns since the origin. A report that was
+// never received counts as a century old.
 func (g *group) sinceOrigin(seen time.Time) int64 {
 	if seen.IsZero() {
 		return -int64(100 * 365 * 24 * time.Hour)
@@ -187,66 +197,69 @@
 	return int64(seen.Sub(g.origin))
 }
 
-// shrink moves the work ahead towards the mean by the doubt in its digest.
+// shrinkToMean moves the tokens ahead of each candidate towards the mean, by the staleness
+// of its load report, and adds the reader's own requests.
 //
-// What goes wrong: the replica that looked emptiest in an old view gets every request
-// until the next digest. It shows as queues that swing between replicas. An old
-// deviation from the mean has probably passed, so it is believed only in part; the
-// reader's own requests since then are certain and count in full.
-func (g *group) shrink(mean float64) {
+// Otherwise the replica with the least load in an old report would get every request until
+// the next report, and the queues would swing between replicas. An old deviation from the
+// mean has probably passed, so it counts only in part. The reader's own requests since the
+// report are certain and count in full.
+func (g *group) shrinkToMean(mean float64) {
 	for _, i := range g.candidates {
 		m := &g.members[i]
 		if m.usable {
-			m.ahead += m.doubt*(mean-m.ahead) + m.own
+			m.tokensAhead += m.staleness*(mean-m.tokensAhead) + m.ownTokens
 		}
 	}
 }
 
-func rateOf(load *Load) float64 {
+func prefillRateOf(load *Load) float64 {
 	if load.PrefillRate > 0 {
 		return load.PrefillRate
 	}
 	return defaultPrefillRate
 }
 
-// doubt is age / (age + staleness); a digest never received is so old that it is near 1.
-func doubt(age int64, staleness time.Duration) float64 {
+// stalenessOf returns age / (age + halfLife). It is close to 1 for a load report that was
+// never received, see sinceOrigin.
+func stalenessOf(age int64, halfLife time.Duration) float64 {
 	a := float64(max(0, age))
-	return a / (a + float64(staleness))
+	return a / (a + float64(halfLife))
 }
 
-// rank finds the places with the highest rendezvous weights for key, usable or not.
+// rank finds the indexes with the highest rendezvous weights for key, whether or not the
+// replicas are usable.
 func (g *group) rank(key uint64) {
-	g.found = 0
+	g.rankedCount = 0
 	if key == 0 {
 		return
 	}
 	least := uint64(0)
 	for i, hash := range g.hashes {
-		// The hash and the key are both mixed well: one multiplication orders them anew.
-		if w := (hash ^ key) * fibonacci; w > least || g.found < maxHomes {
-			least = g.insert(i, w)
+		// Both the hash and the key are well mixed, so that one multiplication is enough.
+		if w := (hash ^ key) * fibonacciMultiplier; w > least || g.rankedCount < maxHomes {
+			least = g.insertRanked(i, w)
 		}
 	}
 }
 
-// fibonacci is 2^64 divided by the golden ratio, made odd.
-const fibonacci = 0x9e3779b97f4a7c15
+// fibonacciMultiplier is 2^64 divided by the golden ratio, rounded to an odd number.
+const fibonacciMultiplier = 0x9e3779b97f4a7c15
 
-// insert enters a place into the ranking and returns the weight that the next must beat.
-func (g *group) insert(i int, w uint64) uint64 {
-	if g.found < maxHomes {
-		g.found++
+// insertRanked inserts an index into the ranking and returns the lowest weight in it.
+func (g *group) insertRanked(i int, w uint64) uint64 {
+	if g.rankedCount < maxHomes {
+		g.rankedCount++
 	}
-	j := g.found - 1
-	for ; j > 0 && g.weight[j-1] < w; j-- {
-		g.weight[j], g.top[j] = g.weight[j-1], g.top[j-1]
+	j := g.rankedCount - 1
+	for ; j > 0 && g.rankWeights[j-1] < w; j-- {
+		g.rankWeights[j], g.ranked[j] = g.rankWeights[j-1], g.ranked[j-1]
 	}
-	g.weight[j], g.top[j] = w, i
-	return g.weight[g.found-1]
+	g.rankWeights[j], g.ranked[j] = w, i
+	return g.rankWeights[g.rankedCount-1]
 }
 
-// mix is the finaliser of splitmix64, which spreads every input bit over all output bits.
+// mix is the finaliser of splitmix64: every input bit affects all output bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/core/routing/heat.go
+++ b/core/routing/heat.go
@@ -8,66 +8,71 @@
 )
 
 const (
-	// heatSlots bounds the prefixes whose load is followed; a prefix that loses its slot
-	// starts again as cold. 4,096 slots of 32 bytes are 128 KB.
-	heatSlots = 4096
-	// heatOver is the time constant by which load is forgotten, half of it in 20 s: a few rounds
-	// of queueing and prefill.
-	heatOver = 28_854 * time.Millisecond
-	// homeShare is the share of one replica's fair load that a home should carry for one
-	// prefix before a second home is worth a second copy of it (evaluator).
-	homeShare = 0.5
-	// shrinkShare is the part of the load for the present homes below which one is given
-	// up; the gap to 1 keeps a load near the edge from splitting and merging in turn.
-	shrinkShare = 0.6
-	// minHeat is the total of tokens below which no prefix is called hot.
-	minHeat = 200_000
+	// maxTrackedPrefixes bounds the prefixes whose load is tracked. A prefix that loses its
+	// slot starts again without load. 4,096 slots of 32 bytes are 128 KB.
+	maxTrackedPrefixes = 4096
+	// loadTimeConstant is the time constant of the decaying load sums, a half-life of 20 s:
+	// a few rounds of queueing and prefill.
+	loadTimeConstant = 28_854 * time.Millisecond
+	// loadPerHome is the load of one prefix, as a share of a replica's fair load, above
+	// which a second home is worth a second copy of the prefix.
+	loadPerHome = 0.5
+	// mergeThreshold is the part of the load for the present number of homes below which one
+	// of them is given up. It is below 1 so that a load near the edge does not split and
+	// merge in turn.
+	mergeThreshold = 0.6
+	// minTotalLoad is the total of tokens below which every prefix has one home.
+	minTotalLoad = 200_000
 )
 
-// heat follows the load in prompt tokens that each prefix brings, as sums that decay.
-// The reader sees a part of all requests only; shares of its own total stand for the whole.
-type heat struct {
-	slots []heatSlot
+// prefixLoads tracks the load in prompt tokens of each prefix, as decaying sums. The reader
+// sees only some of the requests; the shares of its own total estimate those of all.
+type prefixLoads struct {
+	slots []prefixLoad
 	total decay.Sum
 }
 
-type heatSlot struct {
+// prefixLoad is the load and the number of homes of one prefix.
+type prefixLoad struct {
 	key   uint64
 	load  decay.Sum
 	homes int
 }
 
-func newHeat() *heat { return &heat{slots: make([]heatSlot, heatSlots)} }
+func newPrefixLoads() *prefixLoads {
+	return &prefixLoads{slots: make([]prefixLoad, maxTrackedPrefixes)}
+}
 
-func (h *heat) add(key uint64, tokens int, now time.Time) {
-	h.total.Add(now, float64(tokens), heatOver)
-	s := &h.slots[key%heatSlots]
-	load := s.load.Value(now, heatOver)
-	if s.key != key {
-		// The heavier of two prefixes in one slot keeps it, as in a space-saving sketch.
+func (l *prefixLoads) add(key uint64, tokens int, now time.Time) {
+	l.total.Add(now, float64(tokens), loadTimeConstant)
+	slot := &l.slots[key%maxTrackedPrefixes]
+	load := slot.load.Value(now, loadTimeConstant)
+	if slot.key != key {
+		// Of two prefixes that share a slot the one with more load keeps it, as in the
+		// space-saving algorithm.
 		if load > float64(tokens) {
 			return
 		}
-		*s = heatSlot{key: key, homes: 1}
+		*slot = prefixLoad{key: key, homes: 1}
 	}
-	s.load.Add(now, float64(tokens), heatOver)
+	slot.load.Add(now, float64(tokens), loadTimeConstant)
 }
 
-// homes returns how many of the replicas should be homes of the prefix: one for each
-// homeShare of a replica's fair load.
-func (h *heat) homes(key uint64, replicas int, now time.Time) int {
-	s := &h.slots[key%heatSlots]
-	total := h.total.Value(now, heatOver)
-	if s.key != key || total < minHeat {
+// homes returns the number of replicas that should be homes of the prefix: one for each
+// loadPerHome of a replica's fair load.
+func (l *prefixLoads) homes(key uint64, replicas int, now time.Time) int {
+	slot := &l.slots[key%maxTrackedPrefixes]
+	total := l.total.Value(now, loadTimeConstant)
+	if slot.key != key || total < minTotalLoad {
 		return 1
 	}
-	wanted := s.load.Value(now, heatOver) / total * float64(replicas) / homeShare
-	if wanted > float64(s.homes) {
-		s.homes = int(math.Ceil(wanted))
+	target := slot.load.Value(now, loadTimeConstant) / total * float64(replicas) / loadPerHome
+	if target > float64(slot.homes) {
+		slot.homes = int(math.Ceil(target))
 	}
-	for s.homes > 1 && wanted < shrinkShare*float64(s.homes) {
-		s.homes--
+	for slot.homes > 1 && target < mergeThreshold*float64(slot.homes) {
+		slot.homes--
 	}
-	s.homes = min(s.homes, maxHomes, replicas)
-	return s.homes
+	slot.homes = min(slot.homes, maxHomes, replicas)
+	return slot.homes
 }
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -7,66 +7,70 @@
 	"acaciacleat.example/core/document"
 )
 
-// Options tunes Combined. Figures named "evaluator" come from core/policytest.
+// Options configures Combined. The evaluator is the simulation in core/policytest.
 type Options struct {
-	// Seed drives all randomness: the same seed and calls give the same choices.
+	// Seed seeds all randomness: the same seed and calls give the same choices.
 	Seed uint64
-	// HotSpread lets a prefix that carries much of the load have more than one home. It is
+	// SplitHotPrefixes gives a prefix that carries much of the load more than one home. It is
 	// off by default: with 40 % of the prompts on one document the evaluator's p95 fell by
-	// 4 to 5 %, but at 18 engines without one it rose by 22 to 35 %. A hot prefix spreads
-	// anyhow, as replicas that took some of its requests cache it too.
-	HotSpread bool
-	// ZoneDelay is added for a replica in another availability zone: a round trip.
+	// 4 to 5 %, but at 18 engines without such a document it rose by 22 to 35 %. A hot prefix
+	// spreads in any case, as replicas that took some of its requests cache it too.
+	SplitHotPrefixes bool
+	// ZoneDelay is the round trip added for a replica in another availability zone.
 	ZoneDelay time.Duration
-	// Staleness is the age at which half of a digest's deviation from the mean is believed.
-	Staleness time.Duration
-	// Jitter is the largest random part of the score, as a share of the predicted time,
-	// for a digest of unbounded age; a fresh digest has none.
+	// StalenessHalfLife is the age at which half of a load report's deviation from the mean
+	// is discounted.
+	StalenessHalfLife time.Duration
+	// Jitter is the largest random part of the score, as a share of the predicted time, for
+	// a load report of unbounded age. A new report gets none.
 	Jitter float64
-	// HomeBelief is the share of a prefix that its home is believed to cache although the
+	// HomeCachedShare is the share of a prefix that its home is assumed to cache although the
 	// reader did not send it there: another entry may have.
-	HomeBelief float64
+	HomeCachedShare float64
 	// CacheSlots and CacheAge size the estimator of cached prefixes; see package prefix.
 	CacheSlots int
 	CacheAge   time.Duration
 }
 
-// DefaultOptions returns the options that the evaluator chose.
+// DefaultOptions returns the options for the given random seed.
 func DefaultOptions(seed uint64) Options {
 	return Options{
-		Seed:       seed,
-		ZoneDelay:  3 * time.Millisecond, // the brief: over 1 ms one way
-		Staleness:  2 * time.Second,      // reports lag about a second
-		Jitter:     0.2,
-		HomeBelief: 0.5,
+		Seed:              seed,
+		ZoneDelay:         3 * time.Millisecond, // one way takes over 1 ms
+		StalenessHalfLife: 2 * time.Second,      // reports arrive about a second late
+		Jitter:            0.2,
+		HomeCachedShare:   0.5,
 	}
 }
 
 const (
-	// defaultPrefillRate is used before an agent has measured its own, in tokens/s.
+	// defaultPrefillRate is used until an agent has measured its own rate, in tokens/s.
 	defaultPrefillRate = 40_000
-	// homeDepth is the number of digests (4,096 tokens) that decide a prompt's home: more
-	// than most shared instructions, less than the documents that follow them.
+	// homeDepth is the number of digests (4,096 tokens) that determine a prompt's home. It is
+	// longer than most shared instructions and shorter than the documents that follow them.
 	homeDepth = 8
-	// defaultBytesPerToken is used when the request does not tell its bytes.
+	// defaultBytesPerToken is used if the request has no PromptBytes.
 	defaultBytesPerToken = 4
-	// memoryWait weighs missing memory against prefill: it is freed by finishing requests,
-	// which takes longer than prefilling as many tokens.
-	memoryWait = 2
+	// missingMemoryWeight is the weight of a token of missing memory relative to a token of
+	// prefill. Memory is freed when requests finish, which takes longer than prefilling as
+	// many tokens.
+	missingMemoryWeight = 2
 )
 
 // weightUnit is the denominator of queuedWeights.
 const weightUnit = 64
 
-// chunkTokens is what an engine prefills between two decisions by priority; a request
-// waits for so much of a longer one's running prefill. Common engines use 2,048 to 8,192.
+// chunkTokens is the number of prompt tokens that an engine prefills between two decisions
+// by priority. A request waits for at most that much of a longer request's running
+// prefill. Common engines use 2,048 to 8,192.
 const chunkTokens = 4096
 
-// queuedWeights tells, in weightUnits, which share of the queued prompt tokens of another
-// class a request of one class waits for: rows are the request's class, columns the
-// other's. They follow the agent's queue (package scheduling): shorter first. The small
-// weights of longer classes keep short requests from slowing a long one where there is a
-// choice; without them the evaluator's long p95 rose from 27 s to 100 s.
+// queuedWeights holds the share, in units of 1/weightUnit, of the queued prompt tokens of
+// each class that a request waits for. Rows are the request's class, columns the class of
+// the queued tokens. The weights follow the order of the agent's queue (package
+// scheduling), shorter requests first. The small weights of longer classes steer short
+// requests away from replicas where they would delay a long one; without them the
+// evaluator's long p95 rose from 27 s to 100 s.
 type queuedWeights [call.NumClasses][call.NumClasses]int64
 
 var (
--- a/core/routing/plain.go
+++ b/core/routing/plain.go
@@ -7,63 +7,65 @@
 )
 
 const (
-	// ejectAfter is the number of failures in a row that eject a replica; one failure may
-	// be the caller's doing, five in a row seldom are.
-	ejectAfter = 5
-	// ejectBase is the first ejection's length; each further one doubles it up to ejectMax.
-	ejectBase = 10 * time.Second
-	ejectMax  = 5 * time.Minute
-	// ejectShare is the largest share of replicas ejected at once: if more fail, the fault
-	// is probably not theirs and the rest could not carry the load.
-	ejectShare = 0.5
-	// slowStart is how long a new or returned replica takes to its full share.
+	// plainEjectThreshold is the number of consecutive failures that eject a replica. The
+	// caller may cause one failure, but seldom five in a row.
+	plainEjectThreshold = 5
+	// minEjection is the duration of the first ejection; each further one doubles it up to
+	// maxEjection.
+	minEjection = 10 * time.Second
+	maxEjection = 5 * time.Minute
+	// maxEjectedShare is the largest share of replicas ejected at once. If more fail, the
+	// cause is probably elsewhere, and the rest could not carry the load.
+	maxEjectedShare = 0.5
+	// slowStart is the time in which a new or readmitted replica reaches its full share.
 	slowStart = 20 * time.Second
-	// slowStartLeast is its share at the start.
-	slowStartLeast = 0.1
-	// maxOutliers bounds the remembered replicas.
-	maxOutliers = 4096
+	// slowStartMinShare is its share at the start.
+	slowStartMinShare = 0.1
+	// maxTrackedReplicas bounds the number of replicas whose health is tracked.
+	maxTrackedReplicas = 4096
 )
 
-// Plain chooses for plain services: fewest outstanding requests, without replicas that
-// keep failing, and with a slow start for new ones.
+// Plain chooses among replicas of plain services: the one with the fewest outstanding
+// requests, without replicas that keep failing, and with a slow start for new ones.
 type Plain struct {
-	states map[string]*outlier
+	health map[string]*replicaHealth
 	next   int
 }
 
-type outlier struct {
-	incarnation  call.Incarnation
-	since        time.Time // start of the slow start
-	ejectedUntil time.Time
-	failures     int
-	ejections    int
-	lastSeen     time.Time
+// replicaHealth tracks the failures and ejections of one replica.
+type replicaHealth struct {
+	incarnation         call.Incarnation
+	slowStartAt         time.Time
+	ejectedUntil        time.Time
+	consecutiveFailures int
+	ejections           int
+	lastSeen            time.Time
 }
 
-// NewPlain returns a Plain that knows of no replica. The replicas of the first choice
-// start at their full share.
-func NewPlain() *Plain { return &Plain{states: make(map[string]*outlier)} }
+// NewPlain returns a Plain without any replica. The replicas of the first choice have no
+// slow start.
+func NewPlain() *Plain { return &Plain{health: make(map[string]*replicaHealth)} }
 
 // Choose implements Policy.
 func (p *Plain) Choose(request *Request, replicas []Replica, now time.Time) Choice {
-	fresh := len(p.states) == 0
+	initial := len(p.health) == 0
 	live, ejected := 0, 0
 	for i := range replicas {
 		if !Usable(request, &replicas[i]) {
 			continue
 		}
 		live++
-		if p.state(&replicas[i], fresh, now).ejectedUntil.After(now) {
+		if p.healthOf(&replicas[i], initial, now).ejectedUntil.After(now) {
 			ejected++
 		}
 	}
-	ignore := float64(ejected) > ejectShare*float64(live)
-	return Choice{Index: p.least(request, replicas, ignore, now)}
+	ignoreEjections := float64(ejected) > maxEjectedShare*float64(live)
+	return Choice{Index: p.leastLoaded(request, replicas, ignoreEjections, now)}
 }
 
-// least returns the usable replica with the least weighted load, starting at a place that
-// moves on, so that equals take turns.
-func (p *Plain) least(request *Request, replicas []Replica, ignoreEjection bool, now time.Time) int {
+// leastLoaded returns the usable replica with the least weighted load. The search starts at
+// another replica each time, so that equally loaded replicas take turns.
+func (p *Plain) leastLoaded(request *Request, replicas []Replica, ignoreEjections bool, now time.Time) int {
 	best, lowest := -1, 0.0
 	p.next++
 	for step := range replicas {
@@ -71,11 +73,11 @@
 		if !Usable(request, &replicas[i]) {
 			continue
 		}
-		state := p.states[replicas[i].Agent]
-		if !ignoreEjection && state.ejectedUntil.After(now) {
+		state := p.health[replicas[i].Agent]
+		if !ignoreEjections && state.ejectedUntil.After(now) {
 			continue
 		}
-		load := outstanding(&replicas[i]) / state.share(now)
+		load := outstanding(&replicas[i]) / state.slowStartShare(now)
 		if best < 0 || load < lowest {
 			best, lowest = i, load
 		}
@@ -87,21 +89,21 @@
 	return float64(replica.InFlight+replica.Load.QueuedCalls+replica.Load.RunningCalls) + 1
 }
 
-func (o *outlier) share(now time.Time) float64 {
-	return min(1, max(slowStartLeast, float64(now.Sub(o.since))/float64(slowStart)))
+func (o *replicaHealth) slowStartShare(now time.Time) float64 {
+	return min(1, max(slowStartMinShare, float64(now.Sub(o.slowStartAt))/float64(slowStart)))
 }
 
-func (p *Plain) state(replica *Replica, fresh bool, now time.Time) *outlier {
-	state := p.states[replica.Agent]
+func (p *Plain) healthOf(replica *Replica, initial bool, now time.Time) *replicaHealth {
+	state := p.health[replica.Agent]
 	if state == nil || state.incarnation != replica.Incarnation {
-		if len(p.states) >= maxOutliers {
+		if len(p.health) >= maxTrackedReplicas {
 			p.dropOldest()
 		}
-		state = &outlier{incarnation: replica.Incarnation, since: now}
-		if fresh {
-			state.since = now.Add(-slowStart)
+		state = &replicaHealth{incarnation: replica.Incarnation, slowStartAt: now}
+		if initial {
+			state.slowStartAt = now.Add(-slowStart)
 		}
-		p.states[replica.Agent] = state
+		p.health[replica.Agent] = state
 	}
 	state.lastSeen = now
 	return state
@@ -109,38 +111,39 @@
 
 func (p *Plain) dropOldest() {
 	oldest := ""
-	for agent, state := range p.states {
-		if oldest == "" || state.lastSeen.Before(p.states[oldest].lastSeen) {
+	for agent, state := range p.health {
+		if oldest == "" || state.lastSeen.Before(p.health[oldest].lastSeen) {
 			oldest = agent
 		}
 	}
-	delete(p.states, oldest)
+	delete(p.health, oldest)
 }
 
-// Finished tells how a request to an agent's replica ended. A failure is one of the
-// replica itself (no answer, a 5xx status), not of the request.
+// Finished implements Learner. A failure is one of the replica itself (no answer, a 5xx
+// status), not of the request.
 //
-// What goes wrong: a replica that fails at once looks idle and draws all requests. It
-// shows as a rise of failures from one replica. Failures in a row eject it for a time.
+// A replica that fails at once looks idle and would attract all requests, so consecutive
+// failures eject it for a time.
 func (p *Plain) Finished(agent string, failed bool, now time.Time) {
-	if state := p.states[agent]; state != nil {
-		state.finished(failed, ejectAfter, now)
+	if state := p.health[agent]; state != nil {
+		state.record(failed, plainEjectThreshold, now)
 	}
 }
 
-// finished counts an end and ejects the replica after so many failures in a row.
-func (o *outlier) finished(failed bool, after int, now time.Time) {
+// record counts the end of a request and ejects the replica after threshold consecutive
+// failures.
+func (o *replicaHealth) record(failed bool, threshold int, now time.Time) {
 	if !failed {
-		o.failures = 0
+		o.consecutiveFailures = 0
 		return
 	}
-	o.failures++
-	if o.failures < after {
+	o.consecutiveFailures++
+	if o.consecutiveFailures < threshold {
 		return
 	}
-	length := min(ejectMax, ejectBase<<min(o.ejections, 5))
+	duration := min(maxEjection, minEjection<<min(o.ejections, 5))
 	o.ejections++
-	o.failures = 0
-	o.ejectedUntil = now.Add(length)
-	o.since = o.ejectedUntil
+	o.consecutiveFailures = 0
+	o.ejectedUntil = now.Add(duration)
+	o.slowStartAt = o.ejectedUntil
 }
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing chooses the replica that a request is offered to. Its decisions
-// are pure: what is known about the replicas and the time go in, a choice comes out.
+// Package routing chooses the replica that a request is offered to. It does no I/O and
+// reads no clock: callers pass in the state of the replicas and the time.
 package routing
 
 import (
@@ -9,10 +9,10 @@
 	"acaciacleat.example/core/document"
 )
 
-// State says whether a replica may be given new work.
+// State says whether a replica may receive new requests.
 type State uint8
 
-// The states of a replica in an entry's view.
+// The states of a replica as an entry sees it.
 const (
 	Live State = iota
 	Suspect
@@ -20,8 +20,9 @@
 	Dead
 )
 
-// Load is an agent's digest of its own load. Agents of one model and zone exchange
-// it and every reply to an entry carries it. All counts are tokens unless named otherwise.
+// Load is an agent's report of its own load. Agents of one model and zone exchange
+// reports, and every reply to an entry carries one. All counts are tokens unless named
+// otherwise.
 type Load struct {
 	// QueuedPrompt and RunningPrompt count prompt tokens not yet prefilled, by class.
 	QueuedPrompt  [call.NumClasses]int64
@@ -29,20 +30,20 @@
 	// QueuedCalls and RunningCalls count requests.
 	QueuedCalls  int32
 	RunningCalls int32
-	// FreeTokens is KV cache memory that is neither used nor reserved.
+	// FreeTokens is the KV cache memory that is neither used nor reserved.
 	FreeTokens int64
-	// CapacityTokens is the engine's whole KV cache memory.
+	// CapacityTokens is the engine's total KV cache memory.
 	CapacityTokens int64
-	// PrefillRate is the agent's running estimate of prompt tokens prefilled a second.
+	// PrefillRate is the agent's running estimate of prompt tokens prefilled per second.
 	PrefillRate float64
-	// Down says that the upstream gives no sign of life; the agent refuses work for it.
+	// Down is set while the upstream does not respond; the agent then refuses requests.
 	Down bool
-	// Sequence rises by one with each digest of one incarnation, so that an older one
-	// that arrives late is recognised and dropped.
+	// Sequence rises by one with each report of one incarnation, so that a report that
+	// arrives out of order is recognised and dropped.
 	Sequence uint64
 }
 
-// Replica is what an entry knows of one upstream and the agent beside it.
+// Replica is the state of one upstream and its agent, as known to the reader.
 type Replica struct {
 	// Agent is the VM's identity in the list of VMs.
 	Agent       string
@@ -52,15 +53,16 @@
 	Incarnation call.Incarnation
 	State       State
 	Load        Load
-	// Seen is when Load was received, by the reader's own clock; zero when never.
+	// Seen is the time at which Load was taken, by the reader's own clock; zero if no report
+	// was received.
 	Seen time.Time
-	// InFlight counts the reader's own requests offered since Seen and not finished.
+	// InFlight counts the reader's own requests offered since Seen and not yet finished.
 	InFlight int32
 	// InFlightPrompt is the sum of their prompt tokens.
 	InFlightPrompt int64
 }
 
-// Request is what routing weighs about a request.
+// Request holds the properties of a request that routing depends on.
 type Request struct {
 	Service      string
 	Model        string
@@ -68,18 +70,18 @@
 	Work         call.TokenDemand
 	Zone         string
 	Objective    document.Objective
-	// PromptBytes is the length of the prompt that Prefix was made from; 0 when unknown.
+	// PromptBytes is the length of the prompt that Prefix was computed from; 0 if unknown.
 	PromptBytes int
 	// Prefix holds rolling digests of the prompt at fixed block boundaries, shortest first.
 	Prefix   []uint64
 	Deadline time.Time
-	// Exclude names agents that already refused; it is short.
+	// Exclude lists the agents that already refused the request. It is short.
 	Exclude []string
 }
 
 // Choice is the outcome of a routing decision.
 type Choice struct {
-	// Index is the chosen replica's place in the slice given; -1 when none will do.
+	// Index is the index of the chosen replica in the given slice; -1 if none is usable.
 	Index int
 	// Predicted is the predicted time to first token.
 	Predicted time.Duration
@@ -91,7 +93,8 @@
 	Choose(request *Request, replicas []Replica, now time.Time) Choice
 }
 
-// Naive is the baseline: round robin over live replicas, blind to load and length.
+// Naive is the baseline: round robin over live replicas, whatever their load and the
+// length of the prompt.
 type Naive struct{ next int }
 
 // Choose implements Policy.
@@ -106,13 +109,13 @@
 	return Choice{Index: -1}
 }
 
-// Usable reports whether a replica may be offered the request at all.
+// Usable reports whether a replica may be offered the request.
 func Usable(request *Request, replica *Replica) bool {
 	if replica.State != Live {
 		return false
 	}
-	// An engine that serves another model refuses the request. One that hasn't reported
-	// yet may serve it.
+	// An engine that serves another model refuses the request. An engine that has not
+	// reported its model yet may serve this one.
 	if replica.Model != "" && request.Model != "" && replica.Model != request.Model {
 		return false
 	}
