--- a/core/document/apply.go
+++ b/core/document/apply.go
@@ -9,12 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNoHeader means that an update concerns a service that the snapshot lacks and brings
-// no header for it: an earlier update is missing, and the documents must be loaded anew.
+// ErrNoHeader means that an update without a header concerns a service that the snapshot
+// does not have. An earlier update is missing, and all documents must be loaded again.
 var ErrNoHeader = errors.New("document: update of an unknown service")
 
-// Apply returns the snapshot after the updates, at the given revision. It shares what
-// did not change with s, which stays as it was.
+// Apply returns the snapshot after the updates, at the given revision. It shares unchanged
+// parts with s, which it does not change.
 func (s *Snapshot) Apply(revision Revision, updates []Update) (*Snapshot, error) {
 	size := 0
 	for i := range updates {
@@ -26,32 +26,34 @@
 			return nil, err
 		}
 	}
-	return b.finish(), nil
+	return b.build(), nil
 }
 
-// builder makes one snapshot from another. It copies a map before its first change.
+// builder derives one snapshot from another. It copies a map before the first change to it.
 type builder struct {
-	snapshot      *Snapshot
+	snapshot *Snapshot
+	// ownKeys and ownPrincipals mark the shards that are copied already.
 	ownKeys       [shardCount]bool
 	ownPrincipals [shardCount]bool
-	// edits holds the principals that change, and place the index of each in it. They
-	// are entered in this order, for a walk over a map of 35,000 misses the CPU's cache.
-	edits []edit
-	place map[string]int
+	// edits holds the changed principals, and editIndex the index of each. build enters them
+	// in this order: iterating over a map of 35,000 would miss the CPU's cache.
+	edits     []edit
+	editIndex map[string]int
 }
 
+// edit is a principal before and after the change; before is nil for a new one.
 type edit struct {
 	before *Principal
 	after  *Principal
 }
 
-// newBuilder returns a builder that has room for size changed organisations.
+// newBuilder returns a builder with capacity for size changed organisations.
 func newBuilder(from *Snapshot, revision Revision, size int) *builder {
 	next := *from
 	next.Revision = revision
 	next.services = cloneMap(from.services)
 	next.models = cloneMap(from.models)
-	return &builder{snapshot: &next, edits: make([]edit, 0, size), place: make(map[string]int, size)}
+	return &builder{snapshot: &next, edits: make([]edit, 0, size), editIndex: make(map[string]int, size)}
 }
 
 // cloneMap copies a map; unlike maps.Clone it never returns nil.
@@ -86,7 +88,7 @@
 		b.revoke(update.Service, name)
 	}
 	for i := range update.Put {
-		// A copy of its own: a pointer into a list would keep the whole list in memory.
+		// Copy the row: a pointer into the list would keep the whole list in memory.
 		row := update.Put[i]
 		b.grant(update.Service, &row)
 	}
@@ -141,9 +143,9 @@
 	principal.grants = slices.DeleteFunc(principal.grants, func(g grant) bool { return g.service == service })
 }
 
-// edit returns a principal that this builder may change.
+// edit returns a copy of the principal that the builder may change.
 func (b *builder) edit(organisation string) *Principal {
-	if i, ok := b.place[organisation]; ok {
+	if i, ok := b.editIndex[organisation]; ok {
 		return b.edits[i].after
 	}
 	before := b.snapshot.organisation(organisation)
@@ -151,14 +153,15 @@
 	if before != nil {
 		after.grants = slices.Clone(before.grants)
 	}
-	b.place[organisation] = len(b.edits)
+	b.editIndex[organisation] = len(b.edits)
 	b.edits = append(b.edits, edit{before: before, after: after})
 	return after
 }
 
-// finish enters the changed principals. All old keys go before any new one comes: a key
-// that moved from one organisation to another must not be removed after it was entered.
-func (b *builder) finish() *Snapshot {
+// build enters the changed principals and returns the snapshot. It removes all old keys
+// before it enters any new one; otherwise a key that moved from one organisation to another
+// could be removed after it was entered.
+func (b *builder) build() *Snapshot {
 	for _, e := range b.edits {
 		if e.before != nil {
 			eachKey(e.before, func(hash KeyHash) { delete(b.keyShard(hash), hash) })
--- a/core/document/defaults.go
+++ b/core/document/defaults.go
@@ -2,16 +2,16 @@
 
 import "acaciacleat.example/core/call"
 
-// DefaultRetryRatio is used where a document gives none: one retry for ten first
-// attempts, so that retries can add at most a tenth to an overload.
+// DefaultRetryRatio applies if a document has no retry ratio: one retry for ten first
+// attempts, so that retries add at most a tenth to an overload.
 const DefaultRetryRatio = 0.1
 
-// DefaultObjective is used where a model service gives none.
+// DefaultObjective applies if a model service has no objective.
 const DefaultObjective = TimeToFirstToken
 
-// defaultDeadlines are starting values in milliseconds. A crew waits for a short answer
-// on its feet, hence half a minute; the others grow with the prefill of their largest
-// prompt. A service's team sets its own from what it measures.
+// defaultDeadlines apply to classes for which a document has no deadline. People wait for
+// short answers while they work, hence 30 s; the other deadlines grow with the prefill time
+// of the largest prompt of the class.
 var defaultDeadlines = [call.NumClasses]Deadline{
 	call.Short:  {Class: call.Short.String(), DefaultMs: 30_000, MaxMs: 120_000},
 	call.Medium: {Class: call.Medium.String(), DefaultMs: 120_000, MaxMs: 600_000},
@@ -19,8 +19,8 @@
 	call.Huge:   {Class: call.Huge.String(), DefaultMs: 1_800_000, MaxMs: 3_600_000},
 }
 
-// SetDefaults fills in what the document leaves out, so that every reader sees the
-// same values. It is idempotent.
+// SetDefaults sets the fields that the document omits, so that every reader sees the same
+// values. It is idempotent.
 func SetDefaults(service *Service) {
 	if service.RetryRatio == 0 {
 		service.RetryRatio = DefaultRetryRatio
@@ -36,8 +36,8 @@
 	}
 }
 
-// DeadlineFor returns the bounds on the time of a request of the given class. A plain
-// service's calls have the class Short.
+// DeadlineFor returns the time bounds of a request of the given class. Calls of a plain
+// service have the class Short.
 func (s *Service) DeadlineFor(class call.Class) Deadline {
 	if class >= call.NumClasses {
 		class = call.Huge
--- a/core/document/diff.go
+++ b/core/document/diff.go
@@ -9,12 +9,12 @@
 	"acaciacleat.example/core/strictjson"
 )
 
-// Change is one difference between two documents, for people to read.
+// Change is one difference between two documents, in a human-readable form.
 type Change struct {
-	// Path is the JSON path of the value; an element of a list is named by what
-	// identifies it and not by its place.
+	// Path is the JSON path of the value. It names an element of a list by its key (see
+	// elementKey) and not by its index.
 	Path string `json:"path"`
-	// Old and New are the values as JSON, shortened; empty where there is none.
+	// Old and New are the values as JSON, shortened; empty if there is none.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
@@ -47,8 +47,8 @@
 
 func diffStruct(changes []Change, path string, old, new reflect.Value) []Change {
 	for i := range old.NumField() {
-		at := path + "." + strictjson.JSONName(old.Type().Field(i))
-		changes = diffValue(changes, at, old.Field(i), new.Field(i))
+		fieldPath := path + "." + strictjson.JSONName(old.Type().Field(i))
+		changes = diffValue(changes, fieldPath, old.Field(i), new.Field(i))
 	}
 	return changes
 }
@@ -67,43 +67,43 @@
 }
 
 func diffList(changes []Change, path string, old, new reflect.Value) []Change {
-	before, after := elements(old), elements(new)
+	before, after := elementsByKey(old), elementsByKey(new)
 	names := make([]string, 0, len(before)+len(after))
 	for name := range before {
 		names = append(names, name)
 	}
 	for name := range after {
-		if _, both := before[name]; !both {
+		if _, inBoth := before[name]; !inBoth {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		at := fmt.Sprintf("%s[%q]", path, name)
-		was, had := before[name]
-		is, has := after[name]
+		elementPath := fmt.Sprintf("%s[%q]", path, name)
+		oldElement, inOld := before[name]
+		newElement, inNew := after[name]
 		switch {
-		case !had:
-			changes = append(changes, Change{Path: at, New: strictjson.Spell(is.Interface())})
-		case !has:
-			changes = append(changes, Change{Path: at, Old: strictjson.Spell(was.Interface())})
+		case !inOld:
+			changes = append(changes, Change{Path: elementPath, New: strictjson.Spell(newElement.Interface())})
+		case !inNew:
+			changes = append(changes, Change{Path: elementPath, Old: strictjson.Spell(oldElement.Interface())})
 		default:
-			changes = diffValue(changes, at, was, is)
+			changes = diffValue(changes, elementPath, oldElement, newElement)
 		}
 	}
 	return changes
 }
 
-func elements(list reflect.Value) map[string]reflect.Value {
+func elementsByKey(list reflect.Value) map[string]reflect.Value {
 	m := make(map[string]reflect.Value, list.Len())
 	for i := range list.Len() {
-		m[identity(list.Index(i).Interface())] = list.Index(i)
+		m[elementKey(list.Index(i).Interface())] = list.Index(i)
 	}
 	return m
 }
 
-// identity returns what names an element among those of its list.
-func identity(element any) string {
+// elementKey returns a key that is unique among the elements of a valid list.
+func elementKey(element any) string {
 	switch e := element.(type) {
 	case Model:
 		return e.Name
--- a/core/document/document.go
+++ b/core/document/document.go
@@ -7,7 +7,7 @@
 	"encoding/hex"
 )
 
-// Kind says what stands behind a service.
+// Kind is the type of upstream that serves a service.
 type Kind string
 
 // The kinds of service.
@@ -16,19 +16,19 @@
 	KindPlain Kind = "plain"
 )
 
-// Objective chooses what routing and scheduling weigh most.
+// Objective is the metric that routing and scheduling optimise.
 type Objective string
 
 // The objectives.
 const (
-	// ShortSlowdown weighs how little long requests slow short ones.
+	// ShortSlowdown minimises the slowdown of short requests by long ones.
 	ShortSlowdown Objective = "short-slowdown"
-	// TimeToFirstToken weighs time to first token over all lengths.
+	// TimeToFirstToken minimises the time to first token of requests of all lengths.
 	TimeToFirstToken Objective = "time-to-first-token"
 )
 
-// Service is the document of one service. With no Organisations it is the service's
-// header, which is all that an agent holds; Rows and Assemble convert between the two.
+// Service is the document of one service. Without Organisations it is the service's header;
+// agents hold only headers. Rows and Assemble convert between the two.
 type Service struct {
 	// Name is the service's name in paths and rows: 1 to 63 of a-z, 0-9 and '-'.
 	Name string `json:"name" validate:"servicename"`
@@ -40,29 +40,30 @@
 	Models []Model `json:"models,omitempty" validate:"max=1000,dive"`
 	// NonRepeatable lists the calls that must run at most once.
 	NonRepeatable []CallPattern `json:"nonRepeatable,omitempty" validate:"max=1000,dive"`
-	// Deadlines bounds the time that requests may take, by length class; a plain
-	// service uses the class "short".
+	// Deadlines bounds the time of requests, by length class; a plain service uses the class
+	// "short".
 	Deadlines []Deadline `json:"deadlines,omitempty" validate:"dive"`
-	// UpstreamsCheckFencing says whether the upstreams refuse orders with an old fencing number.
+	// UpstreamsCheckFencing is set if the upstreams refuse orders with an old fencing token.
 	UpstreamsCheckFencing bool `json:"upstreamsCheckFencing"`
 	// RetryRatio is the number of retries allowed per first attempt, above 0 and up to
 	// 0.1. Zero and absent both mean DefaultRetryRatio.
 	RetryRatio float64 `json:"retryRatio,omitempty" validate:"gte=0,lte=0.1"`
-	// Organisations lists who may call the service. Each is stored as a row of its own.
+	// Organisations lists the organisations that may call the service. Each is stored as a
+	// row of its own.
 	Organisations []Organisation `json:"organisations" validate:"dive"`
 }
 
 // Model is one model of a model service.
 type Model struct {
-	// Name is what callers send in "model".
+	// Name is the value that callers send in the field "model".
 	Name string `json:"name" validate:"label"`
 	// Version is the version that replicas should serve.
 	Version string `json:"version" validate:"label"`
-	// Canary is a second version under trial; empty when there is none.
+	// Canary is the version under canary testing; empty if there is none.
 	Canary string `json:"canary,omitempty" validate:"omitempty,label"`
 	// CanaryShare is the share of replicas on the canary version, 0 to 0.5.
 	CanaryShare float64 `json:"canaryShare,omitempty" validate:"gte=0,lte=0.5"`
-	// Adapters are the adapters to load beside the model.
+	// Adapters are the adapters to load with the model.
 	Adapters []string `json:"adapters,omitempty" validate:"max=1000,dive,label"`
 	// Replicas is the number of engines that should serve the model.
 	Replicas int `json:"replicas" validate:"gte=0,lte=100000"`
@@ -76,8 +77,8 @@
 type CallPattern struct {
 	// Method is an HTTP method in capitals, or "*".
 	Method string `json:"method" validate:"oneof=* GET HEAD POST PUT PATCH DELETE OPTIONS"`
-	// Path is the path below the service; a segment "*" matches one segment and a
-	// last segment "**" the rest.
+	// Path is the path below the service. A segment "*" matches one segment, and a last
+	// segment "**" matches all remaining segments, if any.
 	Path string `json:"path" validate:"callpath"`
 }
 
@@ -85,19 +86,19 @@
 type Deadline struct {
 	// Class is short, medium, long or huge.
 	Class string `json:"class" validate:"oneof=short medium long huge"`
-	// DefaultMs applies when the caller asks for no time.
+	// DefaultMs applies if the caller sets no deadline.
 	DefaultMs int `json:"defaultMs" validate:"gte=1,lte=86400000"`
-	// MaxMs is the most that a caller may ask for.
+	// MaxMs is the longest deadline that a caller may set.
 	MaxMs int `json:"maxMs" validate:"gte=1,lte=86400000"`
 }
 
 // Organisation is one organisation that may call a service.
 type Organisation struct {
-	// Name identifies the organisation over all services.
+	// Name identifies the organisation across all services.
 	Name string `json:"name" validate:"label"`
 	// KeyHashes are the SHA-256 hashes of its bearer keys, 64 hexadecimal digits each.
 	KeyHashes []string `json:"keyHashes" validate:"min=1,max=100,dive,keyhash"`
-	// Limits bounds what the organisation may use, over the whole fleet.
+	// Limits bounds the organisation's usage across the whole fleet.
 	Limits Limits `json:"limits"`
 }
 
@@ -108,11 +109,11 @@
 	Concurrency       int     `json:"concurrency,omitempty" validate:"gte=0"`
 }
 
-// KeyHash is the SHA-256 hash of a bearer key. Keys are never stored in clear.
+// KeyHash is the SHA-256 hash of a bearer key. Keys are never stored in plain text.
 type KeyHash [sha256.Size]byte
 
 // HashKey hashes a bearer key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// String returns the hash as documents spell it.
+// String returns the hash in the format of documents.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:]) }
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -14,17 +14,17 @@
 
 var hashA = HashKey("a").String()
 
-const partsText = `{"name":"parts","kind":"plain","nonRepeatable":[{"method":"POST","path":"/jobs"}],
+const partsTemplate = `{"name":"parts","kind":"plain","nonRepeatable":[{"method":"POST","path":"/jobs"}],
 	"upstreamsCheckFencing":false,"organisations":[{"name":"omuti","keyHashes":["%s"],"limits":{"concurrency":4}}]}`
 
-func parts() string { return fmt.Sprintf(partsText, hashA) }
+func partsDocument() string { return fmt.Sprintf(partsTemplate, hashA) }
 
-func modelService(name, model string, organisations ...Organisation) *Service {
+func testModelService(name, model string, organisations ...Organisation) *Service {
 	models := []Model{{Name: model, Version: "1", Replicas: 3, ContextTokens: 1000, EngineTokens: 1000}}
 	return &Service{Name: name, Kind: KindModel, Models: models, Organisations: organisations}
 }
 
-func organisation(name string, keys ...string) Organisation {
+func testOrganisation(name string, keys ...string) Organisation {
 	row := Organisation{Name: name}
 	for _, key := range keys {
 		row.KeyHashes = append(row.KeyHashes, HashKey(key).String())
@@ -33,7 +33,7 @@
 }
 
 func TestParseFillsDefaultsAndRoundTrips(t *testing.T) {
-	service, faults := Parse([]byte(parts()))
+	service, faults := Parse([]byte(partsDocument()))
 	require.Empty(t, faults)
 	require.Equal(t, DefaultRetryRatio, service.RetryRatio)
 	require.Equal(t, 30_000, service.DeadlineFor(call.Short).DefaultMs)
@@ -46,20 +46,20 @@
 }
 
 func TestFaults(t *testing.T) {
-	replace := func(old, new string) string { return strings.Replace(parts(), old, new, 1) }
+	replace := func(old, new string) string { return strings.Replace(partsDocument(), old, new, 1) }
 	for name, c := range map[string]struct {
 		text  string
 		paths []string
 	}{
 		"syntax":           {`{"name":`, []string{"$"}},
 		"not an object":    {`[]`, []string{"$"}},
-		"text after":       {parts() + "{}", []string{"$"}},
+		"text after":       {partsDocument() + "{}", []string{"$"}},
 		"unknown field":    {replace(`"kind"`, `"Kind":"plain","kind"`), []string{"$.Kind"}},
 		"field twice":      {replace(`"kind"`, `"kind":"plain","kind"`), []string{"$.kind"}},
 		"wrong types":      {replace(`"parts"`, `["parts"]`), []string{"$.name"}},
 		"not whole":        {replace(`4}`, `4.5}`), []string{"$.organisations[0].limits.concurrency"}},
 		"name and pattern": {replace(`"parts"`, `"Parts"`), []string{"$.name"}},
-		"several at once": {strings.NewReplacer(`plain`, `grpc`, `/jobs`, `jobs`, hashA, "secret").Replace(parts()),
+		"several at once": {strings.NewReplacer(`plain`, `grpc`, `/jobs`, `jobs`, hashA, "secret").Replace(partsDocument()),
 			[]string{"$.kind", "$.nonRepeatable[0].path", "$.organisations[0].keyHashes[0]"}},
 		"nested unknown": {replace(`"limits":{`, `"limits":{"tokens":{"a":[1]},`), []string{"$.organisations[0].limits.tokens"}},
 	} {
@@ -83,7 +83,7 @@
 }
 
 func TestCrossFieldFaults(t *testing.T) {
-	for path, spoil := range map[string]func(*Service){
+	for path, invalidate := range map[string]func(*Service){
 		"$.models":                        func(s *Service) { s.Models = nil },
 		"$.models[1].name":                func(s *Service) { s.Models = append(s.Models, s.Models[0]) },
 		"$.models[0].canary":              func(s *Service) { s.Models[0].Canary = "1" },
@@ -92,48 +92,48 @@
 		"$.nonRepeatable":                 func(s *Service) { s.NonRepeatable = []CallPattern{{"GET", "/a"}} },
 		"$.retryRatio":                    func(s *Service) { s.RetryRatio = 0.5 },
 		"$.deadlines[0].defaultMs":        func(s *Service) { s.Deadlines = []Deadline{{"long", 9, 8}} },
-		"$.organisations[1].name":         func(s *Service) { s.Organisations = append(s.Organisations, organisation("x", "k2")) },
-		"$.organisations[1].keyHashes[0]": func(s *Service) { s.Organisations = append(s.Organisations, organisation("y", "k")) },
+		"$.organisations[1].name":         func(s *Service) { s.Organisations = append(s.Organisations, testOrganisation("x", "k2")) },
+		"$.organisations[1].keyHashes[0]": func(s *Service) { s.Organisations = append(s.Organisations, testOrganisation("y", "k")) },
 	} {
-		service := modelService("chat", "m", organisation("x", "k"))
+		service := testModelService("chat", "m", testOrganisation("x", "k"))
 		require.Empty(t, Validate(service))
-		spoil(service)
+		invalidate(service)
 		requirePaths(t, []string{path}, Validate(service))
 	}
 }
 
 func TestFaultsBetweenDocuments(t *testing.T) {
-	a := modelService("a", "m", organisation("x", "k"))
-	b := modelService("b", "m", organisation("y", "k"))
+	a := testModelService("a", "m", testOrganisation("x", "k"))
+	b := testModelService("b", "m", testOrganisation("y", "k"))
 	requirePaths(t, []string{"$.models[0].name", "$.organisations[0].keyHashes[0]"}, CheckTogether([]*Service{a, b}))
-	moved := modelService("a", "m", organisation("y", "k"))
-	require.Empty(t, Compile(1, []*Service{a}).Check(moved), "a key may move within its document")
-	shared := modelService("b", "n", organisation("x", "k"))
+	moved := testModelService("a", "m", testOrganisation("y", "k"))
+	require.Empty(t, Compile(1, []*Service{a}).Check(moved), "a key may move to another organisation of the same document")
+	shared := testModelService("b", "n", testOrganisation("x", "k"))
 	require.Empty(t, CheckTogether([]*Service{a, shared}), "one organisation may use a key at two services")
 }
 
-// Symptom: two trucks were sent to one tower. Events: the client wrote the route's path
-// in another spelling; the upstream took it for the listed path, the matcher didn't, and
-// the call was sent again after a lost answer. Cause: a matcher stricter than upstreams.
+// A client may write the path of a listed call in another spelling. If the upstream accepts
+// it as the listed path and the matcher does not, the call is sent again after a lost answer
+// and runs twice.
 func TestRepeatable(t *testing.T) {
 	service := &Service{NonRepeatable: []CallPattern{
 		{"POST", "/jobs"}, {"GET", "/parts/*/issue"}, {"*", "/routes/**"},
 	}}
-	for _, once := range []string{"POST /jobs", "post /jobs", "POST /jobs/", "POST //jobs", "POST /JOBS", "POST /%6Aobs",
+	for _, nonRepeatable := range []string{"POST /jobs", "post /jobs", "POST /jobs/", "POST //jobs", "POST /JOBS", "POST /%6Aobs",
 		"POST /x/../jobs", "POST /./jobs?a=b", "POST /jobs;v=1", "POST /%zz", "GET /parts/7/issue", "HEAD /parts/7/issue",
 		"GET /parts/a%2Fb/issue", "DELETE /routes", "GET /routes/a/b", "GET /x%2F..%2Froutes"} {
-		method, path, _ := strings.Cut(once, " ")
-		require.False(t, service.Repeatable(method, path), once)
+		method, path, _ := strings.Cut(nonRepeatable, " ")
+		require.False(t, service.Repeatable(method, path), nonRepeatable)
 	}
-	for _, more := range []string{"GET /jobs", "PUT /jobs", "POST /jobs/7", "POST /", "GET /parts/issue", "GET /parts/7/8/issue", "POST /parts/7/issue"} {
-		method, path, _ := strings.Cut(more, " ")
-		require.True(t, service.Repeatable(method, path), more)
+	for _, repeatable := range []string{"GET /jobs", "PUT /jobs", "POST /jobs/7", "POST /", "GET /parts/issue", "GET /parts/7/8/issue", "POST /parts/7/issue"} {
+		method, path, _ := strings.Cut(repeatable, " ")
+		require.True(t, service.Repeatable(method, path), repeatable)
 	}
 }
 
 func TestDiffNamesWhatChanged(t *testing.T) {
-	old := modelService("chat", "m", organisation("x", "k"), organisation("y", "l"))
-	new := modelService("chat", "m", organisation("y", "l2"), organisation("z"))
+	old := testModelService("chat", "m", testOrganisation("x", "k"), testOrganisation("y", "l"))
+	new := testModelService("chat", "m", testOrganisation("y", "l2"), testOrganisation("z"))
 	new.Models[0].Replicas = 5
 	lines := make([]string, 0)
 	for _, change := range Diff(old, new) {
@@ -143,20 +143,20 @@
 	require.Len(t, Diff(nil, old), 1)
 }
 
-func drawServices(t *rapid.T, label string) []*Service {
+func drawTestServices(t *rapid.T, label string) []*Service {
 	var services []*Service
 	owner := func(key int) string { return fmt.Sprint("o", key%5) }
 	for _, name := range []string{"a", "b", "c"} {
 		if !rapid.Bool().Draw(t, label+name) {
 			continue
 		}
-		service := modelService(name, name+rapid.StringMatching("[mn]").Draw(t, "model"))
+		service := testModelService(name, name+rapid.StringMatching("[mn]").Draw(t, "model"))
 		rows := map[string][]string{}
 		for _, key := range rapid.SliceOfNDistinct(rapid.IntRange(0, 20), 0, 10, rapid.ID).Draw(t, label) {
 			rows[owner(key)] = append(rows[owner(key)], fmt.Sprint(key))
 		}
 		for organisationName, keys := range rows {
-			service.Organisations = append(service.Organisations, organisation(organisationName, keys...))
+			service.Organisations = append(service.Organisations, testOrganisation(organisationName, keys...))
 		}
 		header, list := Rows(service)
 		services = append(services, Assemble(header, list))
@@ -164,11 +164,11 @@
 	return services
 }
 
-// The incremental snapshot must answer as one compiled from nothing; the old one must
-// still answer as before, since requests hold it.
-func TestApplyEqualsCompile(t *testing.T) {
+// A snapshot updated incrementally must give the same results as one compiled from scratch.
+// The old snapshot must not change, since requests still use it.
+func TestApplyMatchesCompile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		old, new := drawServices(t, "old"), drawServices(t, "new")
+		old, new := drawTestServices(t, "old"), drawTestServices(t, "new")
 		before := Compile(1, old)
 		var updates []Update
 		find := func(list []*Service, name string) *Service {
@@ -180,23 +180,23 @@
 			return nil
 		}
 		for _, name := range []string{"a", "b", "c"} {
-			is := find(new, name)
-			if is == nil {
+			newService := find(new, name)
+			if newService == nil {
 				updates = append(updates, Update{Service: name, Removed: true})
 				continue
 			}
-			updates = append(updates, UpdateBetween(find(old, name), is))
+			updates = append(updates, UpdateBetween(find(old, name), newService))
 		}
 		after, err := before.Apply(2, updates)
 		require.NoError(t, err)
-		requireSame(t, Compile(2, new), after)
-		requireSame(t, Compile(1, old), before)
+		requireEqualSnapshots(t, Compile(2, new), after)
+		requireEqualSnapshots(t, Compile(1, old), before)
 		_, err = before.Apply(3, []Update{{Service: "absent"}})
 		require.ErrorIs(t, err, ErrNoHeader)
 	})
 }
 
-func requireSame(t require.TestingT, want, got *Snapshot) {
+func requireEqualSnapshots(t require.TestingT, want, got *Snapshot) {
 	require.Equal(t, want.Revision, got.Revision)
 	for _, name := range []string{"a", "b", "c"} {
 		require.Empty(t, Diff(want.Service(name), got.Service(name)))
@@ -206,26 +206,26 @@
 	}
 	for key := range 21 {
 		hash := HashKey(fmt.Sprint(key))
-		w, g := want.Principal(hash), got.Principal(hash)
-		require.Equal(t, w == nil, g == nil, key)
+		wantPrincipal, gotPrincipal := want.Principal(hash), got.Principal(hash)
+		require.Equal(t, wantPrincipal == nil, gotPrincipal == nil, key)
 		for _, service := range []string{"a", "b", "c"} {
-			if w != nil {
-				require.Equal(t, w.In(service), g.In(service))
+			if wantPrincipal != nil {
+				require.Equal(t, wantPrincipal.In(service), gotPrincipal.In(service))
 			}
 		}
 	}
 }
 
-func fleet() *Service {
+func largeService() *Service {
 	rows := make([]Organisation, 35_000)
 	for i := range rows {
-		rows[i] = organisation(fmt.Sprintf("organisation-%05d", i), fmt.Sprint(i))
+		rows[i] = testOrganisation(fmt.Sprintf("organisation-%05d", i), fmt.Sprint(i))
 	}
-	return modelService("chat", "m", rows...)
+	return testModelService("chat", "m", rows...)
 }
 
 func TestLookupsDoNotAllocate(t *testing.T) {
-	snapshot, hash := Compile(1, []*Service{modelService("chat", "m", organisation("x", "k"))}), HashKey("k")
+	snapshot, hash := Compile(1, []*Service{testModelService("chat", "m", testOrganisation("x", "k"))}), HashKey("k")
 	require.Zero(t, testing.AllocsPerRun(100, func() {
 		if snapshot.Principal(hash).In("chat") == nil || snapshot.Model("m") == nil {
 			panic("not found")
@@ -234,7 +234,7 @@
 }
 
 func BenchmarkLookup(b *testing.B) {
-	snapshot, hash := Compile(1, []*Service{fleet()}), HashKey("17500")
+	snapshot, hash := Compile(1, []*Service{largeService()}), HashKey("17500")
 	b.ReportAllocs()
 	for b.Loop() {
 		if snapshot.Principal(hash).In("chat") == nil || snapshot.Model("m") == nil {
@@ -247,7 +247,7 @@
 func BenchmarkApplyAll35000(b *testing.B)   { benchmarkApply(b, 35_000) }
 
 func benchmarkApply(b *testing.B, n int) {
-	service := fleet()
+	service := largeService()
 	snapshot := Compile(1, []*Service{service})
 	update := Update{Service: "chat", Put: service.Organisations[:n]}
 	for b.Loop() {
@@ -258,7 +258,7 @@
 }
 
 func BenchmarkCompile35000(b *testing.B) {
-	services := []*Service{fleet()}
+	services := []*Service{largeService()}
 	for b.Loop() {
 		Compile(1, services)
 	}
--- a/core/document/parse.go
+++ b/core/document/parse.go
@@ -2,11 +2,11 @@
 
 import "acaciacleat.example/core/strictjson"
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault = strictjson.Fault
 
-// Parse reads a document strictly, fills in its defaults and validates it. It returns
-// all faults at once; the service is nil when there is any.
+// Parse decodes a document strictly, sets its defaults and validates it. It returns all
+// faults at once; the service is nil if there is any.
 func Parse(data []byte) (*Service, []Fault) {
 	service := &Service{}
 	faults := strictjson.Parse(data, service, func(s *Service) []Fault {
--- a/core/document/repeatable.go
+++ b/core/document/repeatable.go
@@ -8,50 +8,51 @@
 
 // Repeatable reports whether a call may be sent again after it may have run.
 //
-// The rule: a call is repeatable unless a pattern of NonRepeatable matches it; the
-// method alone decides nothing, since a team may list a GET that has an effect. "*"
-// stands for every method, and a pattern for GET covers HEAD, which runs the same code.
+// A call is repeatable unless a pattern of NonRepeatable matches it. The method alone is
+// not decisive, since a service may list a GET that has side effects. "*" matches every
+// method, and a pattern for GET also matches HEAD, which runs the same code.
 //
-// A path that an upstream reads more leniently than this matcher would slip past its
-// pattern, and a call that must run once could run twice: "/jobs/", "//jobs", "/JOBS",
-// "/jobs;v=1" or "/%6Aobs" for "/jobs". So the query is dropped, letter case, empty
-// segments, dot segments and parameters don't count, and a path is matched both as sent
-// and with its escapes decoded. A path whose escapes can't be decoded is repeatable only where no pattern
-// has its method. Matching too much costs a retry and never a second run.
+// If an upstream interprets a path more leniently than this matcher, the call does not
+// match its pattern and may run twice: "/jobs/", "//jobs", "/JOBS", "/jobs;v=1" or "/%6Aobs"
+// for "/jobs". Therefore the query is dropped; letter case, empty segments, dot segments and
+// parameters are ignored; and a path is matched both as sent and with its escapes decoded.
+// A path whose escapes can't be decoded is repeatable only if no pattern has its method.
+// Matching too much costs a retry but never causes a second run.
 func (s *Service) Repeatable(method, target string) bool {
-	readings, readable := readPath(target)
+	variants, decodable := interpretPath(target)
 	for i := range s.NonRepeatable {
 		pattern := &s.NonRepeatable[i]
-		if !pattern.coversMethod(method) {
+		if !pattern.matchesMethod(method) {
 			continue
 		}
-		if !readable || pattern.coversAny(readings) {
+		if !decodable || pattern.matchesAny(variants) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *CallPattern) coversMethod(method string) bool {
+func (p *CallPattern) matchesMethod(method string) bool {
 	if p.Method == "*" || strings.EqualFold(p.Method, method) {
 		return true
 	}
 	return p.Method == "GET" && strings.EqualFold(method, "HEAD")
 }
 
-func (p *CallPattern) coversAny(readings [][]string) bool {
+func (p *CallPattern) matchesAny(variants [][]string) bool {
 	pattern := segments(p.Path)
-	for _, reading := range readings {
-		if matchSegments(pattern, reading) {
+	for _, variant := range variants {
+		if matchSegments(pattern, variant) {
 			return true
 		}
 	}
 	return false
 }
 
-// readPath returns the ways in which an upstream may split a path into segments: with
-// an escaped slash inside a segment or between two, with dot segments kept or resolved.
-func readPath(target string) (readings [][]string, readable bool) {
+// interpretPath returns the ways in which an upstream may split a path into segments: with
+// an escaped slash inside a segment or between two, with dot segments kept or resolved,
+// with parameters kept or dropped.
+func interpretPath(target string) (variants [][]string, decodable bool) {
 	target, _, _ = strings.Cut(target, "?")
 	target, _, _ = strings.Cut(target, "#")
 	decoded, err := url.PathUnescape(target)
@@ -66,29 +67,29 @@
 	return [][]string{segments(target), asSent, segments(decoded), resolved, withoutParameters(resolved)}, true
 }
 
-// withoutParameters drops what follows a ';' in each segment, as some servers do.
+// withoutParameters drops the part after a ';' in each segment, as some servers do.
 func withoutParameters(path []string) []string {
-	bare := make([]string, len(path))
+	stripped := make([]string, len(path))
 	for i, segment := range path {
-		bare[i], _, _ = strings.Cut(segment, ";")
+		stripped[i], _, _ = strings.Cut(segment, ";")
 	}
-	return bare
+	return stripped
 }
 
-// segments splits a path and leaves out empty segments.
+// segments splits a path and omits empty segments.
 func segments(path string) []string {
 	return strings.FieldsFunc(path, func(r rune) bool { return r == '/' })
 }
 
 func matchSegments(pattern, path []string) bool {
-	for i, want := range pattern {
-		if want == "**" && i == len(pattern)-1 {
+	for i, segment := range pattern {
+		if segment == "**" && i == len(pattern)-1 {
 			return true
 		}
 		if i >= len(path) {
 			return false
 		}
-		if want != "*" && !strings.EqualFold(want, path[i]) {
+		if segment != "*" && !strings.EqualFold(segment, path[i]) {
 			return false
 		}
 	}
--- a/core/document/rows.go
+++ b/core/document/rows.go
@@ -7,7 +7,7 @@
 )
 
 // Rows splits a document into its header and its organisations, so that one of 35,000
-// organisations can change without writing the others again. The header shares the
+// organisations can be changed without rewriting the others. The header shares the
 // document's slices: neither may be changed afterwards.
 func Rows(service *Service) (header *Service, organisations []Organisation) {
 	copied := *service
@@ -15,7 +15,7 @@
 	return &copied, service.Organisations
 }
 
-// Assemble joins what Rows split. It orders the organisations by name.
+// Assemble is the inverse of Rows. It sorts the organisations by name.
 func Assemble(header *Service, organisations []Organisation) *Service {
 	whole := *header
 	whole.Organisations = slices.Clone(organisations)
@@ -27,18 +27,18 @@
 
 func byName(a, b Organisation) int { return cmp.Compare(a.Name, b.Name) }
 
-// Update is the change of one service from one revision to the next. It carries whole
-// new values, so applying it twice does no harm.
+// Update is the change of one service from one revision to the next. It holds complete new
+// values, so that applying it is idempotent.
 type Update struct {
 	// Service names the service.
 	Service string `json:"service"`
-	// Removed says that the service is gone; the other fields are then empty.
+	// Removed is set if the service was deleted; the other fields are then empty.
 	Removed bool `json:"removed,omitempty"`
-	// Header is the new header; nil when it did not change.
+	// Header is the new header; nil if it did not change.
 	Header *Service `json:"header,omitempty"`
-	// Put holds organisations that are new or changed.
+	// Put holds the new and changed organisations.
 	Put []Organisation `json:"put,omitempty"`
-	// Drop names organisations that are gone.
+	// Drop names the removed organisations.
 	Drop []string `json:"drop,omitempty"`
 }
 
@@ -47,7 +47,7 @@
 	return !u.Removed && u.Header == nil && len(u.Put) == 0 && len(u.Drop) == 0
 }
 
-// UpdateBetween returns the update that leads from old to new; old is nil for a new service.
+// UpdateBetween returns the update from old to new; old is nil for a new service.
 func UpdateBetween(old, new *Service) Update {
 	update := Update{Service: new.Name}
 	header, rows := Rows(new)
@@ -62,9 +62,9 @@
 	}
 	before := organisationsByName(oldRows)
 	for i := range rows {
-		was := before[rows[i].Name]
+		oldRow := before[rows[i].Name]
 		delete(before, rows[i].Name)
-		if was == nil || !equalOrganisations(was, &rows[i]) {
+		if oldRow == nil || !equalOrganisations(oldRow, &rows[i]) {
 			update.Put = append(update.Put, rows[i])
 		}
 	}
@@ -87,17 +87,17 @@
 	return a.Name == b.Name && a.Limits == b.Limits && slices.Equal(a.KeyHashes, b.KeyHashes)
 }
 
-// mergeOrganisations returns rows with an update applied, ordered by name.
+// mergeOrganisations returns rows with an update applied, sorted by name.
 func mergeOrganisations(rows []Organisation, update *Update) []Organisation {
 	put := organisationsByName(update.Put)
-	gone := make(map[string]bool, len(update.Drop))
+	dropped := make(map[string]bool, len(update.Drop))
 	for _, name := range update.Drop {
-		gone[name] = true
+		dropped[name] = true
 	}
 	merged := make([]Organisation, 0, len(rows)+len(put))
 	for i := range rows {
 		name := rows[i].Name
-		if put[name] == nil && !gone[name] {
+		if put[name] == nil && !dropped[name] {
 			merged = append(merged, rows[i])
 		}
 	}
--- a/core/document/snapshot.go
+++ b/core/document/snapshot.go
@@ -1,22 +1,24 @@
 package document
 
-// Revision numbers the states of the whole store of documents; it only rises.
+// Revision numbers the states of the document store; it only rises.
 type Revision uint64
 
 // Principal is an organisation with the services that it may call. It is immutable.
 type Principal struct {
 	Organisation string
-	// grants has one element for each service; an organisation calls a handful at most,
-	// so that a search is quicker and far smaller than a map for each of 35,000.
+	// grants has one element for each service. As an organisation calls only a few services,
+	// a linear search is faster, and a slice far smaller, than a map for each of 35,000
+	// organisations.
 	grants []grant
 }
 
+// grant permits an organisation to call a service, on the terms of its row.
 type grant struct {
 	service string
 	row     *Organisation
 }
 
-// In returns the organisation's row in service, or nil when it may not call it.
+// In returns the organisation's row in service, or nil if it may not call it.
 func (p *Principal) In(service string) *Organisation {
 	for i := range p.grants {
 		if p.grants[i].service == service {
@@ -26,12 +28,12 @@
 	return nil
 }
 
-// shardCount is the number of parts of the large maps. A change copies only the parts
-// that it touches: about 140 of 35,000 organisations each.
+// shardCount is the number of shards of the large maps. A change copies only the shards
+// that it touches, each with about 140 of 35,000 organisations.
 const shardCount = 256
 
-// Snapshot is one revision of all documents, compiled for lookups on a request's
-// path. It is immutable: a request holds one Snapshot from admission to its end.
+// Snapshot is one revision of all documents, indexed for lookups during requests. It is
+// immutable: a request uses one Snapshot from admission to its end.
 type Snapshot struct {
 	Revision   Revision
 	services   map[string]*Service
@@ -46,9 +48,9 @@
 	Model   *Model
 }
 
-// Compile builds the snapshot of the given documents, which must be valid together:
-// see Validate and CheckTogether. The snapshot keeps the documents; they may not be
-// changed afterwards.
+// Compile builds the snapshot of the given documents, which must be valid and free of
+// conflicts: see Validate and CheckTogether. The snapshot keeps the documents; they may not
+// be changed afterwards.
 func Compile(revision Revision, services []*Service) *Snapshot {
 	size := 0
 	for _, service := range services {
@@ -61,13 +63,13 @@
 			b.grant(service.Name, &service.Organisations[i])
 		}
 	}
-	return b.finish()
+	return b.build()
 }
 
 // Service returns the named service's document, or nil.
 func (s *Snapshot) Service(name string) *Service { return s.services[name] }
 
-// Services calls yield for each document, in no set order.
+// Services calls yield for each document, in no particular order.
 func (s *Snapshot) Services(yield func(*Service)) {
 	for _, service := range s.services {
 		yield(service)
@@ -80,7 +82,7 @@
 // Principal returns the organisation that owns the key with this hash, or nil.
 func (s *Snapshot) Principal(hash KeyHash) *Principal { return s.keys[hash[0]][hash] }
 
-// Models calls yield for each model that the principal may call, in no set order.
+// Models calls yield for each model that the principal may call, in no particular order.
 func (s *Snapshot) Models(principal *Principal, yield func(*ModelRef)) {
 	for _, ref := range s.models {
 		if principal.In(ref.Service.Name) != nil {
@@ -89,7 +91,7 @@
 	}
 }
 
-// Row returns an organisation's row in a service, or nil when it may not call it.
+// Row returns an organisation's row in a service, or nil if it may not call it.
 func (s *Snapshot) Row(service, organisation string) *Organisation {
 	principal := s.organisation(organisation)
 	if principal == nil {
--- a/core/document/together.go
+++ b/core/document/together.go
@@ -8,9 +8,9 @@
 	"acaciacleat.example/core/strictjson"
 )
 
-// CheckTogether returns the faults between documents, each of which is valid by itself:
-// a model served by two services, or a key that belongs to two organisations. Either
-// would make the answer to a request depend on the order in which documents are read.
+// CheckTogether returns the conflicts between documents, each of which is valid by itself:
+// a model served by two services, or a key that belongs to two organisations. With either,
+// the result of a request would depend on the order in which the documents are read.
 func CheckTogether(services []*Service) []Fault {
 	var faults []Fault
 	snapshot := Compile(0, nil)
@@ -21,14 +21,14 @@
 		for i := range service.Organisations {
 			b.grant(service.Name, &service.Organisations[i])
 		}
-		snapshot = b.finish()
+		snapshot = b.build()
 	}
 	return faults
 }
 
-// Check returns the faults between a valid document and the snapshot's documents of
-// other services. The snapshot's own document of the same name doesn't count, for the
-// new one replaces it.
+// Check returns the conflicts between a valid document and the snapshot's documents of
+// other services. It ignores the snapshot's document of the same name, which the new one
+// replaces.
 func (s *Snapshot) Check(service *Service) []Fault {
 	var faults []Fault
 	for i := range service.Models {
@@ -51,7 +51,7 @@
 	for j, text := range organisation.KeyHashes {
 		hash, _ := parseKeyHash(text)
 		owner := s.Principal(hash)
-		if owner == nil || owner.Organisation == organisation.Name || !owner.usesKeyBeside(service, text) {
+		if owner == nil || owner.Organisation == organisation.Name || !owner.usesKeyElsewhere(service, text) {
 			continue
 		}
 		path := fmt.Sprintf("$.organisations[%d].keyHashes[%d]", index, j)
@@ -60,9 +60,9 @@
 	return faults
 }
 
-// usesKeyBeside reports whether the key stands in the organisation's row of a service
-// other than the given one.
-func (p *Principal) usesKeyBeside(service, key string) bool {
+// usesKeyElsewhere reports whether the organisation's row of a service other than the given
+// one has the key.
+func (p *Principal) usesKeyElsewhere(service, key string) bool {
 	return slices.ContainsFunc(p.grants, func(g grant) bool {
 		return g.service != service && slices.ContainsFunc(g.row.KeyHashes, func(k string) bool {
 			return strings.EqualFold(k, key)
--- a/core/document/validate.go
+++ b/core/document/validate.go
@@ -45,12 +45,12 @@
 	if !strings.HasPrefix(path, "/") || strings.ContainsAny(path, "?#%") || strings.Contains(path, "//") {
 		return false
 	}
-	rest, _ := strings.CutSuffix(path, "/**")
-	return !strings.Contains(rest, "**")
+	prefix, _ := strings.CutSuffix(path, "/**")
+	return !strings.Contains(prefix, "**")
 }
 
-// Validate returns all faults of a document by itself; CheckTogether and Snapshot.Check
-// compare it with other documents.
+// Validate returns all faults of a single document. CheckTogether and Snapshot.Check find
+// conflicts with other documents.
 func Validate(service *Service) []Fault {
 	faults := fieldRules.Check(service)
 	faults = append(faults, validateKind(service)...)
@@ -82,20 +82,20 @@
 
 func validateModels(service *Service) []Fault {
 	var faults []Fault
-	names := firsts{}
+	names := firstPaths{}
 	for i := range service.Models {
 		model := &service.Models[i]
 		path := fmt.Sprintf("$.models[%d]", i)
-		faults = names.check(faults, model.Name, path+".name", "Remove one of the two models.")
+		faults = names.checkUnique(faults, model.Name, path+".name", "Remove one of the two models.")
 		if model.CanaryShare > 0 && model.Canary == "" {
 			faults = append(faults, strictjson.NewFault(path+".canaryShare", model.CanaryShare, "0 without a canary", "Name the canary version or remove the share."))
 		}
 		if model.Canary != "" && model.Canary == model.Version {
 			faults = append(faults, strictjson.NewFault(path+".canary", model.Canary, "a version other than "+model.Version, "Correct one of the two versions."))
 		}
-		adapters := firsts{}
+		adapters := firstPaths{}
 		for j, adapter := range model.Adapters {
-			faults = adapters.check(faults, adapter, fmt.Sprintf("%s.adapters[%d]", path, j), "Remove one of the two.")
+			faults = adapters.checkUnique(faults, adapter, fmt.Sprintf("%s.adapters[%d]", path, j), "Remove one of the two.")
 		}
 	}
 	return faults
@@ -103,10 +103,10 @@
 
 func validateDeadlines(service *Service) []Fault {
 	var faults []Fault
-	classes := firsts{}
+	classes := firstPaths{}
 	for i, deadline := range service.Deadlines {
 		path := fmt.Sprintf("$.deadlines[%d]", i)
-		faults = classes.check(faults, deadline.Class, path+".class", "Remove one of the two.")
+		faults = classes.checkUnique(faults, deadline.Class, path+".class", "Remove one of the two.")
 		if deadline.DefaultMs > deadline.MaxMs {
 			faults = append(faults, strictjson.NewFault(path+".defaultMs", deadline.DefaultMs, fmt.Sprintf("%d (maxMs) or less", deadline.MaxMs), "Lower defaultMs or raise maxMs."))
 		}
@@ -119,23 +119,24 @@
 
 func validateOrganisations(service *Service) []Fault {
 	var faults []Fault
-	names, hashes := firsts{}, firsts{}
+	names, hashes := firstPaths{}, firstPaths{}
 	for i := range service.Organisations {
 		organisation := &service.Organisations[i]
 		path := fmt.Sprintf("$.organisations[%d]", i)
-		faults = names.check(faults, organisation.Name, path+".name", "Merge the two organisations.")
+		faults = names.checkUnique(faults, organisation.Name, path+".name", "Merge the two organisations.")
 		for j, hash := range organisation.KeyHashes {
-			at := fmt.Sprintf("%s.keyHashes[%d]", path, j)
-			faults = hashes.check(faults, strings.ToLower(hash), at, "Give each organisation keys of its own, each once.")
+			hashPath := fmt.Sprintf("%s.keyHashes[%d]", path, j)
+			faults = hashes.checkUnique(faults, strings.ToLower(hash), hashPath, "Give each organisation keys of its own, each once.")
 		}
 	}
 	return faults
 }
 
-// firsts remembers where each value stood first.
-type firsts map[string]string
+// firstPaths maps each value to the path at which it occurs first.
+type firstPaths map[string]string
 
-func (f firsts) check(faults []Fault, value, path, remedy string) []Fault {
+// checkUnique adds a fault if the value occurred before, and records its path otherwise.
+func (f firstPaths) checkUnique(faults []Fault, value, path, remedy string) []Fault {
 	if first, repeated := f[value]; repeated {
 		return append(faults, strictjson.NewFault(path, value, "a value not used at "+first, remedy))
 	}
