--- a/core/strictjson/fault.go
+++ b/core/strictjson/fault.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// Fault is one thing wrong with a text, told so that its author can mend it.
+// Fault is one error in a JSON text, with the information its author needs to correct it.
 type Fault struct {
-	// Path is the JSON path of the value, "$" for the whole text.
+	// Path is the JSON path of the value; Root for the whole text.
 	Path string `json:"path"`
 	// Value is the value found, as JSON, shortened to maxFaultValue bytes.
 	Value string `json:"value"`
-	// Allowed says which values may stand there.
+	// Allowed describes the allowed values.
 	Allowed string `json:"allowed"`
 	// Remedy says what to change.
 	Remedy string `json:"remedy"`
 }
 
-// maxFaultValue keeps one fault to a line of a terminal.
+// maxFaultValue is the longest value in bytes, so that a fault fits on one line.
 const maxFaultValue = 80
 
 // String returns the fault on one line.
@@ -25,12 +25,12 @@
 	return fmt.Sprintf("%s: %s: allowed: %s. %s", f.Path, f.Value, f.Allowed, f.Remedy)
 }
 
-// NewFault returns a fault at path; value is any value that JSON can spell.
+// NewFault returns a fault at path; value is formatted as JSON.
 func NewFault(path string, value any, allowed, remedy string) Fault {
 	return Fault{Path: path, Value: Spell(value), Allowed: allowed, Remedy: remedy}
 }
 
-// Spell returns a value as JSON, shortened to fit a line.
+// Spell formats a value as JSON, shortened to maxFaultValue bytes.
 func Spell(value any) string {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/core/strictjson/rules.go
+++ b/core/strictjson/rules.go
@@ -8,17 +8,18 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Rule describes one tag of "validate" to the author of a text.
+// Rule describes one tag of "validate" in terms that the author of a text understands.
 type Rule struct {
-	// Allowed says which values may stand there; "%s" in it becomes the tag's parameter.
+	// Allowed describes the allowed values; "%s" in it is replaced by the tag's parameter.
 	Allowed string
 	// Remedy says what to change.
 	Remedy string
-	// Valid tests the field's text; nil for a tag that package validator has itself.
+	// Valid reports whether the field's text is valid; nil for a tag built into package
+	// validator.
 	Valid func(string) bool
 }
 
-// commonRules are the tags of package validator that all texts use.
+// commonRules are the rules for the tags built into package validator.
 var commonRules = map[string]Rule{
 	"oneof": {Allowed: "one of: %s", Remedy: "Choose one of these."},
 	"gte":   {Allowed: "%s or more", Remedy: "Raise the value."},
@@ -27,17 +28,17 @@
 	"max":   {Allowed: "at most %s", Remedy: "Shorten the list."},
 }
 
-// Rules checks the fields of a value one by one. It is safe for concurrent use.
+// Rules validates each field of a value by itself. It is safe for concurrent use.
 type Rules struct {
 	validate *validator.Validate
 	byTag    map[string]Rule
 }
 
-// NewRules returns the common rules and the given ones.
-func NewRules(own map[string]Rule) *Rules {
+// NewRules returns the common rules together with the given ones.
+func NewRules(extra map[string]Rule) *Rules {
 	r := &Rules{validate: validator.New(validator.WithRequiredStructEnabled()), byTag: maps.Clone(commonRules)}
 	r.validate.RegisterTagNameFunc(JSONName)
-	for tag, rule := range own {
+	for tag, rule := range extra {
 		r.byTag[tag] = rule
 		if rule.Valid != nil {
 			r.register(tag, rule.Valid)
@@ -49,29 +50,29 @@
 func (r *Rules) register(tag string, valid func(string) bool) {
 	check := func(field validator.FieldLevel) bool { return valid(field.Field().String()) }
 	if err := r.validate.RegisterValidation(tag, check); err != nil {
-		panic(err) // The tag is a constant of the caller's.
+		panic(err) // The tag is a constant in the calling code.
 	}
 }
 
-// Check returns the faults of the value's fields, a struct or a pointer to one.
+// Check returns the faults of the fields of value, a struct or a pointer to one.
 func (r *Rules) Check(value any) []Fault {
 	err := r.validate.Struct(value)
 	if err == nil {
 		return nil
 	}
-	broken, ok := err.(validator.ValidationErrors)
+	violations, ok := err.(validator.ValidationErrors)
 	if !ok {
 		return []Fault{NewFault(Root, err.Error(), "an object", "Write a JSON object.")}
 	}
-	faults := make([]Fault, 0, len(broken))
-	for _, field := range broken {
-		rule := r.byTag[field.Tag()]
+	faults := make([]Fault, 0, len(violations))
+	for _, violation := range violations {
+		rule := r.byTag[violation.Tag()]
 		allowed := rule.Allowed
 		if strings.Contains(allowed, "%s") {
-			allowed = fmt.Sprintf(allowed, strings.ReplaceAll(field.Param(), " ", ", "))
+			allowed = fmt.Sprintf(allowed, strings.ReplaceAll(violation.Param(), " ", ", "))
 		}
-		_, path, _ := strings.Cut(field.Namespace(), ".")
-		faults = append(faults, NewFault(Root+"."+path, field.Value(), allowed, rule.Remedy))
+		_, path, _ := strings.Cut(violation.Namespace(), ".")
+		faults = append(faults, NewFault(Root+"."+path, violation.Value(), allowed, rule.Remedy))
 	}
 	return faults
 }
--- a/core/strictjson/shape.go
+++ b/core/strictjson/shape.go
@@ -9,13 +9,14 @@
 	"strings"
 )
 
-// shapeChecker walks a JSON text beside the Go type that it should decode to. It reads
+// shapeChecker compares a JSON text with the Go type that it should decode to. It reads
 // tokens and builds no tree: a document of 35,000 organisations is 10 MB of text.
 type shapeChecker struct {
 	decoder *json.Decoder
 	faults  []Fault
 }
 
+// checkShape returns the faults in the structure of a JSON text that should decode to t.
 func checkShape(data []byte, t reflect.Type) []Fault {
 	c := &shapeChecker{decoder: json.NewDecoder(bytes.NewReader(data))}
 	c.decoder.UseNumber()
@@ -30,7 +31,7 @@
 	return []Fault{NewFault(Root, err.Error(), "a JSON object", "Correct the JSON near line "+strconv.Itoa(line)+".")}
 }
 
-// value checks the next value against t. An error means that the text is not JSON.
+// value checks the next value against t. It returns an error if the text is not valid JSON.
 func (c *shapeChecker) value(t reflect.Type, path string) error {
 	token, err := c.decoder.Token()
 	if err != nil {
@@ -43,10 +44,10 @@
 		return c.array(t.Elem(), path)
 	case token == nil && t.Kind() == reflect.Slice:
 		return nil
-	case fits(token, t.Kind()):
+	case matchesKind(token, t.Kind()):
 		return nil
 	}
-	c.faults = append(c.faults, NewFault(path, describe(token), shapeName(t.Kind()), "Write the value as "+shapeName(t.Kind())+"."))
+	c.faults = append(c.faults, NewFault(path, describeToken(token), kindName(t.Kind()), "Write the value as "+kindName(t.Kind())+"."))
 	return c.skip(token)
 }
 
@@ -58,20 +59,20 @@
 			return err
 		}
 		name := token.(string)
-		at := path + "." + name
+		fieldPath := path + "." + name
 		if seen[name] {
-			c.faults = append(c.faults, NewFault(at, name, "each field once", "Remove one of the two."))
+			c.faults = append(c.faults, NewFault(fieldPath, name, "each field once", "Remove one of the two."))
 		}
 		seen[name] = true
 		field, known := fieldByJSON(t, name)
 		if !known {
-			c.faults = append(c.faults, NewFault(at, name, strings.Join(jsonNames(t), ", "), "Remove the field or correct its name."))
+			c.faults = append(c.faults, NewFault(fieldPath, name, strings.Join(jsonNames(t), ", "), "Remove the field or correct its name."))
 			if err := c.skipValue(); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := c.value(field.Type, at); err != nil {
+		if err := c.value(field.Type, fieldPath); err != nil {
 			return err
 		}
 	}
@@ -97,7 +98,7 @@
 	return c.skip(token)
 }
 
-// skip reads the rest of the value that token began.
+// skip reads the rest of the value that begins with token.
 func (c *shapeChecker) skip(token json.Token) error {
 	depth := depthChange(token)
 	for depth > 0 {
@@ -120,19 +121,19 @@
 	return 0
 }
 
-func fits(token json.Token, kind reflect.Kind) bool {
+func matchesKind(token json.Token, kind reflect.Kind) bool {
 	switch value := token.(type) {
 	case string:
 		return kind == reflect.String
 	case bool:
 		return kind == reflect.Bool
 	case json.Number:
-		return numberFits(value, kind)
+		return numberMatchesKind(value, kind)
 	}
 	return false
 }
 
-func numberFits(number json.Number, kind reflect.Kind) bool {
+func numberMatchesKind(number json.Number, kind reflect.Kind) bool {
 	switch kind {
 	case reflect.Int:
 		_, err := strconv.Atoi(number.String())
@@ -144,7 +145,7 @@
 	return false
 }
 
-func describe(token json.Token) any {
+func describeToken(token json.Token) any {
 	switch token {
 	case json.Delim('{'):
 		return "{…}"
@@ -154,7 +155,7 @@
 	return token
 }
 
-func shapeName(kind reflect.Kind) string {
+func kindName(kind reflect.Kind) string {
 	switch kind {
 	case reflect.Struct:
 		return "an object"
--- a/core/strictjson/strictjson.go
+++ b/core/strictjson/strictjson.go
@@ -1,9 +1,10 @@
-// Package strictjson reads the JSON texts that operators write, documents and settings,
-// and tells all that is wrong with one at once.
+// Package strictjson decodes the JSON texts that operators write, documents and settings,
+// and reports all errors in a text at once.
 //
-// encoding/json alone would take "Replicas" for "replicas", keep the last of two equal
-// fields and stop at the first unknown one. An operator's typing error would then leave
-// a value silently at its default, so the text is checked against its Go type first.
+// encoding/json alone accepts "Replicas" for "replicas", keeps the last of two fields of the
+// same name and, at its strictest, stops at the first unknown field. A typing error would
+// then silently leave a value at its default, so the text is first checked against its Go
+// type.
 package strictjson
 
 import (
@@ -16,31 +17,31 @@
 // Root is the path of the whole text.
 const Root = "$"
 
-// Parse reads data into value, which holds the defaults of what the text leaves out, and
-// then calls finish to validate it. It returns all faults at once; with any, value is
-// not to be used.
+// Parse decodes data into value, which holds the defaults of omitted fields, and then calls
+// validate. It returns all faults at once; if there is any, value must not be used.
 //
 // The type of value has fields of struct, slice, string, bool, int and float64 types,
 // each with its JSON name in a tag.
-func Parse[T any](data []byte, value *T, finish func(*T) []Fault) []Fault {
+func Parse[T any](data []byte, value *T, validate func(*T) []Fault) []Fault {
 	faults := checkShape(data, reflect.TypeFor[T]())
 	if len(faults) > 0 && faults[0].Path == Root {
 		return faults
 	}
-	// A value of the wrong type was reported by checkShape; json decodes the others.
+	// checkShape has reported values of the wrong type; json decodes the others.
 	if err := json.Unmarshal(data, value); err != nil && len(faults) == 0 {
 		return []Fault{NewFault(Root, err.Error(), "a JSON object", "Correct the JSON.")}
 	}
-	for _, fault := range finish(value) {
-		if !underAny(fault.Path, faults) {
+	for _, fault := range validate(value) {
+		if !isWithinAny(fault.Path, faults) {
 			faults = append(faults, fault)
 		}
 	}
 	return faults
 }
 
-// underAny reports whether a value of the wrong shape explains the fault at path.
-func underAny(path string, shape []Fault) bool {
+// isWithinAny reports whether path lies at or below the path of one of the shape faults,
+// which then explain the fault at path.
+func isWithinAny(path string, shape []Fault) bool {
 	return slices.ContainsFunc(shape, func(f Fault) bool {
 		return path == f.Path || strings.HasPrefix(path, f.Path+".") || strings.HasPrefix(path, f.Path+"[")
 	})
