--- a/core/policytest/day_test.go
+++ b/core/policytest/day_test.go
@@ -10,31 +10,33 @@
 	"acaciacleat.example/core/enginemodel"
 )
 
-// kind is a kind of request with what its callers want of it.
-type kind struct {
-	name      string
-	perSecond float64
-	// tokens and events are means; spread is that of the logarithm.
-	tokens, events float64
-	spread         float64
-	mostTokens     float64
-	aim, gapAim    time.Duration
-	deadline       time.Duration
-	worth, late    float64
+// requestClass describes the requests of one size, their targets and their value.
+type requestClass struct {
+	name              string
+	requestsPerSecond float64
+	// meanTokens and meanEvents are means; tokenSigma is the standard deviation of the logarithm
+	// of the number of prompt tokens.
+	meanTokens, meanEvents      float64
+	tokenSigma                  float64
+	maxTokens                   float64
+	firstEventTarget, gapTarget time.Duration
+	deadline                    time.Duration
+	// value is the value of an answer on time, lateValue that of a late one.
+	value, lateValue float64
 }
 
-// deployment is what a day is played on.
+// deployment describes a simulated fleet and its traffic.
 type deployment struct {
 	name             string
 	engines, entries int
 	spec             *enginemodel.Spec
-	kinds            []kind
-	// way is what a message takes from one entry to another.
-	way time.Duration
+	classes          []requestClass
+	// entryDelay is the one-way delay of a message between two entries.
+	entryDelay time.Duration
 }
 
-// usualKinds are those of the first users.
-var usualKinds = []kind{
+// usualClasses are the request classes of the usual deployment.
+var usualClasses = []requestClass{
 	{"short", 28, 4960, 38, 0.9, 23_800, 300 * time.Millisecond, 250 * time.Millisecond, 10 * time.Second, 1.3, 0.33},
 	{"middle", 1.57, 45_000, 23, 0.5, 110_000, 1500 * time.Millisecond, 600 * time.Millisecond, 10 * time.Second, 3.9, 0.97},
 	{"heavy", 0.727, 182_000, 19, 0.55, 900_000, 4 * time.Second, time.Second, 15 * time.Second, 24, 6.1},
@@ -48,23 +50,24 @@
 }
 
 var usualDeployment = &deployment{
-	name: "usual", engines: 14, entries: 4, spec: publishedSpec, kinds: usualKinds, way: 1400 * time.Microsecond,
+	name: "usual", engines: 14, entries: 4, spec: publishedSpec, classes: usualClasses, entryDelay: 1400 * time.Microsecond,
 }
 
-// middleDeployment has many prompts of middle length, which ask for a third of the engines' time.
+// middleDeployment has many prompts of middle length. At a load of 0.46 all its prompts need a
+// third of the engines' time.
 var middleDeployment = &deployment{
-	name: "middle", engines: 21, entries: 4, spec: publishedSpec, way: 1400 * time.Microsecond,
-	kinds: []kind{
+	name: "middle", engines: 21, entries: 4, spec: publishedSpec, entryDelay: 1400 * time.Microsecond,
+	classes: []requestClass{
 		{"short", 20.8, 4960, 38, 0.9, 23_800, 300 * time.Millisecond, 250 * time.Millisecond, 10 * time.Second, 1.3, 0.33},
 		{"middle", 20.8, 45_000, 23, 0.5, 110_000, 1500 * time.Millisecond, 600 * time.Millisecond, 10 * time.Second, 3.9, 0.97},
 		{"heavy", 1.04, 182_000, 19, 0.55, 900_000, 3 * time.Second, time.Second, 15 * time.Second, 24, 6.1},
 	},
 }
 
-// largeDeployment has many engines, which need an eighth of their time to read what comes.
+// largeDeployment has many engines, which spend an eighth of their time on prefill.
 var largeDeployment = &deployment{
-	name: "large", engines: 112, entries: 103, spec: largeSpec, way: 900 * time.Microsecond,
-	kinds: []kind{
+	name: "large", engines: 112, entries: 103, spec: largeSpec, entryDelay: 900 * time.Microsecond,
+	classes: []requestClass{
 		{"short", 152, 4960, 26.1, 0.9, 23_800, 400 * time.Millisecond, 300 * time.Millisecond, 10 * time.Second, 1.3, 0.34},
 		{"middle", 12.4, 45_000, 15.6, 0.5, 110_000, 1500 * time.Millisecond, 800 * time.Millisecond, 10 * time.Second, 2.9, 0.72},
 		{"heavy", 3.12, 260_000, 13, 0.55, 900_000, 4 * time.Second, 1200 * time.Millisecond, 15 * time.Second, 30, 7.6},
@@ -78,47 +81,49 @@
 	MeanPromptTokens: 12_000, MeanAnswerTokens: 1300,
 }
 
-// sight is what entries see of each other's work.
-type sight string
+// visibility says how entries learn of each other's placements.
+type visibility string
 
 const (
-	// ownView: each entry knows what it placed itself.
-	ownView sight = "own view"
-	// sharedView: entries tell each other in batches.
-	sharedView sight = "shared view"
-	// allKnowing: all entries are one; what is told is known at once.
-	allKnowing sight = "all-knowing"
+	// ownView means that each entry knows only its own placements.
+	ownView visibility = "own view"
+	// sharedView means that entries exchange their placements in batches.
+	sharedView visibility = "shared view"
+	// instantView means that all entries share one state without delay.
+	instantView visibility = "all-knowing"
 )
 
 const (
-	dayLength = 34 * time.Second
-	// batch is how long an entry's news waits for more.
-	batch      = 5 * time.Millisecond
-	burstEvery = 8 * time.Second
-	burstFor   = 2 * time.Second
-	// mostTimes is the most by which a pattern multiplies a rate.
-	mostTimes = 2.7
+	simulatedTime = 34 * time.Second
+	// batchDelay is the time for which an entry collects events before it sends them.
+	batchDelay    = 5 * time.Millisecond
+	burstInterval = 8 * time.Second
+	burstDuration = 2 * time.Second
+	// maxRateFactor is the largest factor by which a pattern multiplies a rate.
+	maxRateFactor = 2.7
 )
 
-// mostEvents bounds a stream's events, in means of its kind.
-const mostEvents = 2.5
+// maxEventsFactor bounds the events of a stream, in multiples of the mean of its class.
+const maxEventsFactor = 2.5
 
-// pattern is how traffic swings over a day.
-type pattern uint8
+// trafficPattern says how the traffic varies over the simulated time.
+type trafficPattern uint8
 
 const (
 	// even traffic keeps its mean rate.
-	even pattern = iota
-	// bursts doubles all traffic for burstFor, every burstEvery.
+	even trafficPattern = iota
+	// bursts doubles all traffic for burstDuration, every burstInterval.
 	bursts
-	// phases lets long prompts press for a while, then short ones, then long ones again.
+	// phases alternates between periods of many long prompts and of many short ones; see
+	// trafficPhases.
 	phases
 )
 
-// The parts of a day with phases, and by how much each multiplies the rates of the kinds.
-var dayPhases = []struct {
-	until time.Duration
-	times [3]float64
+// trafficPhases are the phases of the pattern of that name, with the factor by which each
+// multiplies the rate of each class.
+var trafficPhases = []struct {
+	until   time.Duration
+	factors [3]float64
 }{
 	{2 * time.Second, [3]float64{1, 1, 1}},
 	{11500 * time.Millisecond, [3]float64{0.33, 1.3, 2.7}},
@@ -126,215 +131,219 @@
 	{22500 * time.Millisecond, [3]float64{2.5, 0.5, 0.05}},
 	{23 * time.Second, [3]float64{1, 1, 1}},
 	{32500 * time.Millisecond, [3]float64{0.33, 1.3, 2.7}},
-	{dayLength, [3]float64{1, 1, 1}},
+	{simulatedTime, [3]float64{1, 1, 1}},
 }
 
-// times returns by how much the rate of a kind is multiplied at a time.
-func (p pattern) times(kind int, at time.Duration) float64 {
+// rateFactor returns the factor by which the rate of a class is multiplied at a time.
+func (p trafficPattern) rateFactor(class int, at time.Duration) float64 {
 	switch p {
 	case bursts:
-		if at%burstEvery < burstFor {
+		if at%burstInterval < burstDuration {
 			return 2
 		}
 	case phases:
-		for _, phase := range dayPhases {
+		for _, phase := range trafficPhases {
 			if at < phase.until {
-				return phase.times[kind]
+				return phase.factors[class]
 			}
 		}
 	}
 	return 1
 }
 
-// day draws prompts at so many times the usual load.
-func (d *deployment) day(seed uint64, load float64, pattern pattern) []*prompt {
+// drawPrompts draws prompts at a multiple of the deployment's usual load.
+func (d *deployment) drawPrompts(seed uint64, load float64, pattern trafficPattern) []*prompt {
 	random := rand.New(rand.NewPCG(seed, 11))
-	var day []*prompt
-	for i := range d.kinds {
-		k := &d.kinds[i]
+	var prompts []*prompt
+	for i := range d.classes {
+		class := &d.classes[i]
 		for at := time.Duration(0); ; {
-			// Drawn at the highest rate and thinned out, so that a phase begins in time.
-			at += time.Duration(random.ExpFloat64() / (k.perSecond * load * mostTimes) * float64(time.Second))
-			if at > dayLength {
+			// Draw at the highest rate and thin out, so that a phase takes effect at once.
+			at += time.Duration(random.ExpFloat64() / (class.requestsPerSecond * load * maxRateFactor) * float64(time.Second))
+			if at > simulatedTime {
 				break
 			}
-			if random.Float64() >= pattern.times(i, at)/mostTimes {
+			if random.Float64() >= pattern.rateFactor(i, at)/maxRateFactor {
 				continue
 			}
-			spread := math.Exp(random.NormFloat64()*k.spread - k.spread*k.spread/2)
-			day = append(day, &prompt{
-				kind: k, at: at, entry: random.IntN(d.entries),
-				tokens: int(min(max(k.tokens*spread, 40), k.mostTokens)),
-				events: max(1, int(min(k.events*math.Exp(random.NormFloat64()*0.6-0.18), mostEvents*k.events))),
+			tokenFactor := math.Exp(random.NormFloat64()*class.tokenSigma - class.tokenSigma*class.tokenSigma/2)
+			prompts = append(prompts, &prompt{
+				class: class, at: at, entry: random.IntN(d.entries),
+				tokens:     int(min(max(class.meanTokens*tokenFactor, 40), class.maxTokens)),
+				eventCount: max(1, int(min(class.meanEvents*math.Exp(random.NormFloat64()*0.6-0.18), maxEventsFactor*class.meanEvents))),
 			})
 		}
 	}
-	return day
+	return prompts
 }
 
-// rig plays a day with the product's own choices before engines of the model.
-type rig struct {
-	clock
+// simulator simulates the entries of a deployment, which choose by package dispatch, and its
+// engines.
+type simulator struct {
+	eventLoop
 	deployment *deployment
 	engines    map[string]*passEngine
 	fleets     []*dispatch.Fleet
-	sight      sight
-	parts      int
+	visibility visibility
+	lastPart   int
 }
 
-func newRig(d *deployment, rule dispatch.Rule, sight sight) *rig {
-	r := &rig{deployment: d, engines: make(map[string]*passEngine), sight: sight}
+func newSimulator(d *deployment, rule dispatch.Rule, visibility visibility) *simulator {
+	s := &simulator{deployment: d, engines: make(map[string]*passEngine), visibility: visibility}
 	var changes []dispatch.Change
 	for i := range d.engines {
 		id := fmt.Sprintf("engine-%03d", i)
-		r.engines[id] = &passEngine{id: id, spec: d.spec}
+		s.engines[id] = &passEngine{id: id, spec: d.spec}
 		changes = append(changes, dispatch.Change{Upstream: dispatch.Upstream{ID: id, Service: "model", Address: id, Slots: d.spec.Slots}})
 	}
 	fleets := d.entries
-	if sight == allKnowing {
+	if visibility == instantView {
 		fleets = 1
 	}
 	for i := range fleets {
 		fleet := dispatch.NewFleet(dispatch.Settings{Rule: rule, Origin: uint64(i + 1)})
 		fleet.ApplyChanges(epoch, changes, true)
-		r.fleets = append(r.fleets, fleet)
+		s.fleets = append(s.fleets, fleet)
 	}
-	return r
+	return s
 }
 
-func (r *rig) fleet(entry int) *dispatch.Fleet { return r.fleets[entry%len(r.fleets)] }
+func (s *simulator) fleet(entry int) *dispatch.Fleet { return s.fleets[entry%len(s.fleets)] }
 
-// play plays a day to its end.
-func (r *rig) play(day []*prompt) {
-	for _, p := range day {
-		r.at(p.at, func(now time.Duration) { r.arrive(now, p) })
+// simulate runs the simulation until all prompts have ended.
+func (s *simulator) simulate(prompts []*prompt) {
+	for _, p := range prompts {
+		s.schedule(p.at, func(now time.Duration) { s.arrive(now, p) })
 	}
-	r.run()
+	s.run()
 }
 
-// returnAfter is the least time after which a refused caller returns, as gateways advise.
-const returnAfter = 500 * time.Millisecond
+// minRetryDelay is the shortest time after which a refused caller retries, as the gateways
+// advise in Retry-After.
+const minRetryDelay = 500 * time.Millisecond
 
-// arrive takes an attempt of a prompt's caller.
-func (r *rig) arrive(now time.Duration, p *prompt) {
+// arrive handles an attempt by the caller of a prompt.
+func (s *simulator) arrive(now time.Duration, p *prompt) {
 	p.attempts++
-	p.arrived, p.turn = now, dispatch.PlacementID{}
-	r.choose(now, p)
+	p.attemptAt, p.queueID = now, dispatch.PlacementID{}
+	s.choose(now, p)
 }
 
-// choose asks where a prompt goes, again when its turn is expected. A refused caller returns
-// once; its aim still counts from its first attempt, which entries don't know.
-func (r *rig) choose(now time.Duration, p *prompt) {
-	waited := now - p.arrived
-	choice, id, verdict := r.fleet(p.entry).Choose(epoch.Add(now), &dispatch.Request{
-		Service: "model", PromptTokens: p.tokens, OutputTokens: p.events * r.deployment.spec.Stride,
-		FirstEventTarget: p.kind.aim - waited, GapTarget: p.kind.gapAim, TimeToDeadline: p.kind.deadline - (now - p.at), QueueID: p.turn,
-	}, r.deployment.spec)
+// choose requests a placement for a prompt, again when the queue says so. A refused caller
+// retries once; its target still counts from its first attempt, which entries don't know.
+func (s *simulator) choose(now time.Duration, p *prompt) {
+	waited := now - p.attemptAt
+	choice, id, verdict := s.fleet(p.entry).Choose(epoch.Add(now), &dispatch.Request{
+		Service: "model", PromptTokens: p.tokens, OutputTokens: p.eventCount * s.deployment.spec.Stride,
+		FirstEventTarget: p.class.firstEventTarget - waited, GapTarget: p.class.gapTarget, TimeToDeadline: p.class.deadline - (now - p.at), QueueID: p.queueID,
+	}, s.deployment.spec)
 	switch {
 	case verdict == dispatch.Place:
-		r.place(now, p, choice, id)
+		s.place(now, p, choice, id)
 	case verdict == dispatch.Queue:
-		p.turn = id
-		r.at(now+choice.Retry.After, func(now time.Duration) { r.choose(now, p) })
+		p.queueID = id
+		s.schedule(now+choice.Retry.After, func(now time.Duration) { s.choose(now, p) })
 	case p.attempts == 1:
-		r.at(now+max(choice.Explanation.ClearTime, returnAfter), func(now time.Duration) { r.arrive(now, p) })
+		s.schedule(now+max(choice.Explanation.ClearTime, minRetryDelay), func(now time.Duration) { s.arrive(now, p) })
 	default:
 		p.refused = true
 	}
-	r.tell(now, p.entry)
+	s.sendEvents(now, p.entry)
 }
 
-// place sends a prompt where its choice says.
-func (r *rig) place(now time.Duration, p *prompt, choice dispatch.Choice, id dispatch.PlacementID) {
-	p.id, p.urgency, p.left = id, choice.Urgency, p.events
-	p.parts = 1 + len(choice.Helpers)
-	share := float64(p.tokens) / float64(p.parts)
-	r.give(now, choice.Upstream.ID, &part{of: p, tokens: share})
+// place sends the parts of a prompt to the chosen engines.
+func (s *simulator) place(now time.Duration, p *prompt, choice dispatch.Choice, id dispatch.PlacementID) {
+	p.placementID, p.urgency, p.remainingEvents = id, choice.Urgency, p.eventCount
+	p.pendingParts = 1 + len(choice.Helpers)
+	share := float64(p.tokens) / float64(p.pendingParts)
+	s.sendPart(now, choice.Upstream.ID, &part{prompt: p, remainingTokens: share})
 	for _, helper := range choice.Helpers {
-		r.give(now, helper.Upstream.ID, &part{of: p, tokens: share, helps: true})
+		s.sendPart(now, helper.Upstream.ID, &part{prompt: p, remainingTokens: share, isHelper: true})
 	}
 }
 
-// give hands a part to an engine, which begins a pass if it is idle.
-func (r *rig) give(now time.Duration, id string, p *part) {
-	r.parts++
-	p.order = r.parts
-	e := r.engines[id]
+// sendPart sends a part to an engine, which starts a pass if it is idle.
+func (s *simulator) sendPart(now time.Duration, id string, p *part) {
+	s.lastPart++
+	p.order = s.lastPart
+	e := s.engines[id]
 	e.admit(p)
 	if !e.busy {
 		e.busy = true
-		r.pass(now, e)
+		s.pass(now, e)
 	}
 }
 
-func (r *rig) pass(now time.Duration, e *passEngine) {
-	if len(e.reading) == 0 && len(e.writing) == 0 {
+// pass simulates passes of an engine until it is idle.
+func (s *simulator) pass(now time.Duration, e *passEngine) {
+	if len(e.prefilling) == 0 && len(e.decoding) == 0 {
 		e.busy = false
 		return
 	}
-	writing := append([]*prompt(nil), e.writing...)
-	took, read := e.pass()
-	r.at(now+took, func(now time.Duration) {
-		for _, p := range writing {
-			r.wrote(now, e, p)
+	decoding := append([]*prompt(nil), e.decoding...)
+	took, prefilled := e.runPass()
+	s.schedule(now+took, func(now time.Duration) {
+		for _, p := range decoding {
+			s.eventWritten(now, e, p)
 		}
-		for _, p := range read {
-			r.wasRead(now, e, p)
+		for _, p := range prefilled {
+			s.partPrefilled(now, e, p)
 		}
-		r.pass(now, e)
+		s.pass(now, e)
 	})
 }
 
-// wasRead begins a prompt's stream with its last part, at the engine that leads it.
-func (r *rig) wasRead(now time.Duration, e *passEngine, p *part) {
-	of := p.of
-	of.parts--
-	if !p.helps {
-		e.writing = append(e.writing, of)
+// partPrefilled handles the end of a part's prefill. The stream starts at the primary engine
+// when all parts of the prompt are prefilled.
+func (s *simulator) partPrefilled(now time.Duration, e *passEngine, p *part) {
+	prompt := p.prompt
+	prompt.pendingParts--
+	if !p.isHelper {
+		e.decoding = append(e.decoding, prompt)
 	}
-	if of.parts == 0 {
-		of.late = now-of.at > of.kind.aim
-		of.last = now
-		r.fleet(of.entry).RecordFirstEvent(epoch.Add(now), of.id)
-		r.tell(now, of.entry)
+	if prompt.pendingParts == 0 {
+		prompt.late = now-prompt.at > prompt.class.firstEventTarget
+		prompt.lastEventAt = now
+		s.fleet(prompt.entry).RecordFirstEvent(epoch.Add(now), prompt.placementID)
+		s.sendEvents(now, prompt.entry)
 	}
 }
 
-// wrote hands out one event of a stream.
-func (r *rig) wrote(now time.Duration, e *passEngine, p *prompt) {
-	if p.parts > 0 {
-		return // Other engines still read parts of it.
+// eventWritten handles one event of a stream.
+func (s *simulator) eventWritten(now time.Duration, e *passEngine, p *prompt) {
+	if p.pendingParts > 0 {
+		return // Other engines still prefill parts of it.
 	}
-	p.late = p.late || now-p.last > p.kind.gapAim
-	p.last = now
-	p.left--
-	if p.left > 0 {
+	p.late = p.late || now-p.lastEventAt > p.class.gapTarget
+	p.lastEventAt = now
+	p.remainingEvents--
+	if p.remainingEvents > 0 {
 		return
 	}
-	p.ended = now
-	e.leave()
-	for i, other := range e.writing {
+	p.endedAt = now
+	e.releaseSlot()
+	for i, other := range e.decoding {
 		if other == p {
-			e.writing = append(e.writing[:i], e.writing[i+1:]...)
+			e.decoding = append(e.decoding[:i], e.decoding[i+1:]...)
 			break
 		}
 	}
-	r.fleet(p.entry).RecordEnd(epoch.Add(now), p.id, dispatch.Served)
-	r.tell(now, p.entry)
+	s.fleet(p.entry).RecordEnd(epoch.Add(now), p.placementID, dispatch.Served)
+	s.sendEvents(now, p.entry)
 }
 
-// tell passes an entry's news on to the others.
-func (r *rig) tell(now time.Duration, entry int) {
-	if r.sight != sharedView {
+// sendEvents sends an entry's events to the other entries.
+func (s *simulator) sendEvents(now time.Duration, entry int) {
+	if s.visibility != sharedView {
 		return
 	}
-	r.at(now+batch, func(now time.Duration) {
-		events := r.fleets[entry].TakeEvents()
+	s.schedule(now+batchDelay, func(now time.Duration) {
+		events := s.fleets[entry].TakeEvents()
 		if len(events) == 0 {
 			return
 		}
-		r.at(now+r.deployment.way, func(now time.Duration) {
-			for i, other := range r.fleets {
+		s.schedule(now+s.deployment.entryDelay, func(now time.Duration) {
+			for i, other := range s.fleets {
 				if i != entry {
 					other.ApplyEvents(epoch.Add(now), uint64(entry+1), events)
 				}
@@ -343,69 +352,71 @@
 	})
 }
 
-// tally counts what became of the prompts of one kind.
-type tally struct{ asked, late, cut, refused int }
+// outcomeCounts counts the prompts of one class by outcome.
+type outcomeCounts struct{ requests, late, deadlineExceeded, refused int }
 
-// share returns a count as a share of what was asked for.
-func (t tally) share(count int) float64 { return float64(count) / float64(max(t.asked, 1)) }
+// share returns a count as a share of all requests.
+func (c outcomeCounts) share(count int) float64 { return float64(count) / float64(max(c.requests, 1)) }
 
-// cut tells whether a prompt was ended by its deadline.
-func (p *prompt) cut() bool { return !p.refused && (p.ended == 0 || p.ended-p.at > p.kind.deadline) }
+// deadlineExceeded reports whether a prompt did not end by its deadline.
+func (p *prompt) deadlineExceeded() bool {
+	return !p.refused && (p.endedAt == 0 || p.endedAt-p.at > p.class.deadline)
+}
 
-// tallyOf counts the prompts of some days by kind.
-func tallyOf(days ...[]*prompt) map[string]tally {
-	tallies := make(map[string]tally)
-	for _, day := range days {
-		for _, p := range day {
-			t := tallies[p.kind.name]
-			t.asked++
+// countOutcomes counts the prompts of some simulations by class.
+func countOutcomes(simulations ...[]*prompt) map[string]outcomeCounts {
+	countsByClass := make(map[string]outcomeCounts)
+	for _, prompts := range simulations {
+		for _, p := range prompts {
+			counts := countsByClass[p.class.name]
+			counts.requests++
 			switch {
 			case p.refused:
-				t.refused++
-			case p.cut():
-				t.cut++
+				counts.refused++
+			case p.deadlineExceeded():
+				counts.deadlineExceeded++
 			case p.late:
-				t.late++
+				counts.late++
 			}
-			tallies[p.kind.name] = t
+			countsByClass[p.class.name] = counts
 		}
 	}
-	return tallies
+	return countsByClass
 }
 
-// earned is what a day brought.
-type earned struct {
-	// worth is the share of what all requests together were worth, byKind that of each
-	// kind; perSecond is the worth itself in a second.
-	worth, perSecond float64
-	byKind           map[string]float64
-	refused          int
+// goodput is the value of the answers of one simulation.
+type goodput struct {
+	// valueShare is the value achieved as a share of the value of all requests, shareByClass
+	// the same for each class; valuePerSecond is the value achieved per second.
+	valueShare, valuePerSecond float64
+	shareByClass               map[string]float64
+	refused                    int
 }
 
-func earnedOf(day []*prompt) earned {
-	got, owed := make(map[string]float64), make(map[string]float64)
-	e := earned{byKind: make(map[string]float64)}
-	for _, p := range day {
-		owed[p.kind.name] += p.kind.worth
-		owed[""] += p.kind.worth
-		worth := p.kind.worth
+func goodputOf(prompts []*prompt) goodput {
+	achieved, possible := make(map[string]float64), make(map[string]float64)
+	g := goodput{shareByClass: make(map[string]float64)}
+	for _, p := range prompts {
+		possible[p.class.name] += p.class.value
+		possible[""] += p.class.value
+		value := p.class.value
 		switch {
 		case p.refused:
-			e.refused++
-			worth = 0
-		case p.cut():
-			worth = 0
+			g.refused++
+			value = 0
+		case p.deadlineExceeded():
+			value = 0
 		case p.late:
-			worth = p.kind.late
+			value = p.class.lateValue
 		}
-		got[p.kind.name] += worth
-		got[""] += worth
+		achieved[p.class.name] += value
+		achieved[""] += value
 	}
-	for name := range owed {
+	for name := range possible {
 		if name != "" {
-			e.byKind[name] = got[name] / owed[name]
+			g.shareByClass[name] = achieved[name] / possible[name]
 		}
 	}
-	e.worth, e.perSecond = got[""]/owed[""], got[""]/dayLength.Seconds()
-	return e
+	g.valueShare, g.valuePerSecond = achieved[""]/possible[""], achieved[""]/simulatedTime.Seconds()
+	return g
 }
--- a/core/policytest/engines_test.go
+++ b/core/policytest/engines_test.go
@@ -9,162 +9,164 @@
 	"acaciacleat.example/core/enginemodel"
 )
 
-// prompt is a request for an engine, with what became of it.
+// prompt is a request to the engines and its state.
 type prompt struct {
-	kind   *kind
-	at     time.Duration
-	tokens int
-	events int
-	entry  int
-
-	// attempts counts the times that its caller asked, the last one at arrived; turn names the
-	// wait of that attempt.
-	attempts int
-	arrived  time.Duration
-	turn     dispatch.PlacementID
-
-	id      dispatch.PlacementID
-	urgency int
-	parts   int // still to be read
-	left    int // events to write
-	last    time.Duration
-	late    bool
-	refused bool
-	ended   time.Duration
+	class      *requestClass
+	at         time.Duration
+	tokens     int
+	eventCount int
+	entry      int
+
+	// attempts counts the attempts of the caller, the last one made at attemptAt; queueID
+	// identifies that attempt while it waits in the queue.
+	attempts  int
+	attemptAt time.Duration
+	queueID   dispatch.PlacementID
+
+	placementID     dispatch.PlacementID
+	urgency         int
+	pendingParts    int // not yet prefilled
+	remainingEvents int // not yet written
+	lastEventAt     time.Duration
+	late            bool
+	refused         bool
+	endedAt         time.Duration
 }
 
-// part is what one engine reads of a prompt.
+// part is the part of a prompt that one engine prefills.
 type part struct {
-	of     *prompt
-	tokens float64
-	helps  bool
-	order  int
+	prompt          *prompt
+	remainingTokens float64
+	isHelper        bool
+	order           int
 }
 
-// passEngine is an engine that works in passes as its figures are published: a pass with
-// streams runs Stride steps, each step may read a chunk; parts for others go first, then
-// the more urgent, then the newest.
+// passEngine simulates an engine that works in passes, as its published figures describe: a
+// pass with streams runs Stride steps, and each step may prefill a chunk. Parts of other
+// engines' prompts go first, then the more urgent parts, then the newest.
 type passEngine struct {
-	id      string
-	spec    *enginemodel.Spec
-	reading []*part
-	writing []*prompt
-	// held counts the slots taken; who finds none waits.
-	held    int
-	waiting []*part
-	busy    bool
+	id         string
+	spec       *enginemodel.Spec
+	prefilling []*part
+	decoding   []*prompt
+	// usedSlots counts the occupied slots; queue holds the parts that wait for a slot.
+	usedSlots int
+	queue     []*part
+	busy      bool
 }
 
-// admit takes a slot for a part, or lets it wait for one. Parts read for others need none.
+// admit occupies a slot for a part, or queues the part. Parts of other engines' prompts need
+// no slot.
 func (e *passEngine) admit(p *part) {
 	switch {
-	case p.helps:
-	case e.held >= e.spec.Slots:
-		e.waiting = append(e.waiting, p)
+	case p.isHelper:
+	case e.usedSlots >= e.spec.Slots:
+		e.queue = append(e.queue, p)
 		return
 	default:
-		e.held++
+		e.usedSlots++
 	}
-	e.add(p)
+	e.enqueue(p)
 }
 
-// leave frees a slot for the one that has waited longest.
-func (e *passEngine) leave() {
-	e.held--
-	if len(e.waiting) > 0 {
-		next := e.waiting[0]
-		e.waiting = e.waiting[1:]
+// releaseSlot frees a slot and admits the part that has waited longest.
+func (e *passEngine) releaseSlot() {
+	e.usedSlots--
+	if len(e.queue) > 0 {
+		next := e.queue[0]
+		e.queue = e.queue[1:]
 		e.admit(next)
 	}
 }
 
-// add puts a part where it is read in its turn.
-func (e *passEngine) add(p *part) {
-	e.reading = append(e.reading, p)
-	slices.SortStableFunc(e.reading, func(a, b *part) int {
+// enqueue inserts a part in prefill order.
+func (e *passEngine) enqueue(p *part) {
+	e.prefilling = append(e.prefilling, p)
+	slices.SortStableFunc(e.prefilling, func(a, b *part) int {
 		switch {
-		case a.helps != b.helps && a.helps:
+		case a.isHelper != b.isHelper && a.isHelper:
 			return -1
-		case a.helps != b.helps:
+		case a.isHelper != b.isHelper:
 			return 1
-		case a.of.urgency != b.of.urgency:
-			return a.of.urgency - b.of.urgency
+		case a.prompt.urgency != b.prompt.urgency:
+			return a.prompt.urgency - b.prompt.urgency
 		default:
 			return b.order - a.order
 		}
 	})
 }
 
-// pass works for one pass and returns what it took and the parts that were read.
-func (e *passEngine) pass() (took time.Duration, read []*part) {
+// runPass simulates one pass and returns its duration and the parts whose prefill ended.
+func (e *passEngine) runPass() (duration time.Duration, prefilled []*part) {
 	context := 0
-	for _, p := range e.writing {
+	for _, p := range e.decoding {
 		context += p.tokens
 	}
 	steps := 1
-	if len(e.writing) > 0 {
+	if len(e.decoding) > 0 {
 		steps = e.spec.Stride
 	}
 	for range steps {
-		took += e.spec.PassTime(len(e.writing), context) / time.Duration(e.spec.Stride)
-		took += e.read(&read)
+		duration += e.spec.PassTime(len(e.decoding), context) / time.Duration(e.spec.Stride)
+		duration += e.prefillStep(&prefilled)
 	}
-	return took, read
+	return duration, prefilled
 }
 
-// read reads at most one chunk and returns the time that it takes.
-func (e *passEngine) read(read *[]*part) (took time.Duration) {
-	room := float64(e.spec.Chunk)
-	for room > 0 && len(e.reading) > 0 {
-		p := e.reading[0]
-		tokens := min(room, p.tokens)
-		room -= tokens
-		p.tokens -= tokens
-		perToken := float64(time.Second)/e.spec.PrefillRate + float64(p.of.tokens)/2*e.spec.PerPair
-		took += time.Duration(tokens * perToken)
-		if p.tokens <= 0 {
-			e.reading = e.reading[1:]
-			*read = append(*read, p)
+// prefillStep prefills at most one chunk and returns the time that it takes.
+func (e *passEngine) prefillStep(prefilled *[]*part) (duration time.Duration) {
+	budget := float64(e.spec.Chunk)
+	for budget > 0 && len(e.prefilling) > 0 {
+		p := e.prefilling[0]
+		tokens := min(budget, p.remainingTokens)
+		budget -= tokens
+		p.remainingTokens -= tokens
+		perToken := float64(time.Second)/e.spec.PrefillRate + float64(p.prompt.tokens)/2*e.spec.PerPair
+		duration += time.Duration(tokens * perToken)
+		if p.remainingTokens <= 0 {
+			e.prefilling = e.prefilling[1:]
+			*prefilled = append(*prefilled, p)
 		}
 	}
-	return took
+	return duration
 }
 
-// happening is something that happens at a time; ties happen in the order they were made.
-type happening struct {
-	at    time.Duration
-	order int
-	do    func(now time.Duration)
+// timedEvent is an action at a time. Actions at the same time run in the order of their
+// creation.
+type timedEvent struct {
+	at     time.Duration
+	order  int
+	action func(now time.Duration)
 }
 
-type happenings []happening
+type timedEvents []timedEvent
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (e timedEvents) Len() int { return len(e) }
+func (e timedEvents) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
+func (e timedEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *timedEvents) Push(x any)   { *e = append(*e, x.(timedEvent)) }
+func (e *timedEvents) Pop() any {
+	last := (*e)[len(*e)-1]
+	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// clock runs happenings in the order of their times.
-type clock struct {
-	queue happenings
-	next  int
+// eventLoop runs events in the order of their times.
+type eventLoop struct {
+	queue     timedEvents
+	lastOrder int
 }
 
-func (c *clock) at(t time.Duration, do func(now time.Duration)) {
-	c.next++
-	heap.Push(&c.queue, happening{t, c.next, do})
+func (l *eventLoop) schedule(t time.Duration, action func(now time.Duration)) {
+	l.lastOrder++
+	heap.Push(&l.queue, timedEvent{t, l.lastOrder, action})
 }
 
-func (c *clock) run() {
-	for len(c.queue) > 0 {
-		h := heap.Pop(&c.queue).(happening)
-		h.do(h.at)
+func (l *eventLoop) run() {
+	for len(l.queue) > 0 {
+		event := heap.Pop(&l.queue).(timedEvent)
+		event.action(event.at)
 	}
 }
--- a/core/policytest/evaluator_test.go
+++ b/core/policytest/evaluator_test.go
@@ -1,6 +1,6 @@
-// Package policytest measures routing and scheduling policies against one another in a
-// small deterministic model of engines. Its figures compare policies; they are not
-// figures of the system.
+// Package policytest compares routing and scheduling policies in small deterministic
+// simulations of engines. Its results only compare policies; they don't predict the
+// performance of the system.
 package policytest
 
 import (
@@ -18,50 +18,53 @@
 	"acaciacleat.example/core/scheduling"
 )
 
-// The shape of the model.
+// The parameters of the simulation.
 const (
-	prefillRate  = 40_000 // tokens/s of one engine
-	capacity     = 400_000
-	chunk        = 4096 // prompt tokens between two decisions of an engine
-	decodeTokens = 300
-	decodeTime   = 8 * time.Second // memory is held as long after the first token
-	reportEvery  = 500 * time.Millisecond
-	reportLag    = time.Second
-	zones        = 3
-	entries      = 3
+	prefillRate    = 40_000 // tokens/s of one engine
+	capacityTokens = 400_000
+	chunkTokens    = 4096 // prompt tokens prefilled between two decisions of an engine
+	decodeTokens   = 300
+	decodeDuration = 8 * time.Second // memory is held for this time after the first token
+	reportInterval = 500 * time.Millisecond
+	reportLag      = time.Second
+	zoneCount      = 3
+	entryCount     = 3
 )
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// job is a prompt at an engine.
+// job is a prompt sent to an engine.
 type job struct {
 	arrival
-	item   scheduling.Item
-	left   float64 // prompt tokens to prefill
-	order  int     // the engine's priority
-	start  int     // sequence among equals
-	cached int
+	item       scheduling.Item
+	remaining  float64 // prompt tokens to prefill
+	priority   int     // lower runs first
+	startOrder int     // order among jobs of the same priority
+	cached     int
 }
 
-// engine prefills its running job of the best priority chunk by chunk.
+// engine simulates an engine that prefills its running job of the highest priority, chunk by
+// chunk.
 type engine struct {
-	queue   scheduling.Queue
-	jobs    map[call.ID]*job
-	running []*job
-	free    int64
-	short   int64 // memory of short prompts
-	busy    bool
-	blocks  map[uint64]time.Duration // cached digests and when they were last used
-	started int
+	queue       scheduling.Queue
+	jobs        map[call.ID]*job
+	running     []*job
+	free        int64
+	shortMemory int64 // memory held by short prompts
+	busy        bool
+	cache       map[uint64]time.Duration // cached digests and the time of their last use
+	startCount  int
 }
 
-// cacheBlocks bounds an engine's cache in digests, by its memory at 4,096 tokens a digest.
-const cacheBlocks = 2 * capacity / 4096
+// maxCachedDigests bounds an engine's cache, in digests: twice its memory at 4,096 tokens per
+// digest.
+const maxCachedDigests = 2 * capacityTokens / 4096
 
+// cachedDepth returns the number of leading digests that are cached.
 func (e *engine) cachedDepth(list []uint64) int {
 	depth := 0
 	for depth < len(list) {
-		if _, ok := e.blocks[list[depth]]; !ok {
+		if _, ok := e.cache[list[depth]]; !ok {
 			break
 		}
 		depth++
@@ -69,44 +72,45 @@
 	return depth
 }
 
+// store caches the digests of a prompt and evicts the least recently used ones.
 func (e *engine) store(list []uint64, at time.Duration) {
 	for i, digest := range list {
-		e.blocks[digest] = at - time.Duration(i) // of one prompt, the deepest goes first
+		e.cache[digest] = at - time.Duration(i) // the deepest digests of a prompt are evicted first
 	}
-	for len(e.blocks) > cacheBlocks {
+	for len(e.cache) > maxCachedDigests {
 		oldest, key := time.Duration(math.MaxInt64), uint64(0)
-		for digest, used := range e.blocks {
+		for digest, used := range e.cache {
 			if used < oldest || used == oldest && digest < key {
 				oldest, key = used, digest
 			}
 		}
-		delete(e.blocks, key)
+		delete(e.cache, key)
 	}
 }
 
-// hold takes (1) or gives back (-1) the memory of a job.
-func (e *engine) hold(j *job, sign int64) {
+// addMemory allocates (sign 1) or frees (sign -1) the memory of a job.
+func (e *engine) addMemory(j *job, sign int64) {
 	tokens := sign * int64(j.item.Work.Tokens())
 	e.free -= tokens
-	if j.prompt <= call.ShortMax && j.order != scheduling.PriorityFlood {
-		e.short += tokens
+	if j.prompt <= call.ShortMax && j.priority != scheduling.PriorityFlood {
+		e.shortMemory += tokens
 	}
 }
 
-func (e *engine) held() scheduling.Running {
-	running := scheduling.Running{ShortMemory: e.short}
+func (e *engine) runningLoad() scheduling.Running {
+	running := scheduling.Running{ShortMemory: e.shortMemory}
 	for _, j := range e.running {
-		if j.order == scheduling.PriorityFlood {
-			running.FloodPrefill += int64(j.left)
+		if j.priority == scheduling.PriorityFlood {
+			running.FloodPrefill += int64(j.remaining)
 		} else {
-			running.Prefill[call.ClassOf(j.prompt)] += int64(j.left)
+			running.Prefill[call.ClassOf(j.prompt)] += int64(j.remaining)
 		}
 	}
 	return running
 }
 
 func (e *engine) load() routing.Load {
-	l := routing.Load{FreeTokens: e.free, CapacityTokens: capacity, PrefillRate: prefillRate}
+	l := routing.Load{FreeTokens: e.free, CapacityTokens: capacityTokens, PrefillRate: prefillRate}
 	if q, ok := e.queue.(*scheduling.Priority); ok {
 		l.QueuedPrompt = q.QueuedTokens()
 	} else {
@@ -115,17 +119,17 @@
 		}
 	}
 	for _, j := range e.running {
-		l.RunningPrompt[call.ClassOf(j.prompt)] += int64(j.left)
+		l.RunningPrompt[call.ClassOf(j.prompt)] += int64(j.remaining)
 	}
 	l.RunningCalls, l.QueuedCalls = int32(len(e.running)), int32(e.queue.Len())
 	return l
 }
 
-// event is something that happens at a time; order settles ties.
+// event is an action at a time; order breaks ties.
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at     time.Duration
+	order  int
+	action func()
 }
 
 type events []event
@@ -145,56 +149,58 @@
 // sample is the outcome of one prompt.
 type sample struct {
 	arrival
-	ttft   time.Duration
-	cached int
+	ttft         time.Duration
+	cachedTokens int
 }
 
-type model struct {
-	pending   events
-	order     int
+// traceSimulation simulates entries with a routing policy and engines with a queue.
+type traceSimulation struct {
+	events    events
+	lastOrder int
 	now       time.Duration
 	engines   []*engine
-	views     [entries][]routing.Replica
-	policies  [entries]routing.Policy
+	views     [entryCount][]routing.Replica
+	policies  [entryCount]routing.Policy
 	objective document.Objective
 	samples   []sample
 }
 
-func (m *model) after(d time.Duration, do func()) {
-	m.order++
-	heap.Push(&m.pending, event{m.now + d, m.order, do})
+func (m *traceSimulation) schedule(d time.Duration, action func()) {
+	m.lastOrder++
+	heap.Push(&m.events, event{m.now + d, m.lastOrder, action})
 }
 
-// run plays a trace against a routing policy and a queue, and returns the outcomes.
-func run(policy func(seed uint64) routing.Policy, seed uint64, count int, arrivals []arrival, objective document.Objective, newQueue func() scheduling.Queue) []sample {
-	m := &model{objective: objective}
+// simulateTrace simulates a trace with a routing policy and a type of queue and returns the
+// outcomes.
+func simulateTrace(policy func(seed uint64) routing.Policy, seed uint64, count int, arrivals []arrival, objective document.Objective, newQueue func() scheduling.Queue) []sample {
+	m := &traceSimulation{objective: objective}
 	for range count {
-		m.engines = append(m.engines, &engine{queue: newQueue(), jobs: make(map[call.ID]*job), free: capacity, blocks: make(map[uint64]time.Duration)})
+		m.engines = append(m.engines, &engine{queue: newQueue(), jobs: make(map[call.ID]*job), free: capacityTokens, cache: make(map[uint64]time.Duration)})
 	}
-	for i := range entries {
+	for i := range entryCount {
 		m.policies[i] = policy(seed + uint64(i))
 		for n := range count {
-			m.views[i] = append(m.views[i], routing.Replica{Agent: fmt.Sprint("agent-", n), Zone: fmt.Sprint(n % zones), Incarnation: 1, Seen: epoch, Load: m.engines[n].load()})
+			m.views[i] = append(m.views[i], routing.Replica{Agent: fmt.Sprint("agent-", n), Zone: fmt.Sprint(n % zoneCount), Incarnation: 1, Seen: epoch, Load: m.engines[n].load()})
 		}
 	}
 	for i, a := range arrivals {
-		m.after(a.at, func() { m.arrive(i, a) })
+		m.schedule(a.at, func() { m.arrive(i, a) })
 	}
 	last := arrivals[len(arrivals)-1].at
-	m.after(0, func() { m.reports(last) })
-	for m.pending.Len() > 0 {
-		e := heap.Pop(&m.pending).(event)
+	m.schedule(0, func() { m.reports(last) })
+	for m.events.Len() > 0 {
+		e := heap.Pop(&m.events).(event)
 		m.now = e.at
-		e.do()
+		e.action()
 	}
 	return m.samples
 }
 
-// reports sends each engine's load to all entries, which see it reportLag later.
-func (m *model) reports(last time.Duration) {
+// reports sends each engine's load to all entries, which receive it reportLag later.
+func (m *traceSimulation) reports(last time.Duration) {
 	for n, e := range m.engines {
 		load := e.load()
-		m.after(reportLag, func() {
+		m.schedule(reportLag, func() {
 			for i := range m.views {
 				r := &m.views[i][n]
 				r.Load, r.Seen, r.InFlight, r.InFlightPrompt = load, epoch.Add(m.now), 0, 0
@@ -202,15 +208,16 @@
 		})
 	}
 	if m.now < last {
-		m.after(reportEvery, func() { m.reports(last) })
+		m.schedule(reportInterval, func() { m.reports(last) })
 	}
 }
 
-func (m *model) arrive(n int, a arrival) {
-	entry := n % entries
-	work := call.TokenDemand{PromptTokens: a.prompt, MaxTokens: decodeTokens}
+// arrive routes the prompt of one arrival and queues it at the chosen engine.
+func (m *traceSimulation) arrive(n int, a arrival) {
+	entry := n % entryCount
+	demand := call.TokenDemand{PromptTokens: a.prompt, MaxTokens: decodeTokens}
 	deadline := epoch.Add(m.now + 10*time.Minute)
-	request := routing.Request{Work: work, Zone: fmt.Sprint(entry % zones), Objective: m.objective, Prefix: a.digests, PromptBytes: a.prompt * 4, Deadline: deadline}
+	request := routing.Request{Work: demand, Zone: fmt.Sprint(entry % zoneCount), Objective: m.objective, Prefix: a.digests, PromptBytes: a.prompt * 4, Deadline: deadline}
 	choice := m.policies[entry].Choose(&request, m.views[entry], epoch.Add(m.now))
 	view := &m.views[entry][choice.Index]
 	view.InFlight++
@@ -219,17 +226,17 @@
 	cached := min(a.prompt, prefix.Boundary(e.cachedDepth(a.digests))/4)
 	var id call.ID
 	binary.BigEndian.PutUint64(id[:], uint64(n)+1)
-	j := &job{arrival: a, item: scheduling.Item{ID: id, Organisation: fmt.Sprint(a.organisation), Work: work, CachedTokens: cached, Enqueued: epoch.Add(m.now), Deadline: deadline}}
+	j := &job{arrival: a, item: scheduling.Item{ID: id, Organisation: fmt.Sprint(a.organisation), Work: demand, CachedTokens: cached, Enqueued: epoch.Add(m.now), Deadline: deadline}}
 	if e.queue.Push(j.item) {
 		e.jobs[id] = j
-		m.fill(e)
+		m.startJobs(e)
 	}
 }
 
-// fill starts what the queue lets start.
-func (m *model) fill(e *engine) {
+// startJobs starts the jobs that the queue releases.
+func (m *traceSimulation) startJobs(e *engine) {
 	if q, ok := e.queue.(*scheduling.Priority); ok {
-		q.SetRunning(e.held())
+		q.SetRunning(e.runningLoad())
 	}
 	for {
 		item, ok := e.queue.Pop(epoch.Add(m.now), e.free)
@@ -239,13 +246,13 @@
 		j := e.jobs[item.ID]
 		delete(e.jobs, item.ID)
 		j.cached = min(j.prompt, prefix.Boundary(e.cachedDepth(j.digests))/4)
-		j.left = float64(j.prompt - j.cached)
-		e.started++
-		j.start = e.started
+		j.remaining = float64(j.prompt - j.cached)
+		e.startCount++
+		j.startOrder = e.startCount
 		if q, ok := e.queue.(*scheduling.Priority); ok {
-			j.order = q.EnginePriority(&item, epoch.Add(m.now))
+			j.priority = q.EnginePriority(&item, epoch.Add(m.now))
 		}
-		e.hold(j, 1)
+		e.addMemory(j, 1)
 		e.running = append(e.running, j)
 	}
 	if !e.busy && len(e.running) > 0 {
@@ -253,33 +260,33 @@
 	}
 }
 
-// prefill does one chunk of the best running job.
-func (m *model) prefill(e *engine) {
+// prefill processes one chunk of the running job with the highest priority.
+func (m *traceSimulation) prefill(e *engine) {
 	best := slices.MinFunc(e.running, func(a, b *job) int {
-		if a.order != b.order {
-			return a.order - b.order
+		if a.priority != b.priority {
+			return a.priority - b.priority
 		}
-		return a.start - b.start
+		return a.startOrder - b.startOrder
 	})
-	step := min(best.left, chunk)
+	step := min(best.remaining, chunkTokens)
 	e.busy = true
-	m.after(time.Duration((step+1)/prefillRate*float64(time.Second)), func() {
+	m.schedule(time.Duration((step+1)/prefillRate*float64(time.Second)), func() {
 		e.busy = false
-		best.left -= step
-		if best.left <= 0 {
-			m.first(e, best)
+		best.remaining -= step
+		if best.remaining <= 0 {
+			m.completePrefill(e, best)
 		}
-		m.fill(e)
+		m.startJobs(e)
 	})
 }
 
-// first ends a job's prefill; its memory stays taken while it decodes.
-func (m *model) first(e *engine, j *job) {
+// completePrefill ends a job's prefill. The job holds its memory while it decodes.
+func (m *traceSimulation) completePrefill(e *engine, j *job) {
 	e.running = slices.DeleteFunc(e.running, func(other *job) bool { return other == j })
 	e.store(j.digests, m.now)
-	m.samples = append(m.samples, sample{arrival: j.arrival, ttft: m.now - j.at, cached: j.cached})
-	m.after(decodeTime, func() {
-		e.hold(j, -1)
-		m.fill(e)
+	m.samples = append(m.samples, sample{arrival: j.arrival, ttft: m.now - j.at, cachedTokens: j.cached})
+	m.schedule(decodeDuration, func() {
+		e.addMemory(j, -1)
+		m.startJobs(e)
 	})
 }
--- a/core/policytest/heavy_test.go
+++ b/core/policytest/heavy_test.go
@@ -7,45 +7,45 @@
 	"github.com/stretchr/testify/require"
 )
 
-// playDays plays days of a deployment with the product's own choices, one for each seed from 1.
-func playDays(d *deployment, seeds uint64, load float64, pattern pattern) [][]*prompt {
-	days := make([][]*prompt, seeds)
-	for i := range days {
-		days[i] = d.play(variant{dispatch.Predicted, sharedView}, uint64(i)+1, load, pattern)
+// simulateSeeds simulates a deployment with predicted choices and a shared view, once for each
+// seed from 1.
+func simulateSeeds(d *deployment, seeds uint64, load float64, pattern trafficPattern) [][]*prompt {
+	simulations := make([][]*prompt, seeds)
+	for i := range simulations {
+		simulations[i] = d.simulate(variant{dispatch.Predicted, sharedView}, uint64(i)+1, load, pattern)
 	}
-	return days
+	return simulations
 }
 
-// Symptom: streams of middle and short prompts end by their deadline with dozens of events
-// out, on engines that read a third of their time. Sequence: many prompts of middle length,
-// each read in parts by engines that write streams. Cause: every pause was good by itself, and
-// nobody looked whether a stream of such pauses comes to its end.
-func TestWhatHasBegunComesToItsEnd(t *testing.T) {
-	const third = 0.46 // of its usual rate middleDeployment asks for a third of the engines' time
-	for kind, tally := range tallyOf(playDays(middleDeployment, 5, third, even)...) {
-		t.Logf("%s: %+v", kind, tally)
-		require.Zero(t, tally.cut, "%s prompts were ended by their deadline", kind)
+// Many prompts of middle length are prefilled in parts by engines that decode streams, and
+// prefill takes a third of the engines' time. Each pause is acceptable by itself, but if the
+// choice ignores their sum, streams exceed their deadline with dozens of events left.
+func TestStartedStreamsMeetTheirDeadline(t *testing.T) {
+	const load = 0.46 // at this load middleDeployment needs a third of the engines' time
+	for class, counts := range countOutcomes(simulateSeeds(middleDeployment, 5, load, even)...) {
+		t.Logf("%s: %+v", class, counts)
+		require.Zero(t, counts.deadlineExceeded, "%s prompts exceeded their deadline", class)
 	}
 }
 
-// Symptom: one short prompt in eight is late on a fleet that reads an eighth of its time.
-// Sequence: short prompts press; 103 entries each choose the best engine as they know it.
-// Cause: it is the same one for all, and its last slots are taken before they hear of each other.
-func TestShortPromptsAreInTimeOnALargeFleet(t *testing.T) {
-	short := tallyOf(playDays(largeDeployment, 1, 1, phases)...)["short"]
+// In a phase of many short prompts each of 103 entries chooses the best engine that it knows
+// of, which is the same one for all. Its last slots are taken before the entries learn of each
+// other's placements, and one short prompt in eight is late although prefill takes an eighth
+// of the engines' time.
+func TestShortPromptsMeetTargetsOnLargeFleet(t *testing.T) {
+	short := countOutcomes(simulateSeeds(largeDeployment, 1, 1, phases)...)["short"]
 	t.Logf("%+v, late %.3f", short, short.share(short.late))
 	require.Less(t, short.share(short.late), 0.08)
-	require.Less(t, short.share(short.cut+short.refused), 0.005)
+	require.Less(t, short.share(short.deadlineExceeded+short.refused), 0.005)
 }
 
-// Symptom: a quarter of the heavy prompts is refused in bursts although engines have time.
-// Sequence: short and heavy prompts press at once. Cause: each short prompt went where it was
-// read a little sooner, until every engine wrote a short stream, beside which nothing long may
-// be read.
-func TestShortPromptsLeaveEnginesToLongOnes(t *testing.T) {
-	tallies := tallyOf(playDays(usualDeployment, 6, 1, bursts)...)
-	heavy, short := tallies["heavy"], tallies["short"]
+// In bursts of short and heavy prompts, placing each short prompt where its prefill ends a
+// little sooner leaves every engine with a short stream, beside which no long prompt may be
+// prefilled. A quarter of the heavy prompts is then refused although engines have time.
+func TestShortPromptsKeepEnginesFreeForLongPrompts(t *testing.T) {
+	counts := countOutcomes(simulateSeeds(usualDeployment, 6, 1, bursts)...)
+	heavy, short := counts["heavy"], counts["short"]
 	t.Logf("heavy %+v, refused %.3f; short %+v, late %.3f", heavy, heavy.share(heavy.refused), short, short.share(short.late))
 	require.Less(t, heavy.share(heavy.refused), 0.2)
-	require.Less(t, short.share(short.late+short.cut+short.refused), 0.08)
+	require.Less(t, short.share(short.late+short.deadlineExceeded+short.refused), 0.08)
 }
--- a/core/policytest/plot_test.go
+++ b/core/policytest/plot_test.go
@@ -12,36 +12,36 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotFile is where TestPlotGoodput draws; without it, it draws into a folder of its own.
+// plotFile is the file that TestPlotGoodput writes; by default it uses a temporary folder.
 var plotFile = flag.String("plot", "", "PNG file for the curves of goodput")
 
-// TestPlotGoodput draws what days bring at each load, for each way of choosing.
+// TestPlotGoodput plots the goodput by load, with one line for each variant.
 //
 //	go test -run TestPlotGoodput ./core/policytest -plot ../../docs/plots/goodput.png
 func TestPlotGoodput(t *testing.T) {
-	loads, days := []float64{1, 2, 3}, 1
+	loads, seeds := []float64{1, 2, 3}, 1
 	if *plotFile == "" {
 		*plotFile = t.TempDir() + "/goodput.png"
 	} else {
-		loads, days = []float64{1, 1.25, 1.5, 1.75, 2, 2.25, 2.5, 2.75, 3}, daySeeds
+		loads, seeds = []float64{1, 1.25, 1.5, 1.75, 2, 2.25, 2.5, 2.75, 3}, seedCount
 	}
 	p := plot.New()
 	p.Title.Text = "Goodput by load"
-	p.X.Label.Text = "load, times the usual"
-	p.Y.Label.Text = "worth of good answers in a second"
+	p.X.Label.Text = "load, in multiples of the usual load"
+	p.Y.Label.Text = "value of answers per second"
 	p.Y.Min = 0
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
 	for i, v := range variants {
 		var points plotter.XYs
 		for _, load := range loads {
-			points = append(points, plotter.XY{X: load, Y: meanOf(v, days, load, bursts).perSecond})
+			points = append(points, plotter.XY{X: load, Y: meanGoodputOf(v, seeds, load, bursts).valuePerSecond})
 		}
 		line, err := plotter.NewLine(points)
 		require.NoError(t, err)
 		line.Color = plotutil.Color(i)
 		p.Add(line)
-		p.Legend.Add(fmt.Sprintf("%s, %s", v.rule, v.sight), line)
+		p.Legend.Add(fmt.Sprintf("%s, %s", v.rule, v.visibility), line)
 	}
 	require.NoError(t, p.Save(9*vg.Inch, 6*vg.Inch, *plotFile))
 }
--- a/core/policytest/trace_test.go
+++ b/core/policytest/trace_test.go
@@ -10,14 +10,14 @@
 	"acaciacleat.example/core/prefix"
 )
 
-// What the prompts of a trace are like.
+// The parameters of the prompts of a trace.
 const (
-	shareDepth    = 4   // digests of an organisation's instructions: 2,048 tokens
-	documentsEach = 12  // long documents that an organisation asks about again and again
-	shareOfLong   = 50  // 1 in 50 prompts is over 100,000 tokens
-	hotShare      = 0.4 // of prompts in a hot trace are about one document
-	hotPrompt     = 12_000
-	flooder       = 10 // the organisation after the usual ones
+	instructionDepth         = 4   // digests of an organisation's instructions: 2,048 tokens
+	documentsPerOrganisation = 12  // documents of each organisation, which its prompts share
+	longPromptInterval       = 50  // 1 in 50 prompts has over 100,000 tokens
+	hotDocumentShare         = 0.4 // share of prompts about one document, if hotDocument is set
+	hotPromptTokens          = 12_000
+	floodingOrganisation     = 10 // the organisation after the usual ones
 )
 
 // arrival is one prompt of a trace.
@@ -28,29 +28,29 @@
 	digests      []uint64
 }
 
-// shape is what a trace is like.
-type shape struct {
-	length      time.Duration
-	utilisation float64 // of the prefill rate, if nothing were cached
-	noLong      bool    // leave out prompts over 100,000 tokens
-	hot         bool
-	// flood is the share of the prefill rate that one more organisation asks for in short
-	// prompts.
-	flood float64
+// workload configures a trace.
+type workload struct {
+	duration    time.Duration
+	utilisation float64 // share of the prefill rate needed if nothing were cached
+	noLong      bool    // omit prompts over 100,000 tokens
+	hotDocument bool
+	// floodShare is the share of the prefill rate needed by the short prompts of an additional
+	// organisation.
+	floodShare float64
 }
 
-// trace makes prompts: two thirds short questions after the organisation's instructions,
-// the rest about one of its documents. Organisation sizes follow 1/rank.
-func trace(seed uint64, engines int, shape shape) []arrival {
+// drawTrace draws prompts: two thirds are short questions after the organisation's
+// instructions, the rest are about one of its documents. Organisation sizes follow 1/rank.
+func drawTrace(seed uint64, engines int, workload workload) []arrival {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var arrivals []arrival
 	at := time.Duration(0)
-	perSecond := shape.utilisation * prefillRate * float64(engines) / meanPrompt
-	for at < shape.length {
+	perSecond := workload.utilisation * prefillRate * float64(engines) / meanPromptTokens
+	for at < workload.duration {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
-		a := arrival{at: at, organisation: rank(random, 10)}
+		a := arrival{at: at, organisation: drawRank(random, 10)}
 		document := uint64(0)
-		switch draw := random.IntN(shareOfLong * 2); {
+		switch draw := random.IntN(longPromptInterval * 2); {
 		case draw < 2:
 			a.prompt = 100_000 + int(math.Min(random.ExpFloat64()*80_000, 250_000))
 			document = 1 + uint64(random.IntN(4))
@@ -58,42 +58,42 @@
 			a.prompt = 2100 + random.IntN(5000)
 		default:
 			a.prompt = 8000 + random.IntN(32_000)
-			document = 10 + uint64(rank(random, documentsEach))
+			document = 10 + uint64(drawRank(random, documentsPerOrganisation))
 		}
-		if shape.hot && random.Float64() < hotShare {
-			a.prompt, a.organisation, document = hotPrompt, 0, 99
+		if workload.hotDocument && random.Float64() < hotDocumentShare {
+			a.prompt, a.organisation, document = hotPromptTokens, 0, 99
 		}
-		a.digests = digests(&a, document, random)
-		if shape.noLong && a.prompt > call.MediumMax {
+		a.digests = digestsOf(&a, document, random)
+		if workload.noLong && a.prompt > call.MediumMax {
 			continue
 		}
 		arrivals = append(arrivals, a)
 	}
-	return withFlood(arrivals, seed, engines, shape)
+	return withFlood(arrivals, seed, engines, workload)
 }
 
-// The mean prompts of the usual organisations and of the flooding one.
+// The mean prompt tokens of the usual organisations and of the flooding one.
 const (
-	meanPrompt = 0.02*170_000 + 0.68*4600 + 0.3*24_000
-	meanFlood  = 4600
+	meanPromptTokens = 0.02*170_000 + 0.68*4600 + 0.3*24_000
+	meanFloodTokens  = 4600
 )
 
-// withFlood adds the flooding organisation's prompts and leaves the others as they are.
-func withFlood(arrivals []arrival, seed uint64, engines int, shape shape) []arrival {
+// withFlood adds the flooding organisation's prompts and does not change the others.
+func withFlood(arrivals []arrival, seed uint64, engines int, workload workload) []arrival {
 	random := rand.New(rand.NewPCG(seed, 8))
-	perSecond := shape.flood * prefillRate * float64(engines) / meanFlood
-	for at := time.Duration(0); perSecond > 0 && at < shape.length; {
+	perSecond := workload.floodShare * prefillRate * float64(engines) / meanFloodTokens
+	for at := time.Duration(0); perSecond > 0 && at < workload.duration; {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
-		a := arrival{at: at, organisation: flooder, prompt: 2100 + random.IntN(5000)}
-		a.digests = digests(&a, 0, random)
+		a := arrival{at: at, organisation: floodingOrganisation, prompt: 2100 + random.IntN(5000)}
+		a.digests = digestsOf(&a, 0, random)
 		arrivals = append(arrivals, a)
 	}
 	slices.SortStableFunc(arrivals, func(a, b arrival) int { return int(a.at - b.at) })
 	return arrivals
 }
 
-// rank draws from 0 to n-1 with weights 1/(1+rank).
-func rank(random *rand.Rand, n int) int {
+// drawRank draws from 0 to n-1 with weights 1/(1+rank).
+func drawRank(random *rand.Rand, n int) int {
 	for {
 		if i := random.IntN(n); random.Float64() < 1/float64(1+i) {
 			return i
@@ -101,15 +101,15 @@
 	}
 }
 
-// digests names the blocks: the organisation's instructions, then the document but for the
-// last tenth, which is the question.
-func digests(a *arrival, document uint64, random *rand.Rand) []uint64 {
+// digestsOf returns the digests of a prompt's blocks: the organisation's instructions, then
+// the document, and in the last tenth the question.
+func digestsOf(a *arrival, document uint64, random *rand.Rand) []uint64 {
 	count := prefix.Depth(a.prompt * 4)
 	list := make([]uint64, count)
 	question := random.Uint64()
 	for i := range list {
 		key := [4]uint64{uint64(a.organisation), 0, 0, uint64(i)}
-		if i >= shareDepth {
+		if i >= instructionDepth {
 			key[1] = document
 			if document == 0 || prefix.Boundary(i+1) > a.prompt*4*9/10 {
 				key[2] = question
