--- a/core/document/diff.go
+++ b/core/document/diff.go
@@ -38,9 +38,9 @@
 	case old == nil && new == nil:
 		return nil
 	case old == nil:
-		return []Change{{Path: strictjson.Root, New: strictjson.Spell(new.Name)}}
+		return []Change{{Path: strictjson.Root, New: strictjson.FormatValue(new.Name)}}
 	case new == nil:
-		return []Change{{Path: strictjson.Root, Old: strictjson.Spell(old.Name)}}
+		return []Change{{Path: strictjson.Root, Old: strictjson.FormatValue(old.Name)}}
 	}
 	return diffStruct(nil, strictjson.Root, reflect.ValueOf(*old), reflect.ValueOf(*new))
 }
@@ -63,7 +63,7 @@
 	if old.Equal(new) {
 		return changes
 	}
-	return append(changes, Change{Path: path, Old: strictjson.Spell(old.Interface()), New: strictjson.Spell(new.Interface())})
+	return append(changes, Change{Path: path, Old: strictjson.FormatValue(old.Interface()), New: strictjson.FormatValue(new.Interface())})
 }
 
 func diffList(changes []Change, path string, old, new reflect.Value) []Change {
@@ -84,9 +84,9 @@
 		newElement, inNew := after[name]
 		switch {
 		case !inOld:
-			changes = append(changes, Change{Path: elementPath, New: strictjson.Spell(newElement.Interface())})
+			changes = append(changes, Change{Path: elementPath, New: strictjson.FormatValue(newElement.Interface())})
 		case !inNew:
-			changes = append(changes, Change{Path: elementPath, Old: strictjson.Spell(oldElement.Interface())})
+			changes = append(changes, Change{Path: elementPath, Old: strictjson.FormatValue(oldElement.Interface())})
 		default:
 			changes = diffValue(changes, elementPath, oldElement, newElement)
 		}
--- a/core/document/document.go
+++ b/core/document/document.go
@@ -28,7 +28,7 @@
 )
 
 // Service is the document of one service. Without Organisations it is the service's header;
-// agents hold only headers. Rows and Assemble convert between the two.
+// agents hold only headers. Split and Assemble convert between the two.
 type Service struct {
 	// Name is the service's name in paths and rows: 1 to 63 of a-z, 0-9 and '-'.
 	Name string `json:"name" validate:"servicename"`
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -105,11 +105,11 @@
 func TestFaultsBetweenDocuments(t *testing.T) {
 	a := testModelService("a", "m", testOrganisation("x", "k"))
 	b := testModelService("b", "m", testOrganisation("y", "k"))
-	requirePaths(t, []string{"$.models[0].name", "$.organisations[0].keyHashes[0]"}, CheckTogether([]*Service{a, b}))
+	requirePaths(t, []string{"$.models[0].name", "$.organisations[0].keyHashes[0]"}, CheckConflicts([]*Service{a, b}))
 	moved := testModelService("a", "m", testOrganisation("y", "k"))
-	require.Empty(t, Compile(1, []*Service{a}).Check(moved), "a key may move to another organisation of the same document")
+	require.Empty(t, Compile(1, []*Service{a}).CheckConflicts(moved), "a key may move to another organisation of the same document")
 	shared := testModelService("b", "n", testOrganisation("x", "k"))
-	require.Empty(t, CheckTogether([]*Service{a, shared}), "one organisation may use a key at two services")
+	require.Empty(t, CheckConflicts([]*Service{a, shared}), "one organisation may use a key at two services")
 }
 
 // A client may write the path of a listed call in another spelling. If the upstream accepts
@@ -158,7 +158,7 @@
 		for organisationName, keys := range rows {
 			service.Organisations = append(service.Organisations, testOrganisation(organisationName, keys...))
 		}
-		header, list := Rows(service)
+		header, list := Split(service)
 		services = append(services, Assemble(header, list))
 	}
 	return services
@@ -210,7 +210,7 @@
 		require.Equal(t, wantPrincipal == nil, gotPrincipal == nil, key)
 		for _, service := range []string{"a", "b", "c"} {
 			if wantPrincipal != nil {
-				require.Equal(t, wantPrincipal.In(service), gotPrincipal.In(service))
+				require.Equal(t, wantPrincipal.Row(service), gotPrincipal.Row(service))
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 func TestLookupsDoNotAllocate(t *testing.T) {
 	snapshot, hash := Compile(1, []*Service{testModelService("chat", "m", testOrganisation("x", "k"))}), HashKey("k")
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		if snapshot.Principal(hash).In("chat") == nil || snapshot.Model("m") == nil {
+		if snapshot.Principal(hash).Row("chat") == nil || snapshot.Model("m") == nil {
 			panic("not found")
 		}
 	}))
@@ -237,7 +237,7 @@
 	snapshot, hash := Compile(1, []*Service{largeService()}), HashKey("17500")
 	b.ReportAllocs()
 	for b.Loop() {
-		if snapshot.Principal(hash).In("chat") == nil || snapshot.Model("m") == nil {
+		if snapshot.Principal(hash).Row("chat") == nil || snapshot.Model("m") == nil {
 			b.Fatal("not found")
 		}
 	}
--- a/core/document/rows.go
+++ b/core/document/rows.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Rows splits a document into its header and its organisations, so that one of 35,000
+// Split splits a document into its header and its organisations, so that one of 35,000
 // organisations can be changed without rewriting the others. The header shares the
 // document's slices: neither may be changed afterwards.
-func Rows(service *Service) (header *Service, organisations []Organisation) {
+func Split(service *Service) (header *Service, organisations []Organisation) {
 	copied := *service
 	copied.Organisations = nil
 	return &copied, service.Organisations
 }
 
-// Assemble is the inverse of Rows. It sorts the organisations by name.
+// Assemble is the inverse of Split. It sorts the organisations by name.
 func Assemble(header *Service, organisations []Organisation) *Service {
 	whole := *header
 	whole.Organisations = slices.Clone(organisations)
@@ -50,13 +50,13 @@
 // UpdateBetween returns the update from old to new; old is nil for a new service.
 func UpdateBetween(old, new *Service) Update {
 	update := Update{Service: new.Name}
-	header, rows := Rows(new)
+	header, rows := Split(new)
 	if old == nil {
 		update.Header = header
 		update.Put = rows
 		return update
 	}
-	oldHeader, oldRows := Rows(old)
+	oldHeader, oldRows := Split(old)
 	if !reflect.DeepEqual(oldHeader, header) {
 		update.Header = header
 	}
--- a/core/document/snapshot.go
+++ b/core/document/snapshot.go
@@ -18,8 +18,8 @@
 	row     *Organisation
 }
 
-// In returns the organisation's row in service, or nil if it may not call it.
-func (p *Principal) In(service string) *Organisation {
+// Row returns the organisation's row in service, or nil if it may not call it.
+func (p *Principal) Row(service string) *Organisation {
 	for i := range p.grants {
 		if p.grants[i].service == service {
 			return p.grants[i].row
@@ -49,7 +49,7 @@
 }
 
 // Compile builds the snapshot of the given documents, which must be valid and free of
-// conflicts: see Validate and CheckTogether. The snapshot keeps the documents; they may not
+// conflicts: see Validate and CheckConflicts. The snapshot keeps the documents; they may not
 // be changed afterwards.
 func Compile(revision Revision, services []*Service) *Snapshot {
 	size := 0
@@ -85,7 +85,7 @@
 // Models calls yield for each model that the principal may call, in no particular order.
 func (s *Snapshot) Models(principal *Principal, yield func(*ModelRef)) {
 	for _, ref := range s.models {
-		if principal.In(ref.Service.Name) != nil {
+		if principal.Row(ref.Service.Name) != nil {
 			yield(ref)
 		}
 	}
@@ -97,7 +97,7 @@
 	if principal == nil {
 		return nil
 	}
-	return principal.In(service)
+	return principal.Row(service)
 }
 
 func (s *Snapshot) organisation(name string) *Principal {
--- a/core/document/together.go
+++ b/core/document/together.go
@@ -8,14 +8,14 @@
 	"acaciacleat.example/core/strictjson"
 )
 
-// CheckTogether returns the conflicts between documents, each of which is valid by itself:
+// CheckConflicts returns the conflicts between documents, each of which is valid by itself:
 // a model served by two services, or a key that belongs to two organisations. With either,
 // the result of a request would depend on the order in which the documents are read.
-func CheckTogether(services []*Service) []Fault {
+func CheckConflicts(services []*Service) []Fault {
 	var faults []Fault
 	snapshot := Compile(0, nil)
 	for _, service := range services {
-		faults = append(faults, snapshot.Check(service)...)
+		faults = append(faults, snapshot.CheckConflicts(service)...)
 		b := newBuilder(snapshot, 0, len(service.Organisations))
 		b.putService(service)
 		for i := range service.Organisations {
@@ -26,10 +26,10 @@
 	return faults
 }
 
-// Check returns the conflicts between a valid document and the snapshot's documents of
-// other services. It ignores the snapshot's document of the same name, which the new one
+// CheckConflicts returns the conflicts between a valid document and the snapshot's documents
+// of other services. It ignores the snapshot's document of the same name, which the new one
 // replaces.
-func (s *Snapshot) Check(service *Service) []Fault {
+func (s *Snapshot) CheckConflicts(service *Service) []Fault {
 	var faults []Fault
 	for i := range service.Models {
 		name := service.Models[i].Name
--- a/core/document/validate.go
+++ b/core/document/validate.go
@@ -49,7 +49,7 @@
 	return !strings.Contains(prefix, "**")
 }
 
-// Validate returns all faults of a single document. CheckTogether and Snapshot.Check find
+// Validate returns all faults of a single document. CheckConflicts and Snapshot.CheckConflicts find
 // conflicts with other documents.
 func Validate(service *Service) []Fault {
 	faults := fieldRules.Check(service)
--- a/core/policytest/evaluator_test.go
+++ b/core/policytest/evaluator_test.go
@@ -180,7 +180,7 @@
 	for i := range entryCount {
 		m.policies[i] = policy(seed + uint64(i))
 		for n := range count {
-			m.views[i] = append(m.views[i], routing.Replica{Agent: fmt.Sprint("agent-", n), Zone: fmt.Sprint(n % zoneCount), Incarnation: 1, Seen: epoch, Load: m.engines[n].load()})
+			m.views[i] = append(m.views[i], routing.Replica{Agent: fmt.Sprint("agent-", n), Zone: fmt.Sprint(n % zoneCount), Incarnation: 1, LoadTakenAt: epoch, Load: m.engines[n].load()})
 		}
 	}
 	for i, a := range arrivals {
@@ -203,7 +203,7 @@
 		m.schedule(reportLag, func() {
 			for i := range m.views {
 				r := &m.views[i][n]
-				r.Load, r.Seen, r.InFlight, r.InFlightPrompt = load, epoch.Add(m.now), 0, 0
+				r.Load, r.LoadTakenAt, r.InFlight, r.InFlightPrompt = load, epoch.Add(m.now), 0, 0
 			}
 		})
 	}
@@ -217,7 +217,7 @@
 	entry := n % entryCount
 	demand := call.TokenDemand{PromptTokens: a.prompt, MaxTokens: decodeTokens}
 	deadline := epoch.Add(m.now + 10*time.Minute)
-	request := routing.Request{Work: demand, Zone: fmt.Sprint(entry % zoneCount), Objective: m.objective, Prefix: a.digests, PromptBytes: a.prompt * 4, Deadline: deadline}
+	request := routing.Request{Demand: demand, Zone: fmt.Sprint(entry % zoneCount), Objective: m.objective, Prefix: a.digests, PromptBytes: a.prompt * 4, Deadline: deadline}
 	choice := m.policies[entry].Choose(&request, m.views[entry], epoch.Add(m.now))
 	view := &m.views[entry][choice.Index]
 	view.InFlight++
--- a/core/routing/combined.go
+++ b/core/routing/combined.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// Caches returns the policy's estimator of cached prefixes, to which the caller passes
+// Estimator returns the policy's estimator of cached prefixes, to which the caller passes
 // cache events and usage counts. Choose registers the holders; see Holder.
-func (c *Combined) Caches() *prefix.Estimator { return c.estimator }
+func (c *Combined) Estimator() *prefix.Estimator { return c.estimator }
 
 // Holder returns the estimator's holder for a replica.
 func (c *Combined) Holder(replica *Replica, now time.Time) prefix.Holder {
@@ -95,7 +95,7 @@
 		return
 	}
 	homes := 1
-	c.loads.add(key, request.Work.PromptTokens, now)
+	c.loads.add(key, request.Demand.PromptTokens, now)
 	if c.options.SplitHotPrefixes {
 		homes = c.loads.homes(key, len(g.members), now)
 	}
@@ -118,7 +118,7 @@
 	lowest := math.Inf(1)
 	salt := c.random.Uint64()
 	zoneDelay := c.options.ZoneDelay.Seconds()
-	prompt, demand := float64(request.Work.PromptTokens), float64(request.Work.Tokens())
+	prompt, demand := float64(request.Demand.PromptTokens), float64(request.Demand.Tokens())
 	for _, i := range g.candidates {
 		m := &g.members[i]
 		if !m.usable {
@@ -149,9 +149,9 @@
 func prefixTokens(request *Request, depth int) float64 {
 	bytes := float64(prefix.Boundary(depth))
 	if request.PromptBytes > 0 {
-		return bytes / float64(request.PromptBytes) * float64(request.Work.PromptTokens)
+		return bytes / float64(request.PromptBytes) * float64(request.Demand.PromptTokens)
 	}
-	return min(bytes/defaultBytesPerToken, float64(request.Work.PromptTokens))
+	return min(bytes/defaultBytesPerToken, float64(request.Demand.PromptTokens))
 }
 
 // tokensAhead returns the prompt tokens that a request of the class waits for at a replica,
--- a/core/routing/combined_test.go
+++ b/core/routing/combined_test.go
@@ -17,12 +17,12 @@
 func testReplicas(n int, random *rand.Rand) []Replica {
 	replicas := make([]Replica, n)
 	for i := range replicas {
-		replicas[i] = Replica{Agent: fmt.Sprintf("agent-%d", i), Zone: fmt.Sprintf("zone-%d", i%3), Incarnation: 1, Seen: startTime}
+		replicas[i] = Replica{Agent: fmt.Sprintf("agent-%d", i), Zone: fmt.Sprintf("zone-%d", i%3), Incarnation: 1, LoadTakenAt: startTime}
 		replicas[i].Load = Load{FreeTokens: 400_000, CapacityTokens: 400_000, PrefillRate: 40_000}
 		if random != nil {
 			replicas[i].Load.QueuedPrompt[call.Short] = random.Int64N(50_000)
 			replicas[i].Load.RunningPrompt[call.Long] = random.Int64N(300_000)
-			replicas[i].Seen = startTime.Add(-time.Duration(random.Int64N(int64(2 * time.Second))))
+			replicas[i].LoadTakenAt = startTime.Add(-time.Duration(random.Int64N(int64(2 * time.Second))))
 		}
 	}
 	return replicas
@@ -55,7 +55,7 @@
 					usable++
 				}
 			}
-			request := &Request{Model: "served", Work: call.TokenDemand{PromptTokens: 1 + random.IntN(1_000_000)}, Zone: "zone-0", Prefix: testDigests(uint64(random.IntN(5)), random.IntN(20))}
+			request := &Request{Model: "served", Demand: call.TokenDemand{PromptTokens: 1 + random.IntN(1_000_000)}, Zone: "zone-0", Prefix: testDigests(uint64(random.IntN(5)), random.IntN(20))}
 			choice := first.Choose(request, replicas, now)
 			require.Equal(t, choice, second.Choose(request, replicas, now))
 			require.Equal(t, usable > 0, choice.Index >= 0)
@@ -71,14 +71,14 @@
 func TestCombinedWeighsCacheLoadZoneAndMemory(t *testing.T) {
 	c := NewCombined(DefaultOptions(1))
 	replicas := testReplicas(6, nil)
-	request := &Request{Work: call.TokenDemand{PromptTokens: 20_000}, Zone: "zone-1", Prefix: testDigests(1, 19)}
+	request := &Request{Demand: call.TokenDemand{PromptTokens: 20_000}, Zone: "zone-1", Prefix: testDigests(1, 19)}
 	home := c.Choose(request, replicas, startTime).Index
 	require.Equal(t, home, c.Choose(request, replicas, startTime).Index, "the prefix is cached at its home")
 
 	replicas[home].Load.QueuedPrompt[call.Short] = 200_000
 	require.NotEqual(t, home, c.Choose(request, replicas, startTime).Index, "waiting at the home costs more than prefilling the prefix elsewhere")
 
-	plain := &Request{Work: call.TokenDemand{PromptTokens: 1000}, Zone: "zone-1"}
+	plain := &Request{Demand: call.TokenDemand{PromptTokens: 1000}, Zone: "zone-1"}
 	chosen := c.Choose(plain, replicas, startTime)
 	require.Equal(t, "zone-1", replicas[chosen.Index].Zone)
 	require.InDelta(t, 25*time.Millisecond, chosen.Predicted, float64(time.Millisecond))
@@ -98,7 +98,7 @@
 			replicas[i].Load.QueuedPrompt[call.Short] = 40_000
 		}
 		replicas[3].Load.QueuedPrompt[call.Short] = 30_000
-		choice := NewCombined(DefaultOptions(seed)).Choose(&Request{Work: call.TokenDemand{PromptTokens: 4000}, Zone: "zone-0"}, replicas, startTime.Add(20*time.Second))
+		choice := NewCombined(DefaultOptions(seed)).Choose(&Request{Demand: call.TokenDemand{PromptTokens: 4000}, Zone: "zone-0"}, replicas, startTime.Add(20*time.Second))
 		counts[choice.Index]++
 	}
 	require.GreaterOrEqual(t, len(counts), 5)
@@ -167,7 +167,7 @@
 	c := NewCombined(DefaultOptions(1))
 	requests := make([]Request, 256)
 	for i := range requests {
-		requests[i] = Request{Work: call.TokenDemand{PromptTokens: digests * 512, MaxTokens: 500}, Zone: "zone-1", Prefix: testDigests(uint64(i/4), digests)}
+		requests[i] = Request{Demand: call.TokenDemand{PromptTokens: digests * 512, MaxTokens: 500}, Zone: "zone-1", Prefix: testDigests(uint64(i/4), digests)}
 	}
 	now := startTime
 	i := 0
--- a/core/routing/ejecting.go
+++ b/core/routing/ejecting.go
@@ -6,8 +6,8 @@
 // request seldom causes an engine's failure, and each failure costs a retry.
 const engineEjectThreshold = 2
 
-// Learner is a policy that takes the outcomes of requests into account.
-type Learner interface {
+// OutcomeObserver is a policy that takes the outcomes of requests into account.
+type OutcomeObserver interface {
 	// Finished records the end of a request to an agent's replica. A failure is one of the
 	// replica itself, not of the request.
 	Finished(agent string, failed bool, now time.Time)
@@ -77,7 +77,7 @@
 	return n
 }
 
-// Finished implements Learner. It tracks only replicas that have failed.
+// Finished implements OutcomeObserver. It tracks only replicas that have failed.
 func (e *Ejecting) Finished(agent string, failed bool, now time.Time) {
 	state := e.health[agent]
 	if state == nil {
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -161,7 +161,7 @@
 // estimateLoads computes the tokens ahead at each candidate and shrinks those of old load
 // reports towards the mean.
 func (g *group) estimateLoads(request *Request, replicas []Replica, now time.Time, halfLife time.Duration) {
-	class := call.ClassOf(request.Work.PromptTokens)
+	class := call.ClassOf(request.Demand.PromptTokens)
 	weights := weightsFor(request.Objective)
 	at := int64(now.Sub(g.origin))
 	total := 0.0
@@ -174,9 +174,9 @@
 		if !m.usable {
 			continue
 		}
-		if m.takenAt != r.Seen {
-			m.takenAt = r.Seen
-			m.takenOffset = g.sinceOrigin(r.Seen)
+		if m.takenAt != r.LoadTakenAt {
+			m.takenAt = r.LoadTakenAt
+			m.takenOffset = g.sinceOrigin(r.LoadTakenAt)
 		}
 		m.ownTokens = float64(r.InFlightPrompt)
 		m.prefillRate = prefillRateOf(&r.Load)
--- a/core/routing/plain.go
+++ b/core/routing/plain.go
@@ -119,7 +119,7 @@
 	delete(p.health, oldest)
 }
 
-// Finished implements Learner. A failure is one of the replica itself (no answer, a 5xx
+// Finished implements OutcomeObserver. A failure is one of the replica itself (no answer, a 5xx
 // status), not of the request.
 //
 // A replica that fails at once looks idle and would attract all requests, so consecutive
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -53,10 +53,11 @@
 	Incarnation call.Incarnation
 	State       State
 	Load        Load
-	// Seen is the time at which Load was taken, by the reader's own clock; zero if no report
-	// was received.
-	Seen time.Time
-	// InFlight counts the reader's own requests offered since Seen and not yet finished.
+	// LoadTakenAt is the time at which Load was taken, by the reader's own clock; zero if no
+	// report was received.
+	LoadTakenAt time.Time
+	// InFlight counts the reader's own requests offered since LoadTakenAt and
+	// not yet finished.
 	InFlight int32
 	// InFlightPrompt is the sum of their prompt tokens.
 	InFlightPrompt int64
@@ -67,7 +68,7 @@
 	Service      string
 	Model        string
 	Organisation string
-	Work         call.TokenDemand
+	Demand       call.TokenDemand
 	Zone         string
 	Objective    document.Objective
 	// PromptBytes is the length of the prompt that Prefix was computed from; 0 if unknown.
--- a/core/strictjson/fault.go
+++ b/core/strictjson/fault.go
@@ -27,11 +27,11 @@
 
 // NewFault returns a fault at path; value is formatted as JSON.
 func NewFault(path string, value any, allowed, remedy string) Fault {
-	return Fault{Path: path, Value: Spell(value), Allowed: allowed, Remedy: remedy}
+	return Fault{Path: path, Value: FormatValue(value), Allowed: allowed, Remedy: remedy}
 }
 
-// Spell formats a value as JSON, shortened to maxFaultValue bytes.
-func Spell(value any) string {
+// FormatValue formats a value as JSON, shortened to maxFaultValue bytes.
+func FormatValue(value any) string {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Sprint(value)
--- a/entry/capacity/control_test.go
+++ b/entry/capacity/control_test.go
@@ -82,7 +82,7 @@
 	for _, replicas := range []int{11, 44, 176} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			all := replicasOf(replicas)
-			request := &routing.Request{Service: serviceName, Model: modelName, Work: call.TokenDemand{PromptTokens: 8_000, MaxTokens: 1_024}, Zone: "zone-0", Prefix: offer(16).Prefix}
+			request := &routing.Request{Service: serviceName, Model: modelName, Demand: call.TokenDemand{PromptTokens: 8_000, MaxTokens: 1_024}, Zone: "zone-0", Prefix: offer(16).Prefix}
 			before := heap()
 			policy := process.Policies("combined", 1)(serviceName)
 			now := time.Unix(1_000, 0)
@@ -103,7 +103,7 @@
 	for i := range all {
 		all[i] = routing.Replica{
 			Agent: fmt.Sprintf("engine-%04d", i), Zone: fmt.Sprintf("zone-%d", i%designZones), Service: serviceName,
-			Model: modelName, Incarnation: call.Incarnation(i + 1), Load: busyLoad(), Seen: time.Unix(1_000, 0),
+			Model: modelName, Incarnation: call.Incarnation(i + 1), Load: busyLoad(), LoadTakenAt: time.Unix(1_000, 0),
 		}
 	}
 	return all
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -201,7 +201,7 @@
 	replica.Incarnation = report.Incarnation
 	replica.Model = report.Model
 	replica.Load = report.Load
-	replica.Seen = time.Now().Add(-time.Duration(report.AgeMs) * time.Millisecond)
+	replica.LoadTakenAt = time.Now().Add(-time.Duration(report.AgeMs) * time.Millisecond)
 	replica.InFlight = 0
 	replica.InFlightPrompt = 0
 	if report.Load.Down {
@@ -236,7 +236,7 @@
 }
 
 func (g *group) finished(vm string, failed bool) {
-	if learner, ok := g.policy.(routing.Learner); ok {
+	if learner, ok := g.policy.(routing.OutcomeObserver); ok {
 		learner.Finished(vm, failed, time.Now())
 	}
 }
@@ -267,6 +267,6 @@
 	if replica.Incarnation != incarnation {
 		replica.Incarnation = incarnation
 		replica.Load = routing.Load{}
-		replica.Seen = time.Time{}
+		replica.LoadTakenAt = time.Time{}
 	}
 }
--- a/entry/fleet/group.go
+++ b/entry/fleet/group.go
@@ -28,7 +28,7 @@
 		// Not reported yet; prompts of ordinary length fit any engine.
 		capacity = call.MediumMax
 	}
-	if int64(request.Work.Tokens()) <= capacity {
+	if int64(request.Demand.Tokens()) <= capacity {
 		return nil
 	}
 	var candidates []*routing.Replica
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -351,7 +351,7 @@
 		f.sentBody = true
 	}
 	f.observe("offered", action.Replica.Agent, "")
-	f.view.Offered(action.Replica.Agent, f.spec.Route.Work.PromptTokens)
+	f.view.Offered(action.Replica.Agent, f.spec.Route.Demand.PromptTokens)
 	if err := conn.Send(&offer); err != nil {
 		return f.machine.LinkLost(time.Now(), action.Attempt)
 	}
--- a/entry/front/generate.go
+++ b/entry/front/generate.go
@@ -40,7 +40,7 @@
 		return
 	}
 	ref := q.snapshot.Model(g.Model)
-	if ref == nil || q.principal.In(ref.Service.Name) == nil {
+	if ref == nil || q.principal.Row(ref.Service.Name) == nil {
 		q.fail(result.New(result.UnknownModel, result.NotRun, "model %q", g.Model))
 		return
 	}
@@ -107,7 +107,7 @@
 			Service:      ref.Service.Name,
 			Model:        g.Model,
 			Organisation: q.principal.Organisation,
-			Work:         work,
+			Demand:       work,
 			Zone:         q.front.config.Zone,
 			Objective:    ref.Service.Objective,
 			Prefix:       digests,
@@ -123,11 +123,11 @@
 func (q *request) runGeneration(g *caller.Generation, ref *document.ModelRef, spec flight.Spec) {
 	shape := caller.NewShape(g, q.id.String(), q.started.Unix())
 	sink := &generationSink{request: q, shape: shape, stream: g.Stream, limit: q.front.config.Limits.WholeAnswerBytes}
-	sink.class = call.ClassOf(spec.Route.Work.PromptTokens)
+	sink.class = call.ClassOf(spec.Route.Demand.PromptTokens)
 	sink.service = ref.Service.Name
 	spec.Admit = func(predicted time.Duration) *result.Error {
 		q.predicted = predicted
-		return q.front.admission.admit(ref.Service.Name, spec.Route.Work, predicted, spec.Deadline)
+		return q.front.admission.admit(ref.Service.Name, spec.Route.Demand, predicted, spec.Deadline)
 	}
 	outcome := flight.New(q.front.config.Registry, spec, sink).Run(q.http.Context())
 	if outcome.Err == nil && sink.tooLarge {
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -128,8 +128,8 @@
 // bound. leave must follow if it returns nil.
 func (q *request) admit(service *document.Service, spec *flight.Spec) *result.Error {
 	q.quotaKey = limits.Key{Service: service.Name, Organisation: q.principal.Organisation}
-	q.bounds = &q.principal.In(service.Name).Limits
-	if err := q.front.config.Quota.Admit(q.quotaKey, q.bounds, spec.Route.Work.Tokens()); err != nil {
+	q.bounds = &q.principal.Row(service.Name).Limits
+	if err := q.front.config.Quota.Admit(q.quotaKey, q.bounds, spec.Route.Demand.Tokens()); err != nil {
 		return err
 	}
 	spec.Retries = q.front.retriesOf(service)
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -62,7 +62,7 @@
 	if service == nil || service.Kind != document.KindPlain {
 		return result.New(result.UnknownService, result.NotRun, "service %q", name)
 	}
-	if q.principal.In(name) == nil {
+	if q.principal.Row(name) == nil {
 		return result.New(result.NotAllowed, result.NotRun, "organisation %q, service %q", q.principal.Organisation, name)
 	}
 	return nil
--- a/entry/process/policies.go
+++ b/entry/process/policies.go
@@ -57,7 +57,7 @@
 // Finished implements routing.Learner. An agent has one service, so that the other
 // policy does not know it or never asks.
 func (b *byKind) Finished(agent string, failed bool, now time.Time) {
-	if learner, ok := b.models.(routing.Learner); ok {
+	if learner, ok := b.models.(routing.OutcomeObserver); ok {
 		learner.Finished(agent, failed, now)
 	}
 	b.plain.Finished(agent, failed, now)
--- a/peers/commandline/check.go
+++ b/peers/commandline/check.go
@@ -63,7 +63,7 @@
 		return "document", faults
 	}
 	c.documents = append(c.documents, service)
-	all := document.CheckTogether(c.documents)
+	all := document.CheckConflicts(c.documents)
 	faults = all[c.together:]
 	c.together = len(all)
 	return "document", faults
--- a/peers/documents/put.go
+++ b/peers/documents/put.go
@@ -67,7 +67,7 @@
 	if tag := state.ETag(service.Name); ifMatch != IfAny && ifMatch != tag {
 		return 0, &Conflict{Current: tag, Diff: document.Diff(current, service)}, nil
 	}
-	if faults := state.Snapshot.Check(service); len(faults) > 0 {
+	if faults := state.Snapshot.CheckConflicts(service); len(faults) > 0 {
 		return 0, nil, &InvalidError{Faults: faults}
 	}
 	change := Change{
--- a/peers/documents/rows.go
+++ b/peers/documents/rows.go
@@ -100,7 +100,7 @@
 // transaction writes the change from the state old, whose head row has the given version.
 func transaction(change Change, service *document.Service, headVersion uint64) table.Tx {
 	update := change.Update
-	header, _ := document.Rows(service)
+	header, _ := document.Split(service)
 	writes := []table.Write{
 		put(headName, headRow{Revision: change.Revision}),
 		put(serviceName(service.Name), serviceRow{Revision: change.Revision, Header: header}),
