--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -352,7 +352,7 @@
 		f.sentBody = true
 	}
 	f.observe("offered", action.Replica.Agent, "")
-	f.view.RecordOffer(action.Replica.Agent, f.spec.Route.Work.PromptTokens)
+	f.view.RecordOffer(action.Replica.Agent, f.spec.Route.Demand.PromptTokens)
 	if err := conn.Send(&offer); err != nil {
 		return f.machine.LinkLost(time.Now(), action.Attempt)
 	}
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -131,8 +131,8 @@
 // budget without bound. releaseQuota must be called at the end if admit returns nil.
 func (q *request) admit(service *document.Service, spec *flight.Spec) *result.Error {
 	q.quotaKey = limits.Key{Service: service.Name, Organisation: q.principal.Organisation}
-	q.bounds = &q.principal.In(service.Name).Limits
-	if err := q.front.config.Quota.Admit(q.quotaKey, q.bounds, spec.Route.Work.Tokens()); err != nil {
+	q.bounds = &q.principal.Row(service.Name).Limits
+	if err := q.front.config.Quota.Admit(q.quotaKey, q.bounds, spec.Route.Demand.Tokens()); err != nil {
 		return err
 	}
 	spec.Retries = q.front.retryPolicy(service)
--- a/entry/process/policies.go
+++ b/entry/process/policies.go
@@ -58,7 +58,7 @@
 // Finished implements routing.Learner. It reports to both policies. An agent has only one
 // service, so the policy of the other kind either does not know it or never uses the report.
 func (b *byKind) Finished(agent string, failed bool, now time.Time) {
-	if learner, ok := b.models.(routing.Learner); ok {
+	if learner, ok := b.models.(routing.OutcomeObserver); ok {
 		learner.Finished(agent, failed, now)
 	}
 	b.plain.Finished(agent, failed, now)
