--- a/peers/caller/answer.go
+++ b/peers/caller/answer.go
@@ -10,7 +10,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Usage counts tokens as OpenAI's answers do.
+// Usage holds token counts in the format of OpenAI's answers.
 type Usage struct {
 	PromptTokens        int           `json:"prompt_tokens"`
 	CompletionTokens    int           `json:"completion_tokens"`
@@ -18,12 +18,12 @@
 	PromptTokensDetails *PromptTokens `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptTokens tells how many prompt tokens came from the engine's prefix cache.
+// PromptTokens holds the number of prompt tokens that came from the engine's prefix cache.
 type PromptTokens struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// NewUsage returns the counts of an answer.
+// NewUsage returns the token counts of an answer.
 func NewUsage(prompt, cached, completion int) *Usage {
 	return &Usage{
 		PromptTokens:        prompt,
@@ -33,18 +33,19 @@
 	}
 }
 
-// Shape writes the pieces of one answer. It is used by one goroutine at a time.
+// Shape encodes one answer, streamed or whole. It must not be used by several goroutines
+// at a time.
 type Shape struct {
 	chat    bool
 	id      string
 	created int64
 	model   string
-	// before and after stand around a chunk's text; they are made once.
-	before []byte
-	after  []byte
+	// chunkPrefix and chunkSuffix enclose each chunk's text; they are encoded once per answer.
+	chunkPrefix []byte
+	chunkSuffix []byte
 }
 
-// NewShape returns the shape of the answer to a request.
+// NewShape returns the encoder of the answer to a request.
 func NewShape(g *Generation, requestID string, created int64) *Shape {
 	s := &Shape{chat: g.Chat, created: created, model: g.Model}
 	object, before, after := "text_completion", `"choices":[{"index":0,"text":`, `,"logprobs":null,"finish_reason":null}]}`+"\n\n"
@@ -54,12 +55,12 @@
 		object = "chat.completion.chunk"
 		before, after = `"choices":[{"index":0,"delta":{"content":`, `},"logprobs":null,"finish_reason":null}]}`+"\n\n"
 	}
-	s.before = append(s.header("data: ", object), before...)
-	s.after = []byte(after)
+	s.chunkPrefix = append(s.header("data: ", object), before...)
+	s.chunkSuffix = []byte(after)
 	return s
 }
 
-// header writes an object's first fields, up to the comma before the next one.
+// header returns lead and an object's first fields, including the comma that follows them.
 func (s *Shape) header(lead, object string) []byte {
 	b := []byte(lead + `{"id":"` + s.id + `","object":"` + object + `","created":`)
 	b = strconv.AppendInt(b, s.created, 10)
@@ -69,12 +70,14 @@
 }
 
 func quote(dst, text []byte) []byte {
-	// AppendQuote replaces invalid UTF-8 and reports it; the text is still usable.
+	// AppendQuote replaces invalid UTF-8 and returns an error for it; the quoted text is
+	// still valid JSON.
 	quoted, _ := jsontext.AppendQuote(dst, text)
 	return quoted
 }
 
-// AppendFirst appends the event that opens a streamed chat answer; completions have none.
+// AppendFirst appends the first event of a streamed chat answer. Completions have no such
+// event.
 func (s *Shape) AppendFirst(dst []byte) []byte {
 	if !s.chat {
 		return dst
@@ -83,14 +86,14 @@
 	return append(dst, `"choices":[{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}`+"\n\n"...)
 }
 
-// AppendChunk appends one event of a streamed answer.
+// AppendChunk appends one event of a streamed answer, with the given text.
 func (s *Shape) AppendChunk(dst, text []byte) []byte {
-	dst = append(dst, s.before...)
+	dst = append(dst, s.chunkPrefix...)
 	dst = quote(dst, text)
-	return append(dst, s.after...)
+	return append(dst, s.chunkSuffix...)
 }
 
-// AppendLast appends the events that close a streamed answer.
+// AppendLast appends the final events of a streamed answer. A nil usage is left out.
 func (s *Shape) AppendLast(dst []byte, finishReason string, usage *Usage) []byte {
 	object := "text_completion"
 	choice := `"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":`
@@ -111,7 +114,7 @@
 	return append(dst, "data: [DONE]\n\n"...)
 }
 
-// Whole returns the answer that is not streamed.
+// Whole returns the body of an answer that is not streamed.
 func (s *Shape) Whole(text []byte, finishReason string, usage *Usage) []byte {
 	object := "text_completion"
 	if s.chat {
@@ -134,13 +137,13 @@
 	return append(b, '}')
 }
 
-// Failure is the body of an error in OpenAI's shape, with the numbered code.
+// Failure is the JSON body of an error in OpenAI's format, extended by the result code.
 type Failure struct {
-	Error FailureDetail `json:"error"`
+	Error ErrorDetail `json:"error"`
 }
 
-// FailureDetail describes one failure.
-type FailureDetail struct {
+// ErrorDetail describes one failure.
+type ErrorDetail struct {
 	Message    string           `json:"message"`
 	Type       string           `json:"type"`
 	Param      *string          `json:"param"`
@@ -150,8 +153,8 @@
 	RequestID  string           `json:"request_id"`
 }
 
-// Sentence says what happened and what to do.
-func Sentence(err *result.Error) string {
+// ErrorMessage describes the error and its remedy for the caller.
+func ErrorMessage(err *result.Error) string {
 	info := result.Lookup(err.Code)
 	if err.Detail == "" {
 		return info.Meaning + " " + info.Remedy
@@ -159,12 +162,12 @@
 	return info.Meaning + " (" + err.Detail + ") " + info.Remedy
 }
 
-// FailureJSON returns an error in OpenAI's shape.
+// FailureJSON returns an error in OpenAI's format.
 func FailureJSON(err *result.Error, requestID string) []byte {
 	info := result.Lookup(err.Code)
-	return encode(Failure{Error: FailureDetail{
-		Message:    Sentence(err),
-		Type:       failureType(info.HTTPStatus),
+	return encode(Failure{Error: ErrorDetail{
+		Message:    ErrorMessage(err),
+		Type:       errorType(info.HTTPStatus),
 		Code:       info.Name,
 		ResultCode: err.Code,
 		Execution:  err.Execution,
@@ -172,14 +175,14 @@
 	}})
 }
 
-// AppendFailure appends the event that ends a stream which failed after it began.
+// AppendFailure appends the error event that ends a stream which failed after its start.
 func AppendFailure(dst []byte, err *result.Error, requestID string) []byte {
 	dst = append(dst, "event: error\ndata: "...)
 	dst = append(dst, FailureJSON(err, requestID)...)
 	return append(dst, "\n\n"...)
 }
 
-func failureType(status int) string {
+func errorType(status int) string {
 	switch {
 	case status == 401:
 		return "authentication_error"
@@ -194,7 +197,7 @@
 	}
 }
 
-// Problem is an error as RFC 9457 describes it.
+// Problem is an error in the format of RFC 9457.
 type Problem struct {
 	Type       string           `json:"type"`
 	Title      string           `json:"title"`
@@ -205,19 +208,19 @@
 	RequestID  string           `json:"request_id,omitempty"`
 }
 
-// ProblemJSON returns an error as problem JSON.
+// ProblemJSON returns an error in the format of RFC 9457.
 func ProblemJSON(err *result.Error, requestID string) []byte {
 	return encode(NewProblem(err, requestID))
 }
 
-// NewProblem describes an error.
+// NewProblem converts an error to a Problem.
 func NewProblem(err *result.Error, requestID string) Problem {
 	info := result.Lookup(err.Code)
 	return Problem{
 		Type:       "about:blank",
 		Title:      info.Name,
 		Status:     info.HTTPStatus,
-		Detail:     Sentence(err),
+		Detail:     ErrorMessage(err),
 		ResultCode: err.Code,
 		Execution:  err.Execution,
 		RequestID:  requestID,
@@ -232,13 +235,13 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList is the answer of GET /v1/models.
+// ModelList is the answer to GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// encode marshals one of this package's own types, which can't fail.
+// encode marshals a value of one of this package's types, which can't fail.
 func encode(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -247,15 +250,17 @@
 	return data
 }
 
-// HeaderRetryAfter tells in whole seconds when the caller may ask again.
+// HeaderRetryAfter is the header with the time, in whole seconds, after which the caller
+// may retry.
 const HeaderRetryAfter = "Retry-After"
 
-// SetRetryAfter sets the header where the error has a time, rounded up.
+// SetRetryAfter sets the Retry-After header, rounded up to a second, if the error has a
+// retry time.
 func SetRetryAfter(header http.Header, err *result.Error) {
-	advice := err.RetryAfterOrDefault()
-	if advice <= 0 {
+	retryAfter := err.RetryAfterOrDefault()
+	if retryAfter <= 0 {
 		return
 	}
-	seconds := int((advice + time.Second - 1) / time.Second)
+	seconds := int((retryAfter + time.Second - 1) / time.Second)
 	header.Set(HeaderRetryAfter, strconv.Itoa(seconds))
 }
--- a/peers/caller/request.go
+++ b/peers/caller/request.go
@@ -1,5 +1,5 @@
-// Package caller is the system's view of a caller: requests in OpenAI's published
-// shapes, answers and errors in the shapes that its client libraries expect.
+// Package caller decodes callers' requests in OpenAI's published format and encodes answers
+// and errors in the formats that its client libraries expect.
 package caller
 
 import (
@@ -15,18 +15,18 @@
 	Chat   bool
 	Model  string
 	Stream bool
-	// IncludeUsage asks for a last chunk with token counts in a streamed answer.
+	// IncludeUsage requests a last chunk with token counts in a streamed answer.
 	IncludeUsage bool
-	// MaxTokens is 0 when the caller leaves it to the model.
+	// MaxTokens is 0 when the caller sets no limit.
 	MaxTokens int
-	// Prompt is the raw JSON of the prompt or the messages; its length tells the
-	// prompt's tokens and its beginning the prefix.
+	// Prompt is the raw JSON of the prompt or the messages. The token estimate is made from
+	// its length, and the prefix for cache-aware routing from its beginning.
 	Prompt []byte
-	// Body is the whole request as it came.
+	// Body is the whole request as received.
 	Body []byte
 }
 
-// generationBody is what the system reads of a request; engines read the rest.
+// generationBody holds the request fields that the system reads; engines read the others.
 type generationBody struct {
 	Model               *string         `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -45,7 +45,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Parse reads a request body. Its errors say NotRun and name the field.
+// Parse decodes a request body. Its errors have the execution NotRun and name the field.
 func Parse(body []byte, chat bool) (*Generation, *result.Error) {
 	var b generationBody
 	if err := json.Unmarshal(body, &b); err != nil {
@@ -64,7 +64,7 @@
 	if isEmpty(g.Prompt) {
 		return nil, result.New(result.MissingPrompt, result.NotRun, "%q", promptField(chat))
 	}
-	if err := checkPrompt(g.Prompt, chat); err != nil {
+	if err := checkPromptType(g.Prompt, chat); err != nil {
 		return nil, err
 	}
 	g.Model = *b.Model
@@ -83,9 +83,9 @@
 	return "prompt"
 }
 
-// checkPrompt checks the prompt's outer shape. Without it a caller would learn of a wrong
-// one only from the upstream's refusal, after its request had waited its turn.
-func checkPrompt(prompt json.RawMessage, chat bool) *result.Error {
+// checkPromptType checks the JSON type of the prompt, so that a caller gets the error at once
+// and not from the upstream after the request has waited in the queue.
+func checkPromptType(prompt json.RawMessage, chat bool) *result.Error {
 	first := bytes.TrimLeft(prompt, " \t\r\n")[0]
 	switch {
 	case chat && first != '[':
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// isEmpty recognises a field that is absent, null or an empty string or list.
+// isEmpty reports whether a field is absent, null, an empty string, an empty list or a list
+// with one empty string.
 func isEmpty(raw json.RawMessage) bool {
 	var compact bytes.Buffer
 	if len(raw) > 16 {
