--- a/peers/collector/collector.go
+++ b/peers/collector/collector.go
@@ -1,5 +1,5 @@
-// Package collector is the system's view of the place where traces go: spans by
-// OpenTelemetry, one a hop, joined across processes by the W3C traceparent.
+// Package collector exports traces by OpenTelemetry. Each hop of a request has one span;
+// the W3C traceparent joins the spans of several processes.
 package collector
 
 import (
@@ -19,7 +19,7 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Exporter names where spans go.
+// Exporter is the destination of spans.
 type Exporter string
 
 // The exporters.
@@ -29,7 +29,7 @@
 	OTLP   Exporter = "otlp"
 )
 
-// The hops that have a span.
+// The names of the spans, one for each hop.
 const (
 	HopEntry    = "entry"
 	HopLink     = "link"
@@ -41,22 +41,22 @@
 // Config configures a Tracer.
 type Config struct {
 	Exporter Exporter
-	// Endpoint is the URL of an OTLP collector; OTLP only.
+	// Endpoint is the URL of the OTLP collector. Only OTLP uses it.
 	Endpoint string
-	// Process is the VM's id, told with each span.
+	// Process is the VM's id, exported with each span.
 	Process string
-	// Output is where Stdout writes.
+	// Output receives the spans of the Stdout exporter.
 	Output io.Writer
 }
 
-// Tracer makes spans. A nil Tracer makes none and costs nothing. It is safe for
+// Tracer starts spans. A nil Tracer is valid and records nothing. It is safe for
 // concurrent use.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
 }
 
-// Open returns a Tracer, or nil for None.
+// Open returns a Tracer for the configured exporter, or nil for None.
 func Open(ctx context.Context, config Config) (*Tracer, error) {
 	exporter, err := newExporter(ctx, config)
 	if exporter == nil || err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// Close sends what is buffered.
+// Close exports the buffered spans and shuts the exporter down.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -93,46 +93,47 @@
 	return t.provider.Shutdown(ctx)
 }
 
-// flushTimeout bounds sending the last spans.
+// flushTimeout limits the export of the last spans.
 const flushTimeout = 2 * time.Second
 
-// Flush closes the tracer at the end of a process. Spans that can not be sent in time
-// are lost; nothing waits for them.
+// Flush closes the tracer at the end of a process. Spans that can't be exported within
+// flushTimeout are lost.
 func (t *Tracer) Flush() {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	_ = t.Close(ctx)
 }
 
-const parentHeader = "traceparent"
+const traceParentHeader = "traceparent"
 
-// Span is one hop of one request. The zero Span does nothing.
+// Span covers one hop of one request. The zero Span records nothing.
 type Span struct {
-	span   trace.Span
-	parent string
+	span        trace.Span
+	traceParent string
 }
 
-// Start begins a span under the given W3C traceparent, which may be empty or invalid.
+// Start begins a span as a child of the given W3C traceparent. An empty or invalid one
+// starts a new trace.
 func (t *Tracer) Start(parent, hop string) Span {
 	return t.StartAt(parent, hop, time.Now())
 }
 
-// StartAt begins a span at a time that has passed.
+// StartAt begins a span with a start time in the past.
 func (t *Tracer) StartAt(parent, hop string, at time.Time) Span {
 	if t == nil {
-		return Span{parent: parent}
+		return Span{traceParent: parent}
 	}
-	carrier := propagation.MapCarrier{parentHeader: parent}
+	carrier := propagation.MapCarrier{traceParentHeader: parent}
 	ctx := propagation.TraceContext{}.Extract(context.Background(), carrier)
 	ctx, span := t.tracer.Start(ctx, hop, trace.WithTimestamp(at))
 	propagation.TraceContext{}.Inject(ctx, carrier)
-	return Span{span: span, parent: carrier[parentHeader]}
+	return Span{span: span, traceParent: carrier[traceParentHeader]}
 }
 
-// Parent is the traceparent for what this hop calls.
-func (s Span) Parent() string { return s.parent }
+// Parent returns the traceparent for the calls that this hop makes.
+func (s Span) Parent() string { return s.traceParent }
 
-// End closes the span with the request's id and result.
+// End ends the span and records the request's id and result code.
 func (s Span) End(request string, code result.Code) {
 	if s.span == nil {
 		return
--- a/peers/collector/collector_test.go
+++ b/peers/collector/collector_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// exported is what the test reads of a span that was written.
-type exported struct {
+// exportedSpan holds the fields of an exported span that the test checks.
+type exportedSpan struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ SpanID string }
 	Status      struct{ Code string }
 }
 
-func TestHopsJoinTheCallersTrace(t *testing.T) {
+func TestSpansJoinCallersTrace(t *testing.T) {
 	var out bytes.Buffer
 	tracer, err := Open(context.Background(), Config{Exporter: Stdout, Output: &out})
 	require.NoError(t, err)
@@ -29,9 +29,9 @@
 	inner.End("r", result.UpstreamFailed)
 	outer.End("r", result.OK)
 	require.NoError(t, tracer.Close(context.Background()))
-	spans := make(map[string]exported)
+	spans := make(map[string]exportedSpan)
 	for decoder := json.NewDecoder(&out); ; {
-		var span exported
+		var span exportedSpan
 		err := decoder.Decode(&span)
 		if err == io.EOF {
 			break
@@ -45,7 +45,7 @@
 	require.Equal(t, "Error", spans[HopAgent].Status.Code)
 }
 
-func TestNoTracerPassesTheParentOn(t *testing.T) {
+func TestNilTracerForwardsTraceParent(t *testing.T) {
 	tracer, err := Open(context.Background(), Config{Exporter: None})
 	require.NoError(t, err)
 	require.Nil(t, tracer)
