--- a/peers/commandline/check.go
+++ b/peers/commandline/check.go
@@ -11,50 +11,50 @@
 	"github.com/pkg/errors"
 )
 
-// ErrFaults means that a checked file has faults, which have been printed.
+// ErrFaults means that a checked file has faults, which Check has printed.
 var ErrFaults = errors.New("faults found")
 
-// Check is the command that checks settings and service documents offline.
+// Check is the command that validates settings and service documents offline.
 type Check struct {
-	// Settings returns the faults of the program's own settings.
+	// Settings returns the faults of a settings file of the program.
 	Settings func([]byte) []settings.Fault `no-flag:"true"`
-	// Out takes one line for each fault and for each file without any.
+	// Out receives one line for each fault and for each valid file.
 	Out  io.Writer `no-flag:"true"`
 	Args struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
 	} `positional-args:"true"`
 
 	documents []*document.Service
-	// together counts the faults between the documents checked so far.
-	together int
+	// crossFaults is the number of faults found between the documents checked so far.
+	crossFaults int
 }
 
-// Execute implements flags.Commander. Documents of one call are also checked against
+// Execute implements flags.Commander. It also checks the documents of one call against
 // each other.
 func (c *Check) Execute([]string) error {
-	broken := 0
+	invalid := 0
 	for _, file := range c.Args.Files {
 		data, err := os.ReadFile(file)
 		if err != nil {
 			return err
 		}
-		what, faults := c.check(data)
+		kind, faults := c.check(data)
 		for _, fault := range faults {
 			fmt.Fprintf(c.Out, "%s: %s\n", file, fault)
 		}
 		if len(faults) > 0 {
-			broken++
+			invalid++
 			continue
 		}
-		fmt.Fprintf(c.Out, "%s: %s without faults\n", file, what)
+		fmt.Fprintf(c.Out, "%s: %s without faults\n", file, kind)
 	}
-	if broken > 0 {
-		return errors.Wrapf(ErrFaults, "%d of %d files", broken, len(c.Args.Files))
+	if invalid > 0 {
+		return errors.Wrapf(ErrFaults, "%d of %d files", invalid, len(c.Args.Files))
 	}
 	return nil
 }
 
-func (c *Check) check(data []byte) (what string, faults []settings.Fault) {
+func (c *Check) check(data []byte) (kind string, faults []settings.Fault) {
 	if !isDocument(data) {
 		return "settings", c.Settings(data)
 	}
@@ -64,12 +64,12 @@
 	}
 	c.documents = append(c.documents, service)
 	all := document.CheckTogether(c.documents)
-	faults = all[c.together:]
-	c.together = len(all)
+	faults = all[c.crossFaults:]
+	c.crossFaults = len(all)
 	return "document", faults
 }
 
-// isDocument tells a document from settings by the fields that only documents have.
+// isDocument distinguishes a document from settings by the fields that only documents have.
 func isDocument(data []byte) bool {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil {
--- a/peers/commandline/commandline.go
+++ b/peers/commandline/commandline.go
@@ -1,5 +1,5 @@
-// Package commandline is what the command lines of both programs share: exit codes, the
-// check of files, and the stop by signals.
+// Package commandline holds the parts that the command lines of both programs share: exit
+// codes, the check command, and the graceful stop on signals.
 package commandline
 
 import (
@@ -35,16 +35,16 @@
 	}
 }
 
-// Group is what commands are added to: a program, or a command with commands of its own.
+// Group accepts commands. It is a program or a command with subcommands.
 type Group interface {
 	AddCommand(command, short, long string, data any) (*flags.Command, error)
 }
 
-// Root returns the group of the program's own commands.
+// Root returns the group of the program's top-level commands.
 func (p *Program) Root() Group { return p.parser }
 
-// MustAdd adds a command to a group. Names and data are constants of the program, so a
-// failure is a fault of the program.
+// MustAdd adds a command to a group and panics on failure. Names and data are fixed in the
+// program, so a failure is a programming error.
 func MustAdd(group Group, name, short, long string, data any) *flags.Command {
 	command, err := group.AddCommand(name, short, long, data)
 	if err != nil {
@@ -53,12 +53,12 @@
 	return command
 }
 
-// Usage returns the error of a command that was called the wrong way.
+// Usage returns the error of a command that was called with wrong arguments.
 func Usage(message string) error {
 	return &flags.Error{Type: flags.ErrRequired, Message: message}
 }
 
-// Run runs the command that args name and returns the process's exit code.
+// Run runs the command named by args and returns the exit code of the process.
 func (p *Program) Run(args []string) int {
 	_, err := p.parser.ParseArgs(args)
 	var usage *flags.Error
--- a/peers/commandline/stop_test.go
+++ b/peers/commandline/stop_test.go
@@ -11,17 +11,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck is a process with a request in flight that never ends.
-type stuck struct{ draining chan struct{} }
+// blockedDrainer is a process with an in-flight request that never ends.
+type blockedDrainer struct{ draining chan struct{} }
 
-func (s *stuck) Drain(ctx context.Context) {
+func (s *blockedDrainer) Drain(ctx context.Context) {
 	close(s.draining)
 	<-ctx.Done()
 }
 
-func TestSecondSignalEndsTheDrainAtOnce(t *testing.T) {
+func TestSecondSignalEndsDrainAtOnce(t *testing.T) {
 	signals, done := make(chan os.Signal, 2), make(chan struct{})
-	process := &stuck{draining: make(chan struct{})}
+	process := &blockedDrainer{draining: make(chan struct{})}
 	go func() {
 		defer close(done)
 		DrainOnSignal(signals, process, time.Hour, zerolog.Nop())
@@ -30,7 +30,7 @@
 	<-process.draining
 	select {
 	case <-done:
-		require.Fail(t, "the drain didn't wait")
+		require.Fail(t, "the drain did not wait for the in-flight request")
 	default:
 	}
 	signals <- syscall.SIGTERM
