--- a/peers/engine/blocks.go
+++ b/peers/engine/blocks.go
@@ -11,10 +11,9 @@
 
 const blockBytes = BlockTokens * BytesPerToken
 
-// PrefixBlocks returns the numbers of the whole blocks of a prompt for model, first block
-// first. A block's number depends on all text before it, so two prompts share a number
-// exactly where they share the prefix up to the block's end. Cache events carry these
-// numbers.
+// PrefixBlocks returns the hashes of the full blocks of a prompt for model, in the order of
+// the text. A block's hash covers all text before it, so two prompts share a hash only if
+// they share the prefix up to the block's end. Cache events identify blocks by these hashes.
 func PrefixBlocks(model, text string) []uint64 {
 	blocks := make([]uint64, 0, len(text)/blockBytes)
 	previous := xxhash.Sum64String(model)
--- a/peers/engine/body.go
+++ b/peers/engine/body.go
@@ -8,11 +8,12 @@
 	"github.com/pkg/errors"
 )
 
-// body is a generation's body: the caller's object and the fields that the adapter adds.
-// The caller's bytes are not copied, as a prompt may have megabytes.
+// body is the body of a generation: the caller's JSON object and the fields that the
+// adapter adds. It references the caller's bytes without a copy, as a prompt may have
+// megabytes.
 type body struct {
-	head []byte
-	tail []byte
+	callerFields []byte
+	addedFields  []byte
 }
 
 type addedFields struct {
@@ -21,8 +22,8 @@
 	Continue      *Continuation `json:"continue_from,omitempty"`
 }
 
-// newBody puts the added fields last: where a field comes twice, JSON decoders in use by
-// engines keep the last one, so a caller's "stream": false does not count.
+// newBody appends the added fields to the caller's object. JSON decoders of engines keep
+// the last of duplicate fields, so the added fields override the caller's "stream": false.
 func newBody(request Generate) (*body, error) {
 	object := bytes.TrimSpace(request.Body)
 	if len(object) < 2 || object[0] != '{' || object[len(object)-1] != '}' {
@@ -41,11 +42,11 @@
 	if len(head) == 1 {
 		tail[0] = ' '
 	}
-	return &body{head: head, tail: tail}, nil
+	return &body{callerFields: head, addedFields: tail}, nil
 }
 
 func (b *body) reader() io.Reader {
-	return io.MultiReader(bytes.NewReader(b.head), bytes.NewReader(b.tail))
+	return io.MultiReader(bytes.NewReader(b.callerFields), bytes.NewReader(b.addedFields))
 }
 
-func (b *body) length() int64 { return int64(len(b.head) + len(b.tail)) }
+func (b *body) length() int64 { return int64(len(b.callerFields) + len(b.addedFields)) }
--- a/peers/engine/engine.go
+++ b/peers/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is the system's view of a model engine. Only the agent beside an
-// engine talks to it.
+// Package engine defines the interface of a model engine and implements a client over HTTP.
+// Only the agent on the engine's VM calls it.
 package engine
 
 import (
@@ -12,72 +12,74 @@
 
 // Failures of an Engine.
 var (
-	// ErrNotStarted means that it is proved that the engine did not take the request.
+	// ErrNotStarted means that the engine certainly did not accept the request.
 	ErrNotStarted = errors.New("engine: request not taken")
-	// ErrBroken means that the engine took the request, or may have, and failed.
+	// ErrBroken means that the engine accepted the request, or may have, and the request
+	// failed.
 	ErrBroken = errors.New("engine: stream broken")
-	// ErrRejected means that the engine refused the request as invalid.
+	// ErrRejected means that the engine rejected the request as invalid.
 	ErrRejected = errors.New("engine: request rejected")
-	// ErrFenced means that an order carried an old fencing number.
+	// ErrFenced means that an order had an outdated fencing number.
 	ErrFenced = errors.New("engine: fencing number too old")
-	// ErrMemory means that the engine's KV cache has no room.
+	// ErrMemory means that the engine's KV cache is full.
 	ErrMemory = errors.New("engine: out of memory")
 )
 
 // Generate is a request to an engine.
 type Generate struct {
 	ID call.ID
-	// Body is the caller's JSON object in the OpenAI shape; Chat tells which one.
+	// Body is the caller's JSON object in OpenAI's format: a chat completion if Chat is set,
+	// a completion otherwise.
 	Body []byte
 	Chat bool
-	// Delivered is the answer's text that the caller already has; generation goes on
-	// after it. DeliveredTokens is its length in tokens.
+	// Delivered is the text of the answer that the caller has already received; generation
+	// continues after it. DeliveredTokens is its length in tokens.
 	Delivered       string
 	DeliveredTokens int
-	// Priority orders work inside the engine: lower first.
+	// Priority orders the requests inside the engine, lower numbers first.
 	Priority int
-	// TimeLeft is how long the answer may take; the engine stops by itself after it.
+	// TimeLeft is the time to the deadline, after which the engine stops by itself.
 	TimeLeft time.Duration
-	// Group lists the base URLs of further engines whose memory was reserved under ID,
-	// each at least its equal share. The request fails with ErrBroken when one of these
-	// reservations ends before the answer does, so their ttl must cover TimeLeft.
+	// Group lists the base URLs of further engines on which memory is reserved under ID,
+	// at least an equal share on each. The request fails with ErrBroken if one of these
+	// reservations ends before the answer does, so their TTL must cover TimeLeft.
 	Group []string
-	// TraceParent is the W3C trace context to pass on.
+	// TraceParent is the W3C trace context to send to the engine.
 	TraceParent string
 }
 
-// Usage counts tokens of the whole answer. After a continuation CompletionTokens includes
-// the tokens that were delivered before it.
+// Usage holds the token counts of a whole answer. CompletionTokens includes the tokens that
+// were delivered before a continuation.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// Delta is one step of an answer.
+// Delta is the next part of a streamed answer.
 type Delta struct {
 	Text   string
 	Tokens int
 }
 
-// Final ends an answer.
+// Final describes a completed answer.
 type Final struct {
 	// FinishReason is "stop" or "length".
 	FinishReason string
 	Usage        Usage
 }
 
-// Stream is an answer under way. It is used by one goroutine; Close may be called by any.
+// Stream is an answer in progress. One goroutine uses it; any goroutine may call Close.
 type Stream interface {
-	// Next returns the next delta; ok is false at the regular end.
+	// Next returns the next delta; ok is false at the end of the answer and on an error.
 	Next() (delta Delta, ok bool, err error)
-	// Final is valid after Next returned ok == false and no error.
+	// Final is valid after Next has returned ok == false and no error.
 	Final() Final
-	// Close ends the stream and cancels the engine's work if it is not over.
+	// Close ends the stream and cancels the generation if it has not completed.
 	Close() error
 }
 
-// Report is an engine's own report, which lags behind its true state.
+// Report is the state that an engine reports, which lags behind the actual state.
 type Report struct {
 	Model          string   `json:"model"`
 	Version        string   `json:"version"`
@@ -86,31 +88,32 @@
 	CapacityTokens int64    `json:"capacity_tokens"`
 	UsedTokens     int64    `json:"used_tokens"`
 	CachedTokens   int64    `json:"cached_tokens"`
-	// Held lists what holds memory: running requests and group reservations.
+	// Held lists the owners of memory: running requests and group reservations.
 	Held []Held `json:"held"`
-	// Fence is the highest fencing number seen; 0 when the engine ignores numbers.
+	// Fence is the highest fencing number seen; 0 if the engine ignores fencing numbers.
 	Fence uint64 `json:"fence"`
-	// Age is how old the report is, as far as the engine knows.
+	// AgeMs is the age of the report in milliseconds, as known to the engine.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// Held is one holder of memory.
+// Held is the memory that one request or reservation holds.
 type Held struct {
 	ID     string `json:"id"`
 	Tokens int64  `json:"tokens"`
-	// Reserved is set for a group reservation and clear for a running request.
+	// Reserved is true for a group reservation and false for a running request.
 	Reserved bool `json:"reserved"`
 }
 
-// CacheEvent tells that a prefix block came into or left the engine's cache. Events come
-// late; a gap in Seq means that some were lost and the cache must be read anew.
+// CacheEvent reports that a prefix block was added to or evicted from the engine's cache.
+// Events are delayed; a gap in Seq means that events were lost and the cache must be read
+// again.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Block   uint64 `json:"block"`
 	Evicted bool   `json:"evicted"`
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the kind of change that an order requests.
 type OrderKind string
 
 // The kinds of order.
@@ -125,24 +128,27 @@
 	Kind    OrderKind `json:"kind"`
 	Name    string    `json:"name"`
 	Version string    `json:"version,omitempty"`
-	// Fence is the fencing number of the lease under which the order was given.
+	// Fence is the fencing number of the lease under which the order was issued.
 	Fence uint64 `json:"fence"`
 }
 
 // Engine is one model engine. Implementations are safe for concurrent use.
 type Engine interface {
-	// Generate starts a request. An error wraps ErrNotStarted only where that is proved.
+	// Generate starts a request. An error wraps ErrNotStarted only if the engine certainly
+	// did not accept the request.
 	Generate(ctx context.Context, request Generate) (Stream, error)
-	// Cancel ends the request or reservation with this id and frees its memory; idempotent.
+	// Cancel ends the request or reservation with this id and frees its memory. It is
+	// idempotent.
 	Cancel(ctx context.Context, id call.ID) error
-	// Reserve holds memory for a group request until ttl passes or Cancel; the same id
-	// again renews it. A Generate of this id on the same engine takes the memory over.
+	// Reserve reserves memory for a group request until ttl passes or Cancel is called. A
+	// call with the same id renews the reservation. A Generate with this id on the same
+	// engine takes over the memory.
 	Reserve(ctx context.Context, id call.ID, tokens int64, ttl time.Duration) error
 	Report(ctx context.Context) (Report, error)
-	// CacheEvents returns the events after seq, oldest first.
+	// CacheEvents returns the events with a Seq greater than after, oldest first.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 	Order(ctx context.Context, order Order) error
-	// ExportKV and ImportKV move the KV cache of a prompt prefix between engines.
+	// ExportKV and ImportKV copy the KV cache of a prompt prefix between engines.
 	ExportKV(ctx context.Context, block uint64) ([]byte, error)
 	ImportKV(ctx context.Context, data []byte) error
 }
--- a/peers/engine/errors.go
+++ b/peers/engine/errors.go
@@ -8,56 +8,57 @@
 	"github.com/pkg/errors"
 )
 
-// maxErrorBody bounds what is read of a refusal, in bytes.
-const maxErrorBody = 64 << 10
+// maxErrorBodyBytes limits the bytes read from an error answer.
+const maxErrorBodyBytes = 64 << 10
 
-// joined is a failure that matches several errors: its kinds and its cause.
-type joined struct {
+// kindError is an error that wraps one or more kinds, such as ErrBroken, and its cause.
+type kindError struct {
 	kinds []error
 	cause error
 }
 
 // Error implements error.
-func (j *joined) Error() string { return j.kinds[0].Error() + ": " + j.cause.Error() }
+func (e *kindError) Error() string { return e.kinds[0].Error() + ": " + e.cause.Error() }
 
 // Unwrap lets errors.Is and errors.As find the kinds and the cause.
-func (j *joined) Unwrap() []error { return append([]error{j.cause}, j.kinds...) }
+func (e *kindError) Unwrap() []error { return append([]error{e.cause}, e.kinds...) }
 
-func failure(kind, cause error) error { return &joined{kinds: []error{kind}, cause: cause} }
+func newFailure(kind, cause error) error { return &kindError{kinds: []error{kind}, cause: cause} }
 
-// transportFailure maps an error of the transport. Without a connection no byte was
-// sent; with one the engine may have taken the request.
+// transportFailure classifies an error of the transport. Without a connection no byte was
+// sent; with one the engine may have accepted the request.
 func transportFailure(connected bool, err error) error {
 	if connected {
-		return failure(ErrBroken, err)
+		return newFailure(ErrBroken, err)
 	}
-	return failure(ErrNotStarted, err)
+	return newFailure(ErrNotStarted, err)
 }
 
-// refusal maps an answer with an error status. ErrNotStarted needs the engine's explicit
-// word: a bare 5xx may come from something between, after the engine took the request.
-func refusal(response *http.Response) error {
+// refusalError classifies an answer with an error status. It returns ErrNotStarted only if
+// the engine states it: a 5xx without such a statement may come from an intermediary after
+// the engine accepted the request.
+func refusalError(response *http.Response) error {
 	detail := readDetail(response)
 	cause := errors.Errorf("status %d: %s", response.StatusCode, detail.Message)
 	notRun := response.Header.Get(HeaderExecution) == ExecutionNotRun
 	switch {
 	case detail.Type == TypeFenced:
-		return failure(ErrFenced, cause)
+		return newFailure(ErrFenced, cause)
 	case detail.Type == TypeMemory && notRun:
-		return &joined{kinds: []error{ErrMemory, ErrNotStarted}, cause: cause}
+		return &kindError{kinds: []error{ErrMemory, ErrNotStarted}, cause: cause}
 	case detail.Type == TypeMemory:
-		return failure(ErrMemory, cause)
-	case isInvalid(response.StatusCode):
-		return failure(ErrRejected, cause)
+		return newFailure(ErrMemory, cause)
+	case isPermanentRefusal(response.StatusCode):
+		return newFailure(ErrRejected, cause)
 	case notRun:
-		return failure(ErrNotStarted, cause)
+		return newFailure(ErrNotStarted, cause)
 	default:
-		return failure(ErrBroken, cause)
+		return newFailure(ErrBroken, cause)
 	}
 }
 
-// isInvalid reports a status by which an engine says that asking again is no use.
-func isInvalid(status int) bool {
+// isPermanentRefusal reports whether the status means that a retry would fail as well.
+func isPermanentRefusal(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusConflict, http.StatusTooEarly, http.StatusTooManyRequests:
 		return false
@@ -68,7 +69,7 @@
 
 func readDetail(response *http.Response) ErrorDetail {
 	var body ErrorBody
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBodyBytes))
 	if err != nil || json.Unmarshal(data, &body) != nil {
 		return ErrorDetail{Message: http.StatusText(response.StatusCode)}
 	}
--- a/peers/engine/http.go
+++ b/peers/engine/http.go
@@ -18,29 +18,30 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of HTTPOptions. The idle time-out is several times an engine's keep-alive interval.
+// Defaults of HTTPOptions. The idle timeout is several times an engine's keep-alive interval.
 const (
 	DefaultDialTimeout = time.Second
 	DefaultIdleTimeout = 5 * time.Second
 	DefaultCallTimeout = 5 * time.Second
-	// DefaultCancelTimeout is short, as it comes on top of a request's time.
+	// DefaultCancelTimeout is short, as it adds to the duration of a request.
 	DefaultCancelTimeout = time.Second
 )
 
-// maxControlBody bounds an answer to a control call, in bytes.
-const maxControlBody = 256 << 20
+// maxControlBodyBytes limits the answer to a control call.
+const maxControlBodyBytes = 256 << 20
 
-// HTTPOptions tune an HTTP engine client. Zero fields take the defaults.
+// HTTPOptions are the options of an HTTP engine client. Zero fields take the defaults.
 type HTTPOptions struct {
 	DialTimeout time.Duration
-	// IdleTimeout is how long a generation's connection may bring no byte, keep-alive
-	// comments included, before it counts as silent.
+	// IdleTimeout ends a generation whose connection delivers no byte for this time;
+	// keep-alive comments count as bytes.
 	IdleTimeout time.Duration
-	// CallTimeout bounds each control call but orders and KV transfers.
+	// CallTimeout limits each control call except orders and KV transfers.
 	CallTimeout time.Duration
-	// CancelTimeout bounds the cancel by which a stream or a doubtful Generate ends.
+	// CancelTimeout limits the cancel call at the end of a stream, or of a Generate whose
+	// outcome is unknown.
 	CancelTimeout time.Duration
-	// Dial replaces the dialler in tests.
+	// Dial replaces the dialer in tests.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -63,14 +64,14 @@
 	return o
 }
 
-// HTTP is an Engine behind the HTTP interface.
+// HTTP is a client of an engine's HTTP interface.
 //
-// Generations use a fresh connection each, control calls share pooled ones. A pooled
-// connection may have died since its last use; a generation written to it would fail
-// in doubt (ErrBroken), where a fresh dial to a dead engine fails with proof
-// (ErrNotStarted). A dial on the same VM costs far less than one step of an engine.
-// A control call that times out takes its pooled connection with it: net/http closes
-// an HTTP/1 connection whose call was cancelled, so the next call dials anew.
+// Each generation uses a new connection; control calls share pooled connections. A pooled
+// connection may have broken since its last use, and a generation sent over it would fail
+// with an unknown outcome (ErrBroken). A new dial to a dead engine fails with ErrNotStarted,
+// after which a retry is safe. A dial on the same VM costs far less than one engine step.
+// net/http closes an HTTP/1 connection whose call was cancelled, so a control call that
+// times out removes its connection from the pool and the next call dials again.
 type HTTP struct {
 	base    string
 	options HTTPOptions
@@ -94,26 +95,26 @@
 	}
 }
 
-// CloseIdle closes pooled connections that no call uses.
+// CloseIdle closes the idle pooled connections.
 func (h *HTTP) CloseIdle() { h.pooled.CloseIdleConnections() }
 
-// Generate implements Engine. The stream ends with an error that wraps both ErrBroken and
-// context.DeadlineExceeded when request.TimeLeft passes.
+// Generate implements Engine. When request.TimeLeft passes, the stream ends with an error
+// that wraps both ErrBroken and context.DeadlineExceeded.
 func (h *HTTP) Generate(ctx context.Context, request Generate) (Stream, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, failure(ErrNotStarted, err)
+		return nil, newFailure(ErrNotStarted, err)
 	}
 	if request.TimeLeft <= 0 {
-		return nil, failure(ErrNotStarted, context.DeadlineExceeded)
+		return nil, newFailure(ErrNotStarted, context.DeadlineExceeded)
 	}
 	body, err := newBody(request)
 	if err != nil {
-		return nil, failure(ErrRejected, err)
+		return nil, newFailure(ErrRejected, err)
 	}
 	run, cancel := context.WithCancelCause(ctx)
 	run, stopDeadline := context.WithTimeout(run, request.TimeLeft)
 	s := &stream{engine: h, id: request.ID, ctx: run, stopDeadline: stopDeadline, cancel: cancel}
-	s.watch(h.options.IdleTimeout)
+	s.startIdleTimer(h.options.IdleTimeout)
 	if err := s.open(request, body); err != nil {
 		s.release()
 		return nil, err
@@ -130,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport can't rewind the body, so it can't send it twice.
+	// Without GetBody the transport can't rewind the body and so can't send it twice.
 	r.GetBody = nil
 	r.ContentLength = body.length()
 	r.Header.Set("Content-Type", "application/json")
@@ -147,12 +148,13 @@
 	return r, nil
 }
 
-// withConnMark returns a context that sets the mark once a connection has been had. Until
-// then no byte was sent, which proves that the engine did not take the request.
-func withConnMark(ctx context.Context) (context.Context, *atomic.Bool) {
-	had := new(atomic.Bool)
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { had.Store(true) }}
-	return httptrace.WithClientTrace(ctx, trace), had
+// traceConnection returns a context for a request and a flag that is set once the request
+// gets a connection. While the flag is not set no byte was sent, so the engine can't have
+// accepted the request.
+func traceConnection(ctx context.Context) (context.Context, *atomic.Bool) {
+	connected := new(atomic.Bool)
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
+	return httptrace.WithClientTrace(ctx, trace), connected
 }
 
 // Cancel implements Engine.
@@ -170,7 +172,7 @@
 	return h.control(ctx, http.MethodDelete, path, nil, nil)
 }
 
-// Reserve implements Engine. The same id again renews the reservation.
+// Reserve implements Engine. A call with the same id renews the reservation.
 func (h *HTTP) Reserve(ctx context.Context, id call.ID, tokens int64, ttl time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, h.options.CallTimeout)
 	defer cancel()
@@ -197,7 +199,8 @@
 	return events, err
 }
 
-// Order implements Engine. It returns when the order is carried out, bounded only by ctx.
+// Order implements Engine. It returns when the engine has executed the order; only ctx
+// limits the time.
 func (h *HTTP) Order(ctx context.Context, order Order) error {
 	return h.controlJSON(ctx, PathOrders, order)
 }
@@ -223,11 +226,11 @@
 	return h.control(ctx, http.MethodPost, path, data, nil)
 }
 
-// control makes one control call. Every control call is idempotent, so it is marked as
-// such with a nil Idempotency-Key, which net/http does not send: the transport may then
-// repeat it when the engine had just closed the pooled connection.
+// control makes one control call. Every control call is idempotent. A nil Idempotency-Key,
+// which net/http does not send, marks it as such for the transport, which may then resend
+// it if the engine had just closed the pooled connection.
 func (h *HTTP) control(ctx context.Context, method, path string, body []byte, into any) error {
-	ctx, had := withConnMark(ctx)
+	ctx, connected := traceConnection(ctx)
 	r, err := http.NewRequestWithContext(ctx, method, h.base+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.WithStack(err)
@@ -235,19 +238,19 @@
 	r.Header["Idempotency-Key"] = nil
 	response, err := h.pooled.RoundTrip(r)
 	if err != nil {
-		return transportFailure(had.Load(), err)
+		return transportFailure(connected.Load(), err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return refusal(response)
+		return refusalError(response)
 	}
 	return readAnswer(response.Body, into)
 }
 
 func readAnswer(body io.Reader, into any) error {
-	data, err := io.ReadAll(io.LimitReader(body, maxControlBody))
+	data, err := io.ReadAll(io.LimitReader(body, maxControlBodyBytes))
 	if err != nil {
-		return failure(ErrBroken, err)
+		return newFailure(ErrBroken, err)
 	}
 	switch into := into.(type) {
 	case nil:
@@ -257,7 +260,7 @@
 		return nil
 	default:
 		if err := json.Unmarshal(data, into); err != nil {
-			return failure(ErrBroken, err)
+			return newFailure(ErrBroken, err)
 		}
 		return nil
 	}
--- a/peers/engine/http_test.go
+++ b/peers/engine/http_test.go
@@ -21,10 +21,10 @@
 
 var id = call.ID{7}
 
-// fast is an engine whose steps take microseconds.
+// fast configures an engine whose steps take microseconds.
 var fast = standin.Config{DecodeStep: time.Microsecond, DecodePerSeq: time.Nanosecond, PrefillRate: 1e9}
 
-// endless is an engine on which an answer does not end within a test.
+// endless configures an engine whose answers do not end within a test.
 var endless = standin.Config{DecodeStep: time.Millisecond, AnswerTokens: 1e6}
 
 func start(t *testing.T, config standin.Config) (*standin.Engine, *engine.HTTP) {
@@ -45,7 +45,7 @@
 	return engine.Generate{ID: id, Body: []byte(body), TimeLeft: time.Minute}
 }
 
-// readAll reads to the end or to the failure.
+// readAll reads a stream to its end or to an error.
 func readAll(s engine.Stream) (text string, tokens int, err error) {
 	var b strings.Builder
 	for {
@@ -58,7 +58,7 @@
 	}
 }
 
-func whole(t *testing.T, client engine.Engine, g engine.Generate) (string, engine.Final) {
+func generateAll(t *testing.T, client engine.Engine, g engine.Generate) (string, engine.Final) {
 	t.Helper()
 	s, err := client.Generate(t.Context(), g)
 	require.NoError(t, err)
@@ -70,14 +70,14 @@
 
 func TestContract(t *testing.T) {
 	e, client := start(t, fast)
-	text, final := whole(t, client, request("prune?", 20))
+	text, final := generateAll(t, client, request("prune?", 20))
 	require.Len(t, strings.Fields(text), 20)
 	require.Equal(t, engine.Final{FinishReason: "length", Usage: engine.Usage{PromptTokens: 2, CompletionTokens: 20}}, final)
 
 	chat := request("", 0)
 	chat.Chat = true
 	chat.Body = []byte(` {"model":"assistant-1","messages":[{"role":"user","content":[{"type":"text","text":"prune?"}]}],"max_tokens":20} `)
-	chatText, chatFinal := whole(t, client, chat)
+	chatText, chatFinal := generateAll(t, client, chat)
 	require.Equal(t, text, chatText)
 	require.Equal(t, final, chatFinal)
 
@@ -95,11 +95,11 @@
 	require.ErrorIs(t, client.Order(t.Context(), engine.Order{Kind: "paint"}), engine.ErrRejected)
 }
 
-func TestKVMovesBetweenEngines(t *testing.T) {
+func TestKVTransferBetweenEngines(t *testing.T) {
 	_, from := start(t, fast)
 	_, to := start(t, fast)
 	prompt := strings.Repeat("span 17 clear; ", 1000)
-	whole(t, from, request(prompt, 1))
+	generateAll(t, from, request(prompt, 1))
 	events, err := from.CacheEvents(t.Context(), 0)
 	require.NoError(t, err)
 	blocks := engine.PrefixBlocks("assistant-1", prompt)
@@ -107,21 +107,20 @@
 	data, err := from.ExportKV(t.Context(), blocks[len(blocks)-1])
 	require.NoError(t, err)
 	require.NoError(t, to.ImportKV(t.Context(), data))
-	_, final := whole(t, to, request(prompt, 1))
+	_, final := generateAll(t, to, request(prompt, 1))
 	require.Equal(t, len(blocks)*engine.BlockTokens, final.Usage.CachedTokens)
 	_, err = from.ExportKV(t.Context(), 12345)
 	require.ErrorIs(t, err, engine.ErrRejected)
 }
 
-// Symptom: an answer breaks off, or its memory stays held.
-// Sequence: the stream dies, goes silent or ends in an engine's fault after some tokens.
-// Cause: each of these must reach the reader as ErrBroken, and the tokens read until then
-// must be the answer's beginning, from which another engine goes on.
-func TestBrokenStreamIsContinuedElsewhere(t *testing.T) {
+// Checks that a stream that breaks or stalls after some tokens returns ErrBroken and frees
+// the engine's memory, and that another engine can continue the answer after the tokens
+// delivered before the failure.
+func TestBrokenStreamContinuesOnAnotherEngine(t *testing.T) {
 	config := fast
 	config.KeepAlive = time.Millisecond
 	_, other := start(t, fast)
-	want, final := whole(t, other, request("prune?", 40))
+	want, final := generateAll(t, other, request("prune?", 40))
 	for _, kind := range []faults.Kind{faults.Die, faults.Silent} {
 		for _, after := range []int{0, 1, 39} {
 			t.Run(fmt.Sprint(kind, after), func(t *testing.T) {
@@ -142,7 +141,7 @@
 
 				rest := request("prune?", 40)
 				rest.Delivered, rest.DeliveredTokens = text, tokens
-				tail, restFinal := whole(t, other, rest)
+				tail, restFinal := generateAll(t, other, rest)
 				require.Equal(t, want, text+tail)
 				require.Equal(t, final, restFinal)
 			})
@@ -151,8 +150,8 @@
 }
 
 func TestGenerateErrors(t *testing.T) {
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
+	unreachable := httptest.NewServer(http.NotFoundHandler())
+	unreachable.Close()
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	unknown := request("x", 1)
@@ -163,15 +162,15 @@
 	noTime.TimeLeft = 0
 	kinds := []error{engine.ErrNotStarted, engine.ErrBroken, engine.ErrRejected, engine.ErrMemory}
 	for _, c := range []struct {
-		name  string
-		fault faults.Kind
-		do    engine.Generate
-		ctx   context.Context
-		gone  bool
-		want  []error
-		runs  int
+		name        string
+		fault       faults.Kind
+		do          engine.Generate
+		ctx         context.Context
+		unreachable bool
+		want        []error
+		runs        int
 	}{
-		{name: "dial refused", do: request("x", 1), gone: true, want: []error{engine.ErrNotStarted}},
+		{name: "dial refused", do: request("x", 1), unreachable: true, want: []error{engine.ErrNotStarted}},
 		{name: "context ended", do: request("x", 1), ctx: ended, want: []error{engine.ErrNotStarted}},
 		{name: "no time left", do: noTime, want: []error{engine.ErrNotStarted}},
 		{name: "unknown model", do: unknown, want: []error{engine.ErrRejected}},
@@ -186,8 +185,8 @@
 			if c.fault != "" {
 				e.SetFaults(standin.Fault{Fault: faults.Fault{Operation: standin.OpGenerate, Kind: c.fault}})
 			}
-			if c.gone {
-				client = engine.NewHTTP(gone.URL)
+			if c.unreachable {
+				client = engine.NewHTTP(unreachable.URL)
 			}
 			if c.ctx == nil {
 				c.ctx = t.Context()
@@ -206,7 +205,7 @@
 	}
 }
 
-func TestDeadlineEndsBothSides(t *testing.T) {
+func TestDeadlineEndsStreamAndGeneration(t *testing.T) {
 	e, client := start(t, endless)
 	g := request("x", 100_000)
 	g.TimeLeft = 50 * time.Millisecond
@@ -219,7 +218,7 @@
 	require.Zero(t, e.Stats().HeldTokens)
 }
 
-func TestCloseFreesTheEngine(t *testing.T) {
+func TestCloseFreesEngineMemory(t *testing.T) {
 	e, client := start(t, endless)
 	s, err := client.Generate(t.Context(), request("x", 100_000))
 	require.NoError(t, err)
@@ -232,10 +231,10 @@
 	require.Equal(t, 1, e.Stats().Cancelled)
 }
 
-// Symptom: a prompt larger than one engine's memory can't be served, or one engine's loss
-// leaves the others' memory held.
-// Sequence: reserve on all, generate on the first; a member drops its reservation.
-func TestGroup(t *testing.T) {
+// Checks that a prompt larger than the memory of one engine runs with reservations on a
+// group of engines, and that the request fails and frees the memory of all engines when one
+// of them loses its reservation.
+func TestGroupReservations(t *testing.T) {
 	config := fast
 	config.EngineTokens = 10_000
 	config.DecodeStep = time.Millisecond
@@ -268,26 +267,25 @@
 	require.Zero(t, primary.Stats().HeldTokens+member.Stats().HeldTokens)
 }
 
-// Symptom: every report of an engine times out, though the engine is well.
-// Sequence: something between the ends forgets a pooled connection; bytes written to it
-// vanish, while a new connection works.
-// Cause: a time-out that puts the connection back into the pool.
-func TestTimedOutPooledConnectionIsThrownAway(t *testing.T) {
+// Guards against control calls that keep timing out although the engine works: an
+// intermediary drops all bytes of a pooled connection, so the timeout must remove that
+// connection from the pool.
+func TestTimedOutPooledConnectionIsDiscarded(t *testing.T) {
 	server := httptest.NewServer(standin.New(fast))
 	defer server.Close()
 	var dials atomic.Int32
-	var vanish atomic.Bool
+	var drop atomic.Bool
 	client := engine.NewHTTPWith(server.URL, engine.HTTPOptions{
 		CallTimeout: 100 * time.Millisecond,
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-			return &forgotten{Conn: c, first: dials.Add(1) == 1, vanish: &vanish}, err
+			return &droppingConn{Conn: c, first: dials.Add(1) == 1, drop: &drop}, err
 		},
 	})
 	defer client.CloseIdle()
 	_, err := client.Report(t.Context())
 	require.NoError(t, err)
-	vanish.Store(true)
+	drop.Store(true)
 	_, err = client.Report(t.Context())
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	_, err = client.Report(t.Context())
@@ -295,15 +293,16 @@
 	require.EqualValues(t, 2, dials.Load())
 }
 
-// forgotten is a connection whose writes vanish once vanish is set, if it is the first.
-type forgotten struct {
+// droppingConn is a connection that discards its writes while drop is set, if it is the
+// first connection.
+type droppingConn struct {
 	net.Conn
-	first  bool
-	vanish *atomic.Bool
+	first bool
+	drop  *atomic.Bool
 }
 
-func (f *forgotten) Write(p []byte) (int, error) {
-	if f.first && f.vanish.Load() {
+func (f *droppingConn) Write(p []byte) (int, error) {
+	if f.first && f.drop.Load() {
 		return len(p), nil
 	}
 	return f.Conn.Write(p)
--- a/peers/engine/prompt.go
+++ b/peers/engine/prompt.go
@@ -16,12 +16,12 @@
 // TokensOf returns the number of prompt tokens in n bytes of text.
 func TokensOf(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
 
-// Prompt is what an engine reads from a body in the OpenAI shape.
+// Prompt holds the fields that an engine reads from a body in OpenAI's format.
 type Prompt struct {
 	Model string
-	// Text is the prompt, or the contents of all messages one after the other.
+	// Text is the prompt, or the concatenated contents of all messages.
 	Text string
-	// MaxTokens is 0 when the body leaves it to the engine.
+	// MaxTokens is 0 when the body sets no limit.
 	MaxTokens int
 	Stream    bool
 	Continue  Continuation
@@ -65,8 +65,9 @@
 	return nil
 }
 
-// isVerbatim reports a string literal whose bytes are its text. Long prompts often are,
-// and decoding one a second time takes tens of milliseconds.
+// isVerbatim reports whether data is a JSON string without escapes and with valid UTF-8,
+// whose bytes are its text. Many long prompts are, and a second decoding of one would take
+// tens of milliseconds.
 func isVerbatim(data []byte) bool {
 	return len(data) > 1 && data[0] == '"' && bytes.IndexByte(data, '\\') < 0 && utf8.Valid(data)
 }
@@ -101,7 +102,7 @@
 	return part.Text, err
 }
 
-// ParsePrompt reads body; chat tells which OpenAI call it belongs to.
+// ParsePrompt decodes the body of a chat completion, or of a completion if chat is false.
 func ParsePrompt(body []byte, chat bool) (Prompt, error) {
 	var b promptBody
 	if err := json.Unmarshal(body, &b); err != nil {
--- a/peers/engine/protocol.go
+++ b/peers/engine/protocol.go
@@ -1,6 +1,6 @@
 package engine
 
-// The HTTP interface of an engine: OpenAI's completion calls with the extensions below.
+// Paths of the HTTP interface of an engine: OpenAI's completion calls and extensions.
 const (
 	PathCompletions  = "/v1/completions"
 	PathChat         = "/v1/chat/completions"
@@ -17,22 +17,22 @@
 // Headers of a generation and of its answer.
 const (
 	HeaderRequestID = "X-Request-Id"
-	// HeaderPriority is a decimal number; lower goes first.
+	// HeaderPriority is a decimal number; the engine schedules lower numbers first.
 	HeaderPriority = "X-Priority"
-	// HeaderTimeLeft is in milliseconds.
+	// HeaderTimeLeft is the time to the deadline in milliseconds.
 	HeaderTimeLeft = "X-Time-Left-Ms"
 	// HeaderGroup lists the base URLs of further engines, separated by commas.
 	HeaderGroup       = "X-Group"
 	HeaderTraceParent = "Traceparent"
-	// HeaderRun is in the answer: it tells this run of the request from another run
-	// of the same id, so that a late cancel can't end the wrong one.
+	// HeaderRun is in the answer. It identifies this run among the runs of the same
+	// request id, so that a late cancel can't end another run.
 	HeaderRun = "X-Run"
-	// HeaderExecution is ExecutionNotRun in a refusal that had no effect.
+	// HeaderExecution is ExecutionNotRun in an error answer to a request that had no effect.
 	HeaderExecution = "X-Execution"
 	ExecutionNotRun = "not-run"
 )
 
-// The error types that an engine's refusal carries.
+// The error types in an engine's error answers.
 const (
 	TypeInvalid  = "invalid_request_error"
 	TypeMemory   = "out_of_memory"
@@ -42,19 +42,19 @@
 	TypeFailed   = "engine_failure"
 )
 
-// ErrorBody is the JSON body of a refusal and of an error event in a stream.
+// ErrorBody is the JSON body of an error answer and of an error event in a stream.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes one failure in OpenAI's shape.
+// ErrorDetail describes one error in OpenAI's format.
 type ErrorDetail struct {
 	Type    string `json:"type"`
 	Message string `json:"message"`
 }
 
-// Continuation is the request field "continue_from": the part of the answer that the
-// caller already has.
+// Continuation is the request field "continue_from": the part of the answer that was
+// already delivered to the caller.
 type Continuation struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
@@ -73,13 +73,13 @@
 	Model   string   `json:"model"`
 	Choices []Choice `json:"choices"`
 	Usage   *Usage   `json:"usage,omitempty"`
-	// Tokens is how many generated tokens the event carries. An engine without this
-	// extension sends one token an event.
+	// Tokens is the number of generated tokens in the event. An engine without this
+	// extension sends one token per event.
 	Tokens *int         `json:"tokens,omitempty"`
 	Error  *ErrorDetail `json:"error,omitempty"`
 }
 
-// Choice is the one alternative that a chunk carries.
+// Choice is the only alternative of a chunk.
 type Choice struct {
 	Index        int        `json:"index"`
 	Text         string     `json:"text,omitempty"`
@@ -100,5 +100,5 @@
 	TTLMs  int64  `json:"ttl_ms"`
 }
 
-// Done is the data of the event that ends a whole stream.
+// Done is the data of the event that ends a complete stream.
 const Done = "[DONE]"
--- a/peers/engine/stream.go
+++ b/peers/engine/stream.go
@@ -14,17 +14,18 @@
 	"github.com/pkg/errors"
 )
 
-// errSilent is the cause of a stream that brought no byte for the idle time-out.
-var errSilent = errors.New("engine: connection silent")
+// errIdleTimeout is the cancel cause of a stream that received no byte for the idle timeout.
+var errIdleTimeout = errors.New("engine: connection silent")
 
-// errClosed is the cause of a stream that its reader closed.
-var errClosed = errors.New("engine: stream closed")
+// errStreamClosed is the cancel cause of a stream that its reader closed.
+var errStreamClosed = errors.New("engine: stream closed")
 
-// streamBuffer is the read buffer of a stream in bytes; a longer event grows past it.
-const streamBuffer = 4 << 10
+// streamBufferBytes is the size of a stream's read buffer. Longer events are copied to a
+// buffer of their own.
+const streamBufferBytes = 4 << 10
 
-// maxEvent bounds one event in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of one event.
+const maxEventBytes = 1 << 20
 
 var dataPrefix = []byte("data:")
 
@@ -36,18 +37,18 @@
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	stopDeadline context.CancelFunc
-	// silence fires when no byte came for the idle time-out. Without it a connection
-	// that something between the ends has forgotten would hold the request until its
-	// deadline: TCP reports nothing while there is nothing to send.
-	silence *time.Timer
-	idle    time.Duration
+	// idleTimer fires when no byte arrives for the idle timeout. If an intermediary has
+	// dropped the state of the connection, TCP reports no error while nothing is sent, and
+	// the request would hang until its deadline.
+	idleTimer   *time.Timer
+	idleTimeout time.Duration
 
-	body   io.ReadCloser
-	lines  *bufio.Reader
-	ended  bool
-	err    error
-	final  Final
-	reason bool
+	body            io.ReadCloser
+	reader          *bufio.Reader
+	ended           bool
+	err             error
+	final           Final
+	hasFinishReason bool
 
 	closeOnce sync.Once
 	closeErr  error
@@ -55,43 +56,43 @@
 	complete  bool
 }
 
-func (s *stream) watch(idle time.Duration) {
-	s.idle = idle
-	s.silence = time.AfterFunc(idle, func() { s.cancel(errSilent) })
+func (s *stream) startIdleTimer(idle time.Duration) {
+	s.idleTimeout = idle
+	s.idleTimer = time.AfterFunc(idle, func() { s.cancel(errIdleTimeout) })
 }
 
-// release frees timers and the connection.
+// release stops the timers and closes the connection.
 func (s *stream) release() {
-	s.silence.Stop()
-	s.cancel(errClosed)
+	s.idleTimer.Stop()
+	s.cancel(errStreamClosed)
 	s.stopDeadline()
 }
 
 func (s *stream) open(request Generate, body *body) error {
-	ctx, had := withConnMark(s.ctx)
+	ctx, connected := traceConnection(s.ctx)
 	r, err := s.engine.newGenerate(ctx, request, body)
 	if err != nil {
-		return failure(ErrRejected, err)
+		return newFailure(ErrRejected, err)
 	}
 	response, err := s.engine.fresh.RoundTrip(r)
 	if err != nil {
-		err = transportFailure(had.Load(), s.cause(err))
-		return s.cancelAfterDoubt(had.Load(), err)
+		err = transportFailure(connected.Load(), s.cause(err))
+		return s.cancelIfConnected(connected.Load(), err)
 	}
 	if response.StatusCode != http.StatusOK {
 		defer response.Body.Close()
-		return refusal(response)
+		return refusalError(response)
 	}
 	s.run = response.Header.Get(HeaderRun)
 	s.body = response.Body
-	s.lines = bufio.NewReaderSize(&touching{stream: s}, streamBuffer)
+	s.reader = bufio.NewReaderSize(&idleResetReader{stream: s}, streamBufferBytes)
 	return nil
 }
 
-// cancelAfterDoubt ends a request that the engine may have taken although its answer
-// never began: on a silent connection the engine sees no close and would hold the
+// cancelIfConnected cancels a request that the engine may have accepted although no answer
+// began. On a connection that drops packets the engine sees no close and would hold the
 // memory until the deadline.
-func (s *stream) cancelAfterDoubt(connected bool, err error) error {
+func (s *stream) cancelIfConnected(connected bool, err error) error {
 	if !connected {
 		return err
 	}
@@ -102,20 +103,20 @@
 	return err
 }
 
-// touching notes that bytes came.
-type touching struct{ stream *stream }
+// idleResetReader reads the body and resets the idle timer whenever bytes arrive.
+type idleResetReader struct{ stream *stream }
 
 // Read implements io.Reader.
-func (t *touching) Read(p []byte) (int, error) {
-	n, err := t.stream.body.Read(p)
+func (r *idleResetReader) Read(p []byte) (int, error) {
+	n, err := r.stream.body.Read(p)
 	if n > 0 {
-		t.stream.silence.Reset(t.stream.idle)
+		r.stream.idleTimer.Reset(r.stream.idleTimeout)
 	}
 	return n, err
 }
 
-// cause prefers the reason for which the stream's context ended to the error that the
-// transport made of it.
+// cause returns the cancel cause of the stream's context if it has ended, and otherwise the
+// error of the transport.
 func (s *stream) cause(err error) error {
 	if s.ctx.Err() == nil {
 		return err
@@ -133,7 +134,7 @@
 		if string(data) == Done {
 			return Delta{}, false, s.finish()
 		}
-		delta, err := s.take(data)
+		delta, err := s.decodeChunk(data)
 		if err != nil {
 			return Delta{}, false, s.fail(err)
 		}
@@ -144,8 +145,8 @@
 	return Delta{}, false, s.err
 }
 
-// nextEvent returns the data of the next event. Comments, which engines send as
-// keep-alives, and other fields are passed over.
+// nextEvent returns the data of the next event. It skips comments, which engines send as
+// keep-alives, and other fields.
 func (s *stream) nextEvent() ([]byte, error) {
 	for {
 		line, err := s.nextLine()
@@ -159,39 +160,39 @@
 }
 
 func (s *stream) nextLine() ([]byte, error) {
-	line, err := s.lines.ReadSlice('\n')
+	line, err := s.reader.ReadSlice('\n')
 	if err == nil {
 		return line, nil
 	}
 	if err != bufio.ErrBufferFull {
-		return nil, unexpectedEnd(err)
+		return nil, unexpectedEOF(err)
 	}
 	whole := append([]byte(nil), line...)
-	for err == bufio.ErrBufferFull && len(whole) < maxEvent {
-		line, err = s.lines.ReadSlice('\n')
+	for err == bufio.ErrBufferFull && len(whole) < maxEventBytes {
+		line, err = s.reader.ReadSlice('\n')
 		whole = append(whole, line...)
 	}
 	if err != nil {
-		return nil, unexpectedEnd(err)
+		return nil, unexpectedEOF(err)
 	}
 	return whole, nil
 }
 
-// unexpectedEnd tells that a stream may end only with Done.
-func unexpectedEnd(err error) error {
+// unexpectedEOF replaces io.EOF, since a stream may end only with Done.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func (s *stream) take(data []byte) (Delta, error) {
+func (s *stream) decodeChunk(data []byte) (Delta, error) {
 	var chunk Chunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
 		return Delta{}, errors.Wrap(err, "event")
 	}
 	if chunk.Error != nil {
-		return Delta{}, eventFailure(*chunk.Error)
+		return Delta{}, eventError(*chunk.Error)
 	}
 	if chunk.Usage != nil {
 		s.final.Usage = *chunk.Usage
@@ -202,15 +203,15 @@
 	choice := chunk.Choices[0]
 	if choice.FinishReason != nil {
 		s.final.FinishReason = *choice.FinishReason
-		s.reason = true
+		s.hasFinishReason = true
 	}
 	return deltaOf(choice, chunk.Tokens), nil
 }
 
-func eventFailure(detail ErrorDetail) error {
+func eventError(detail ErrorDetail) error {
 	cause := errors.Errorf("%s: %s", detail.Type, detail.Message)
 	if detail.Type == TypeDeadline {
-		return failure(context.DeadlineExceeded, cause)
+		return newFailure(context.DeadlineExceeded, cause)
 	}
 	return cause
 }
@@ -231,12 +232,12 @@
 
 func (s *stream) fail(err error) error {
 	s.ended = true
-	s.err = failure(ErrBroken, s.cause(err))
+	s.err = newFailure(ErrBroken, s.cause(err))
 	return s.err
 }
 
 func (s *stream) finish() error {
-	if !s.reason {
+	if !s.hasFinishReason {
 		return s.fail(errors.New("stream ended without finish_reason"))
 	}
 	s.ended = true
@@ -249,15 +250,15 @@
 // Final implements Stream.
 func (s *stream) Final() Final { return s.final }
 
-// Close implements Stream. It returns once the engine has confirmed the cancel, or the
-// failure to get this confirmation.
+// Close implements Stream. If the answer is not complete, it waits until the engine has
+// confirmed the cancel; an error means that it has not.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() { s.closeErr = s.close() })
 	return s.closeErr
 }
 
-// close cancels by a call of its own as well as by closing the connection: where the
-// connection is silent, the engine never learns that it was closed.
+// close closes the connection and also sends a cancel call: on a connection that drops
+// packets the engine does not see the close.
 func (s *stream) close() error {
 	s.mu.Lock()
 	complete := s.complete
