--- a/peers/httpjson/failure.go
+++ b/peers/httpjson/failure.go
@@ -8,12 +8,12 @@
 	"github.com/pkg/errors"
 )
 
-// Code is the reason that a service gives for a refusal.
+// Code is the reason that a service states in an error answer.
 type Code string
 
 // The codes.
 const (
-	// CodeNotApplied states that the service executed nothing of the call.
+	// CodeNotApplied states that the service executed no part of the call.
 	CodeNotApplied  Code = "not-applied"
 	CodeConflict    Code = "conflict"
 	CodeNotFound    Code = "not-found"
@@ -29,7 +29,7 @@
 	CodeRateLimited: http.StatusTooManyRequests,
 }
 
-// Status returns the HTTP status that goes with the code.
+// Status returns the HTTP status that belongs to the code.
 func (c Code) Status() int {
 	if status, ok := codeStatus[c]; ok {
 		return status
@@ -37,20 +37,20 @@
 	return http.StatusInternalServerError
 }
 
-// ErrorBody is the JSON body of a refusal.
+// ErrorBody is the JSON body of an error answer.
 type ErrorBody struct {
 	Code   Code   `json:"code"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Failure says why a call gave no answer of use.
+// Failure describes a failed call.
 type Failure struct {
-	// Sent is false only if it is proved that no byte of the call left this process:
-	// the call never had a connection.
+	// Sent is false only if certainly no byte of the call was sent, because the call never
+	// had a connection.
 	Sent bool
-	// Status is the HTTP status; 0 if none arrived.
+	// Status is the HTTP status, or 0 if no answer arrived.
 	Status int
-	// Code is the service's reason; empty if it gave none that fits the status.
+	// Code is the service's reason; empty if it stated none that matches the status.
 	Code Code
 	Err  error
 }
@@ -63,10 +63,11 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// NotApplied reports whether it is proved that the call had no effect.
+// NotApplied reports whether the call certainly had no effect.
 func (f *Failure) NotApplied() bool { return !f.Sent || f.Code == CodeNotApplied }
 
-// AsFailure returns the Failure in err's chain, or one that claims nothing.
+// AsFailure returns the Failure in err's chain. If there is none, it returns one for a call
+// that may have been sent and applied.
 func AsFailure(err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -75,9 +76,9 @@
 	return &Failure{Sent: true, Err: err}
 }
 
-// statusFailure takes a code from the body only if it agrees with the status: a box
-// between the two ends can answer 404 or 503 by itself, and its answer proves nothing
-// about the service.
+// statusFailure accepts a code from the body only if it matches the status. An intermediary
+// can answer 404 or 503 by itself, and such an answer says nothing about the effect of the
+// call on the service.
 func statusFailure(status int, body []byte) *Failure {
 	failure := &Failure{Sent: true, Status: status, Err: errors.Errorf("service answered %d", status)}
 	var refusal ErrorBody
--- a/peers/httpjson/httpjson.go
+++ b/peers/httpjson/httpjson.go
@@ -1,6 +1,6 @@
-// Package httpjson is the HTTP client that the adapters of the platform's services share.
-// It bounds each call's pauses and size, tells whether a failed call can have reached the service,
-// and replaces its connections after a timeout.
+// Package httpjson is the HTTP client shared by the adapters of the platform's services. It
+// limits the pauses and the answer size of each call, reports whether a failed call may have
+// reached the service, and replaces its connections after a timeout.
 package httpjson
 
 import (
@@ -36,15 +36,15 @@
 	bytesContentType = "application/octet-stream"
 )
 
-// Options are the settings of a Client. A zero field means its default.
+// Options are the options of a Client. Zero fields take the defaults.
 type Options struct {
-	// Timeout bounds the time until a call's answer begins, and each pause in a transfer.
+	// Timeout limits the time until a call's answer begins, and each pause in a transfer.
 	Timeout time.Duration
-	// Longest bounds each call as a whole. The caller's context may end it sooner.
+	// Longest limits the duration of each call. The caller's context may end it earlier.
 	Longest time.Duration
 	// IdleConns is the number of connections kept open between calls.
 	IdleConns int
-	// MaxAnswerBytes is the largest answer accepted.
+	// MaxAnswerBytes is the maximum size of an answer.
 	MaxAnswerBytes int64
 }
 
@@ -69,12 +69,13 @@
 	Method string
 	Path   string
 	Query  url.Values
-	// JSON is encoded as the body; Raw is the body as it stands.
+	// JSON is marshalled to form the body; Raw is sent as the body unchanged.
 	JSON any
 	Raw  []byte
-	// Wait is how long the service may hold the answer back, in addition to the timeout.
+	// Wait is added to the timeout for the start of the answer, for calls that the service
+	// may hold open, such as long polls.
 	Wait time.Duration
-	// Timeout, if not zero, goes before that of the options.
+	// Timeout, if not zero, overrides that of the options.
 	Timeout time.Duration
 }
 
@@ -92,8 +93,8 @@
 	return c
 }
 
-// newPool returns an HTTP client with no open connections. It follows no redirect,
-// because a redirected commit would be sent to a second place, and it uses no proxy.
+// newPool returns an HTTP client with no open connections. It follows no redirects,
+// because a redirected commit would be sent to a second server, and it uses no proxy.
 func (c *Client) newPool() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
@@ -108,22 +109,22 @@
 	}
 }
 
-// CloseIdle closes the connections that no call is using.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.pool.Load().CloseIdleConnections() }
 
 // Do makes one call and returns the body of a 2xx answer. Every error is a *Failure.
 //
-// Do sends a request once: the transport repeats by itself only requests whose method
-// is GET, and others when no byte of them was written. For that reason no request
-// carries an Idempotency-Key header, which would allow the transport to repeat a POST
-// whose bytes had been sent. If the repeat then failed to dial, its error would read
-// as "not sent" although the first copy may have been executed.
+// Do sends a request once. The transport resends by itself only GET requests, and others if
+// no byte of them was written. No request has an Idempotency-Key header, with which the
+// transport would also resend a POST whose bytes had been sent. If the dial for the resend
+// then failed, the error would mean "not sent" although the service may have executed the
+// first copy.
 func (c *Client) Do(ctx context.Context, request Request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Longest)
 	defer cancel()
 	timeout := cmp.Or(request.Timeout, c.options.Timeout)
-	ctx, progress := watch(ctx, request.Wait+timeout)
-	defer progress.end()
+	ctx, progress := withProgressTimer(ctx, request.Wait+timeout)
+	defer progress.stop()
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -133,12 +134,12 @@
 		return nil, &Failure{Err: err}
 	}
 	pool := c.pool.Load()
-	body, status, err := c.exchange(pool, httpRequest, func() { progress.within(timeout) })
+	body, status, err := c.exchange(pool, httpRequest, func() { progress.setTimeout(timeout) })
 	if err != nil {
 		if errors.Is(context.Cause(ctx), ErrStalled) {
 			err = errors.WithMessage(ErrStalled, err.Error())
 		}
-		c.dropAfterTimeout(ctx, pool)
+		c.replacePoolAfterTimeout(ctx, pool)
 		return nil, &Failure{Sent: connected.Load(), Status: status, Err: err}
 	}
 	if status < 200 || status > 299 {
@@ -159,7 +160,7 @@
 	return nil
 }
 
-func (c *Client) build(ctx context.Context, request Request, progress *progress) (*http.Request, error) {
+func (c *Client) build(ctx context.Context, request Request, progress *progressTimer) (*http.Request, error) {
 	target := c.base + request.Path
 	if len(request.Query) > 0 {
 		target += "?" + request.Query.Encode()
@@ -177,7 +178,7 @@
 		return http.NewRequestWithContext(ctx, request.Method, target, nil)
 	}
 	open := func() (io.ReadCloser, error) {
-		return io.NopCloser(progressReader{bytes.NewReader(body), progress.passed}), nil
+		return io.NopCloser(progressReader{bytes.NewReader(body), progress.reset}), nil
 	}
 	reader, _ := open()
 	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, target, reader)
@@ -189,15 +190,15 @@
 	return httpRequest, nil
 }
 
-// exchange returns an error unless the whole answer arrived. It calls passed for each part of the
-// answer's body.
-func (c *Client) exchange(pool *http.Client, request *http.Request, passed func()) (body []byte, status int, err error) {
+// exchange sends the request and returns an error unless the whole answer arrived. It calls
+// onRead whenever bytes of the answer's body arrive.
+func (c *Client) exchange(pool *http.Client, request *http.Request, onRead func()) (body []byte, status int, err error) {
 	answer, err := pool.Do(request)
 	if err != nil {
 		return nil, 0, err
 	}
 	defer answer.Body.Close()
-	reader := progressReader{answer.Body, passed}
+	reader := progressReader{answer.Body, onRead}
 	body, err = io.ReadAll(io.LimitReader(reader, c.options.MaxAnswerBytes+1))
 	if err != nil {
 		return nil, answer.StatusCode, errors.Wrapf(err, "read answer, %d bytes of %d had arrived", len(body), answer.ContentLength)
@@ -208,11 +209,10 @@
 	return body, answer.StatusCode, nil
 }
 
-// dropAfterTimeout replaces the pool whose call ran out of time. Open connections can
-// go silent for good while new ones work; each call over such a connection would end
-// in a timeout, one connection of the pool after the other. Replacing the whole pool
-// makes the next call dial anew. Calls that still run over the old pool finish there.
-func (c *Client) dropAfterTimeout(ctx context.Context, pool *http.Client) {
+// replacePoolAfterTimeout replaces the pool if its call timed out. Open connections can stop
+// delivering bytes for good while new ones work, and a call would have to time out on each
+// of them. With a new pool the next call dials. Calls in progress finish on the old pool.
+func (c *Client) replacePoolAfterTimeout(ctx context.Context, pool *http.Client) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
 	}
--- a/peers/httpjson/httpjson_test.go
+++ b/peers/httpjson/httpjson_test.go
@@ -18,10 +18,10 @@
 
 var post = Request{Method: http.MethodPost, Path: "/commit", JSON: "body"}
 
-// Symptom: a refusal is taken for proof that nothing was executed. Sequence: the call
-// is sent; the answer below comes back. Cause: a status alone may stem from a box
-// between the two ends, so only the service's own code that fits the status counts.
-func TestWhatAnAnswerProves(t *testing.T) {
+// Guards against taking an error status alone as proof that the call was not executed. The
+// status may come from an intermediary, so only a code of the service that matches the
+// status counts.
+func TestOnlyMatchingCodeProvesNotApplied(t *testing.T) {
 	cases := []struct {
 		name, body string
 		status     int
@@ -56,9 +56,8 @@
 	}
 }
 
-// Symptom: the answer is no JSON, is cut short or is too large. Sequence: the call runs;
-// its answer is damaged. Cause: the connection broke. The call counts as sent.
-func TestDamagedAnswers(t *testing.T) {
+// Checks that a call whose answer is not JSON, is cut short or is too large counts as sent.
+func TestDamagedAnswersCountAsSent(t *testing.T) {
 	for _, body := range []string{"{", "", `"longer than the bound"`} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", fmt.Sprint(max(len(body), 1)))
@@ -71,8 +70,7 @@
 	}
 }
 
-// Symptom: calls fail at once. Sequence: the service's process is gone; a client dials.
-// Cause: the dial is refused, so no byte was sent.
+// Checks that a call counts as not sent when the dial is refused.
 func TestRefusedDialIsNotSent(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
@@ -80,19 +78,19 @@
 	require.True(t, AsFailure(err).NotApplied())
 }
 
-// Symptom: a commit runs twice, or runs and its client reads "connection refused".
-// Sequence: a call goes out on a kept connection; the service executes it and closes
-// the connection without an answer; in the second case it also stops listening. Cause:
-// a transport that sends the call once more by itself, and reports the second try only.
-func TestBrokenKeptConnectionIsNotResent(t *testing.T) {
-	for _, stops := range []bool{false, true} {
+// Guards against a transport that resends a call by itself: the service executes a call on
+// a pooled connection and closes the connection without an answer. A resend would execute
+// the call twice, or, if the service has also stopped listening, return "connection
+// refused" for a call that was executed.
+func TestCallOnBrokenPooledConnectionIsNotResent(t *testing.T) {
+	for _, stopsListening := range []bool{false, true} {
 		var calls atomic.Int32
 		server := httptest.NewUnstartedServer(nil)
 		server.Config.Handler = http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			if calls.Add(1) == 1 {
 				return
 			}
-			if stops {
+			if stopsListening {
 				_ = server.Listener.Close()
 			}
 			panic(http.ErrAbortHandler)
@@ -108,9 +106,9 @@
 	}
 }
 
-// Symptom: every call ends in a timeout although the service is well. Sequence: several
-// connections are pooled; all go silent; one call times out; the next must succeed.
-// Cause: a device between the two ends has lost track of the connections.
+// Guards against a series of timeouts although the service works: an intermediary drops the
+// state of all pooled connections, so that no more bytes arrive over them. After the first
+// timeout the next call must succeed.
 func TestTimeoutReplacesSilentConnections(t *testing.T) {
 	const pooled = 3
 	server := httptest.NewUnstartedServer(nil)
@@ -143,9 +141,9 @@
 	require.NoError(t, err)
 }
 
-// Guards against answers that take longer than the timeout being cut off however they progress, and
-// against waiting for one that no longer does.
-func TestAnswersAreBoundedByTheirPauses(t *testing.T) {
+// Guards against cutting off answers that take longer than the timeout but progress, and
+// against waiting for an answer that has stalled.
+func TestTimeoutBoundsPausesInAnswers(t *testing.T) {
 	const timeout = 800 * time.Millisecond
 	parts := 12
 	stalls := make(chan struct{})
@@ -171,8 +169,8 @@
 	require.True(t, AsFailure(err).Sent)
 }
 
-// Guards against large requests being cut off while they go out.
-func TestRequestsAreBoundedByTheirPauses(t *testing.T) {
+// Guards against cutting off large requests that progress.
+func TestTimeoutBoundsPausesInRequests(t *testing.T) {
 	const timeout = time.Second
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		part := make([]byte, 1<<20)
@@ -188,7 +186,7 @@
 	require.NoError(t, err)
 }
 
-// Guards against a call that the service holds back on purpose counting as stalled.
+// Guards against treating a call that the service holds open on purpose as stalled.
 func TestWaitIsAddedToTheTimeout(t *testing.T) {
 	const timeout = 500 * time.Millisecond
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(2 * timeout) }))
@@ -202,7 +200,7 @@
 	require.NoError(t, err)
 }
 
-// Guards against a large answer counting as stalled while one read waits to fill a large buffer.
+// Guards against treating a large answer as stalled while one read fills a large buffer.
 func TestLargeAnswersInOneChunkDoNotStall(t *testing.T) {
 	const size, bytesPerSecond = 3 << 20, 2 << 20
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/peers/httpjson/progress.go
+++ b/peers/httpjson/progress.go
@@ -8,63 +8,64 @@
 	"time"
 )
 
-// ErrStalled means that a call made no progress for as long as it may. It is a
+// ErrStalled means that a call transferred no bytes within its timeout. It wraps
 // context.DeadlineExceeded.
 var ErrStalled = fmt.Errorf("nothing has passed in time: %w", context.DeadlineExceeded)
 
-// progress ends a call in which nothing passes. A bound on the whole call would cut off each try
-// of an answer that takes longer to transfer, however often it is made again.
-type progress struct {
+// progressTimer cancels a call that transfers no bytes for a time. A limit on the whole call
+// would cut off every retry of a transfer that takes longer than the limit.
+type progressTimer struct {
 	cancel context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// bound is the time in which something must pass.
-	bound time.Duration
+	// timeout is the maximum time without progress.
+	timeout time.Duration
 }
 
-// watch returns a context that ends with ErrStalled once nothing has passed for a bound.
-func watch(ctx context.Context, bound time.Duration) (context.Context, *progress) {
+// withProgressTimer returns a context that ends with ErrStalled after timeout without
+// progress.
+func withProgressTimer(ctx context.Context, timeout time.Duration) (context.Context, *progressTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	p := &progress{cancel: cancel, bound: bound}
-	p.timer = time.AfterFunc(bound, func() { cancel(ErrStalled) })
+	p := &progressTimer{cancel: cancel, timeout: timeout}
+	p.timer = time.AfterFunc(timeout, func() { cancel(ErrStalled) })
 	return ctx, p
 }
 
-// passed notes that something has passed.
-func (p *progress) passed() {
+// reset restarts the timer after bytes were transferred.
+func (p *progressTimer) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.timer.Reset(p.bound)
+	p.timer.Reset(p.timeout)
 }
 
-// within changes the bound for what follows.
-func (p *progress) within(bound time.Duration) {
+// setTimeout changes the timeout and restarts the timer.
+func (p *progressTimer) setTimeout(timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.bound = bound
-	p.timer.Reset(bound)
+	p.timeout = timeout
+	p.timer.Reset(timeout)
 }
 
-func (p *progress) end() {
+func (p *progressTimer) stop() {
 	p.timer.Stop()
 	p.cancel(nil)
 }
 
-// progressReader notes each read of a body.
+// progressReader calls onRead for each read that returns bytes.
 type progressReader struct {
 	io.Reader
-	passed func()
+	onRead func()
 }
 
-// readBytes bounds one read. Reads of a body in chunks return once the buffer is full: with one of
-// a megabyte nothing would be noted for as long as a megabyte takes.
-const readBytes = 16 << 10
+// maxReadBytes limits one read. A read of a chunked body returns when the buffer is full, so
+// with a buffer of a megabyte no progress would be recorded while a megabyte is transferred.
+const maxReadBytes = 16 << 10
 
 func (r progressReader) Read(b []byte) (int, error) {
-	n, err := r.Reader.Read(b[:min(len(b), readBytes)])
+	n, err := r.Reader.Read(b[:min(len(b), maxReadBytes)])
 	if n > 0 {
-		r.passed()
+		r.onRead()
 	}
 	return n, err
 }
