--- a/peers/objects/http.go
+++ b/peers/objects/http.go
@@ -10,11 +10,11 @@
 	"acaciacleat.example/peers/httpjson"
 )
 
-// ParamName is the query parameter that names the object. The name is no part of the
-// path, because servers rewrite paths that contain "//" or "..".
+// ParamName is the query parameter with the object's name. The name is not in the path,
+// because servers rewrite paths that contain "//" or "..".
 const ParamName = "name"
 
-// HTTP is the object store as an HTTP client sees it. Bodies are the objects' bytes.
+// HTTP is an HTTP client of the object store. Bodies are the objects' bytes.
 type HTTP struct {
 	client *httpjson.Client
 }
--- a/peers/objects/objects.go
+++ b/peers/objects/objects.go
@@ -1,4 +1,5 @@
-// Package objects is the system's view of the platform's object store.
+// Package objects defines the interface of the platform's object store and implements a
+// client over HTTP.
 package objects
 
 import (
@@ -13,11 +14,11 @@
 	ErrUnavailable = errors.New("objects: store unavailable")
 )
 
-// Store is the object store. Put replaces a whole object; a reader sees the old or the
-// new one, never a mixture. Implementations are safe for concurrent use.
+// Store is the object store. Put replaces an object atomically: a reader sees either the
+// old or the new object. Implementations are safe for concurrent use.
 type Store interface {
 	Get(ctx context.Context, name string) ([]byte, error)
-	// Put may have taken effect even when it returns ErrUnavailable; it is idempotent.
+	// Put is idempotent. It may have taken effect even if it returns ErrUnavailable.
 	Put(ctx context.Context, name string, data []byte) error
 	Delete(ctx context.Context, name string) error
 }
