--- a/peers/operator/client.go
+++ b/peers/operator/client.go
@@ -18,31 +18,31 @@
 	"github.com/pkg/errors"
 )
 
-// clientTimeout bounds one call; a put alone may take 10 s.
+// clientTimeout limits one call. The server may take 10 s for a put.
 const clientTimeout = 30 * time.Second
 
-// Client calls one entry's operators' address. It is safe for concurrent use.
+// Client calls the operators' interface of one entry. It is safe for concurrent use.
 type Client struct {
-	base string
-	http *http.Client
+	base       string
+	httpClient *http.Client
 }
 
 // NewClient returns a client of the entry at base, such as "http://127.0.0.1:8081".
-// caFile names certificates to trust beside the system's; it may be empty.
+// caFile is a file of CA certificates to trust in addition to the system's; it may be empty.
 func NewClient(base, caFile string) (*Client, error) {
 	transport := &http.Transport{}
 	if caFile != "" {
-		roots, err := rootsWith(caFile)
+		roots, err := certPoolWith(caFile)
 		if err != nil {
 			return nil, err
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS12}
 	}
 	client := &http.Client{Transport: transport, Timeout: clientTimeout}
-	return &Client{base: strings.TrimRight(base, "/"), http: client}, nil
+	return &Client{base: strings.TrimRight(base, "/"), httpClient: client}, nil
 }
 
-func rootsWith(caFile string) (*x509.CertPool, error) {
+func certPoolWith(caFile string) (*x509.CertPool, error) {
 	roots, err := x509.SystemCertPool()
 	if err != nil {
 		roots = x509.NewCertPool()
@@ -64,8 +64,7 @@
 	return list, err
 }
 
-// Get returns a service's document with its ETag. It returns nil and no error when there
-// is none.
+// Get returns a service's document and its ETag, or nil and no error if there is none.
 func (c *Client) Get(ctx context.Context, service string) (*document.Service, string, error) {
 	found := &document.Service{}
 	tag, err := c.get(ctx, documentPath(service), found)
@@ -79,8 +78,8 @@
 	return found, tag, nil
 }
 
-// Put stores a document in place of the one with the given ETag; an empty one demands
-// that there is none yet.
+// Put replaces the document that has the given ETag. With an empty tag it creates the
+// document and fails if there is one already.
 func (c *Client) Put(ctx context.Context, service *document.Service, tag string) (*PutAnswer, error) {
 	text, err := json.Marshal(service)
 	if err != nil {
@@ -101,14 +100,14 @@
 	return answer, err
 }
 
-// Status tells where a service's document is in force.
+// Status returns the rollout status of a service's document.
 func (c *Client) Status(ctx context.Context, service string) (*Status, error) {
 	status := &Status{}
 	_, err := c.get(ctx, documentPath(service)+SuffixStatus, status)
 	return status, err
 }
 
-// History returns the last changes of a service's document, newest first.
+// History returns the latest changes of a service's document, newest first.
 func (c *Client) History(ctx context.Context, service string, limit int) ([]Change, error) {
 	var changes []Change
 	path := documentPath(service) + SuffixHistory + "?" + ParamLimit + "=" + strconv.Itoa(limit)
@@ -116,14 +115,15 @@
 	return changes, err
 }
 
-// Explain returns what was decided about a request, as JSON.
+// Explain returns the decisions about a request as JSON.
 func (c *Client) Explain(ctx context.Context, requestID string) (json.RawMessage, error) {
 	var explanation json.RawMessage
 	_, err := c.get(ctx, PathRequests+"/"+url.PathEscape(requestID), &explanation)
 	return explanation, err
 }
 
-// ExplainService returns who places a service's models, what was done and why, as JSON.
+// ExplainService returns, as JSON, the holder of a service's placement, the placement's
+// actions and the reasons for them.
 func (c *Client) ExplainService(ctx context.Context, service string) (json.RawMessage, error) {
 	var explanation json.RawMessage
 	_, err := c.get(ctx, PathServices+"/"+url.PathEscape(service)+"/placement", &explanation)
@@ -145,9 +145,10 @@
 	return request, errors.Wrap(err, "build request")
 }
 
-// do decodes a 2xx answer into out; any other becomes a *Problem where it is one.
+// do sends a request and decodes a 2xx answer into out. Any other answer becomes an error,
+// a *Problem if its body holds one.
 func (c *Client) do(request *http.Request, out any) (tag string, err error) {
-	answer, err := c.http.Do(request)
+	answer, err := c.httpClient.Do(request)
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
--- a/peers/operator/operator.go
+++ b/peers/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the HTTP interface towards operators, as both of its ends see it:
-// the paths, the answers, and a client for the command line.
+// Package operator defines the HTTP interface for operators, shared by server and client:
+// its paths and answers, and a client for the command line.
 package operator
 
 import (
@@ -17,12 +17,12 @@
 	PathServices  = "/v1/admin/services"
 	SuffixStatus  = "/status"
 	SuffixHistory = "/history"
-	// ParamLimit bounds the changes that a history has.
+	// ParamLimit is the query parameter for the maximum number of changes in a history.
 	ParamLimit = "limit"
 )
 
-// Headers that name the document on which a put is based. A put with neither makes a new
-// document and changes no old one.
+// Headers with the ETag of the document on which a put is based. A put without If-Match and
+// If-None-Match creates a document and never replaces one.
 const (
 	HeaderETag        = "ETag"
 	HeaderIfMatch     = "If-Match"
@@ -31,18 +31,19 @@
 	AnyTag = "*"
 )
 
-// MaxDocumentBytes bounds a document's text: 35,000 organisations have about 10 MB.
+// MaxDocumentBytes limits a document's text. A document with 35,000 organisations has about
+// 10 MB.
 const MaxDocumentBytes = 64 << 20
 
-// Outcome says what became of a put.
+// Outcome is the outcome of a put.
 type Outcome string
 
 // The outcomes.
 const (
-	// Accepted means that every live node goes by the document: HTTP status 200.
+	// Accepted means that every live node applies the document; HTTP status 200.
 	Accepted Outcome = "accepted"
-	// Recorded means that the document is stored for good but not yet known to be in
-	// force everywhere: HTTP status 202.
+	// Recorded means that the document is stored durably, but not yet known to be applied
+	// by every live node; HTTP status 202.
 	Recorded Outcome = "recorded"
 )
 
@@ -51,17 +52,18 @@
 	Outcome  Outcome           `json:"outcome"`
 	Revision document.Revision `json:"revision"`
 	ETag     string            `json:"etag"`
-	// Missing names what holds the document back.
+	// Missing lists what the rollout of the document still waits for.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Status tells where a document is in force.
+// Status is the rollout status of a document.
 type Status struct {
 	Service string `json:"service"`
 	ETag    string `json:"etag"`
-	// InForce is the revision that the entry asked goes by.
+	// InForce is the revision that the queried entry applies.
 	InForce document.Revision `json:"revision_in_force"`
-	// Missing names what holds the document back; empty when it is in force everywhere.
+	// Missing lists what the rollout still waits for; empty if every live node applies the
+	// document.
 	Missing []string `json:"missing"`
 }
 
@@ -81,8 +83,8 @@
 	Diff     []document.Change `json:"diff"`
 }
 
-// Problem is a failure. Faults are set for an invalid document, Conflict for one that
-// changed since it was read.
+// Problem is an error answer. Faults are set for an invalid document, Conflict for a document
+// that has changed since it was read.
 type Problem struct {
 	caller.Problem
 	Faults   []document.Fault    `json:"faults,omitempty"`
