--- a/peers/pause/pause.go
+++ b/peers/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time or the end of a context.
+// Package pause implements a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For returns after d, or sooner when ctx ends.
+// For returns after d, or earlier when ctx ends.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
