--- a/peers/reload/certificate.go
+++ b/peers/reload/certificate.go
@@ -7,13 +7,13 @@
 	"github.com/pkg/errors"
 )
 
-// Certificate is a TLS certificate that can be replaced while it is served.
+// Certificate is a TLS certificate that can be replaced while a server uses it.
 type Certificate struct {
 	*Files
 	pair atomic.Pointer[tls.Certificate]
 }
 
-// NewCertificate loads a certificate and its private key, both in PEM.
+// NewCertificate loads a certificate and its private key from PEM files.
 func NewCertificate(certFile, keyFile string) (*Certificate, error) {
 	c := &Certificate{}
 	load := func() error {
@@ -29,8 +29,8 @@
 	return c, err
 }
 
-// Config returns the server's configuration, which serves whatever was loaded last to
-// each new connection.
+// Config returns a server configuration that uses the certificate loaded last for each new
+// connection.
 func (c *Certificate) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
--- a/peers/reload/reload.go
+++ b/peers/reload/reload.go
@@ -1,5 +1,5 @@
-// Package reload reads small files again when they change: link keys and certificates
-// are replaced on VMs whose processes must not restart for it.
+// Package reload reloads small files when they change, so that link keys and certificates
+// can be replaced without a restart of the process.
 package reload
 
 import (
@@ -11,46 +11,48 @@
 	"github.com/rs/zerolog"
 )
 
-// Every is how often files are looked at.
-const Every = time.Second
+// PollInterval is the interval between checks of the files.
+const PollInterval = time.Second
 
-// Files is a set of files that belong together. It is used by one goroutine.
+// Files is a set of files that are loaded together. It must not be used by several goroutines
+// at a time.
 //
-// It compares contents, for a modification time can stay the same when a file is written
-// twice within the clock's grain or replaced by one of the same age.
+// It compares contents, since a modification time can stay the same when a file is written
+// twice within the clock's resolution or replaced by a file of the same age.
 type Files struct {
-	names []string
-	load  func() error
-	last  [][]byte
+	names        []string
+	load         func() error
+	lastContents [][]byte
 }
 
-// New returns Files after a first load. load reads the files and puts them to use; when
-// it fails it leaves in use what was.
+// New returns Files after a first load. load reads and applies the files; if it fails, it
+// must keep the previous contents in use.
 func New(load func() error, names ...string) (*Files, error) {
 	f := &Files{names: names, load: load}
-	f.last = f.read()
+	f.lastContents = f.read()
 	if err := load(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// Check loads the files if one has changed since the last Check. Files that could not be
-// loaded are tried again only after the next change: two files that belong together are
-// rarely written at the same moment.
+// Check loads the files if one has changed since the last Check. After a failed load it
+// loads the files again only after the next change. A load may fail because one of two files
+// that belong together was replaced before the other; the write of the other file is then
+// the next change.
 func (f *Files) Check() (changed bool, err error) {
 	now := f.read()
 	for i := range now {
-		changed = changed || !bytes.Equal(now[i], f.last[i])
+		changed = changed || !bytes.Equal(now[i], f.lastContents[i])
 	}
 	if !changed {
 		return false, nil
 	}
-	f.last = now
+	f.lastContents = now
 	return true, f.load()
 }
 
-// read returns the contents; a file that can't be read counts as empty.
+// read returns the contents of the files; a file that can't be read counts as empty.
 func (f *Files) read() [][]byte {
 	contents := make([][]byte, len(f.names))
 	for i, name := range f.names {
@@ -59,12 +61,13 @@
 	return contents
 }
 
-// Watch checks the files until ctx ends and logs what happens; what names them.
+// Watch checks the files until ctx ends and logs reloads and failures. what is the name of
+// the files in the log.
 func (f *Files) Watch(ctx context.Context, what string, log zerolog.Logger) {
 	if len(f.names) == 0 {
 		return
 	}
-	ticker := time.NewTicker(Every)
+	ticker := time.NewTicker(PollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -77,7 +80,7 @@
 		case err != nil:
 			log.Error().Err(err).Msgf("changed %s could not be read; the last one stays in use", what)
 		case changed:
-			log.Info().Msgf("%s read again after a change", what)
+			log.Info().Msgf("%s reloaded after a change", what)
 		}
 	}
 }
--- a/peers/reload/reload_test.go
+++ b/peers/reload/reload_test.go
@@ -36,11 +36,10 @@
 	return pair.Leaf.SerialNumber.Int64()
 }
 
-// Symptom: after a certificate was renewed, every new connection fails.
-// Sequence: the certificate is written, a look falls between it and the key, the key
-// follows.
-// Cause: a pair that doesn't fit together was put to use, or was not tried again.
-func TestHalfWrittenCertificateKeepsTheOldOne(t *testing.T) {
+// Guards against failing connections after the renewal of a certificate: a check between the
+// writes of the certificate and the key must keep the previous pair, and the next check must
+// load the new pair.
+func TestHalfWrittenCertificateKeepsPreviousCertificate(t *testing.T) {
 	dir := t.TempDir()
 	certFile, keyFile := filepath.Join(dir, "cert"), filepath.Join(dir, "key")
 	writePair(t, certFile, keyFile, 1)
