--- a/peers/service/answer.go
+++ b/peers/service/answer.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// joined is a failure that matches its kind and its cause.
-type joined struct {
+// kindError is an error that wraps a kind, such as ErrOutcome, and its cause.
+type kindError struct {
 	kind  error
 	cause error
 }
 
 // Error implements error.
-func (j *joined) Error() string { return j.kind.Error() + ": " + j.cause.Error() }
+func (e *kindError) Error() string { return e.kind.Error() + ": " + e.cause.Error() }
 
 // Unwrap lets errors.Is and errors.As find the kind and the cause.
-func (j *joined) Unwrap() []error { return []error{j.kind, j.cause} }
+func (e *kindError) Unwrap() []error { return []error{e.kind, e.cause} }
 
-func failure(kind, cause error) error { return &joined{kind: kind, cause: cause} }
+func newFailure(kind, cause error) error { return &kindError{kind: kind, cause: cause} }
 
-// answerBody tells a broken answer from a whole one: a reader that took the break for the
-// end would pass on half an answer as the whole.
+// answerBody returns ErrOutcome when an answer breaks off, so that no reader takes a part of
+// the answer for the whole.
 type answerBody struct {
 	io.ReadCloser
 	ctx    context.Context
@@ -38,30 +38,31 @@
 	if cause := b.ctx.Err(); cause != nil {
 		err = cause
 	}
-	return n, failure(ErrOutcome, err)
+	return n, newFailure(ErrOutcome, err)
 }
 
-// Close implements io.Closer and ends a call whose answer was not read to its end.
+// Close implements io.Closer. It ends a call whose answer was not read to its end.
 func (b *answerBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel()
 	return err
 }
 
-// hopHeaders concern one connection only and are not passed on.
-var hopHeaders = [...]string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = [...]string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopHeaders takes out what concerns one connection only.
+// RemoveHopHeaders removes the headers that apply to a single connection, including those
+// that the Connection header names.
 func RemoveHopHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for _, name := range strings.Split(line, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/peers/service/http.go
+++ b/peers/service/http.go
@@ -19,22 +19,23 @@
 const (
 	DefaultDialTimeout = time.Second
 	DefaultHealthPath  = "/healthz"
-	// DefaultHealthTimeout bounds a health check.
+	// DefaultHealthTimeout limits a health check.
 	DefaultHealthTimeout = 2 * time.Second
-	// DefaultIdleTimeout and DefaultIdleConns suit the one agent beside a service.
+	// DefaultIdleTimeout and DefaultIdleConns suit the single agent beside a service.
 	DefaultIdleTimeout = time.Minute
 	DefaultIdleConns   = 8
 )
 
-// HTTPOptions tune an HTTP service client. Zero fields take the defaults.
+// HTTPOptions are the options of an HTTP service client. Zero fields take the defaults.
 type HTTPOptions struct {
 	DialTimeout   time.Duration
 	HealthTimeout time.Duration
 	HealthPath    string
-	// IdleTimeout is how long an unused connection is kept, and IdleConns how many are.
+	// IdleTimeout limits the time for which an unused connection is kept, and IdleConns the
+	// number of unused connections.
 	IdleTimeout time.Duration
 	IdleConns   int
-	// Dial replaces the dialler in tests.
+	// Dial replaces the dialer in tests.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -60,25 +61,25 @@
 	return o
 }
 
-// HTTP is a Service behind HTTP/1.1.
+// HTTP is a client of a service over HTTP/1.1.
 //
-// It never sends a call twice. net/http's transport does so by itself when a kept-alive
+// It never sends a call twice. net/http's transport resends a request when a kept-alive
 // connection breaks before the answer and the request looks idempotent: its method is
 // GET, HEAD, OPTIONS or TRACE, or it has an Idempotency-Key or X-Idempotency-Key
-// header. The service may have run the first copy: one would notice two runs of one
-// call, and only sometimes. Ways weighed:
+// header. As the service may have run the first copy, a call could then run twice. There
+// are three ways to prevent the resend:
 //
-//   - A body that can't be rewound: the transport repeats only requests without a body or
-//     with GetBody. It works on every connection, but an empty body of a POST must then be
-//     sent chunked, which some services refuse.
-//   - A fresh connection for each call: the transport repeats only on reused connections.
-//     It costs a dial, and it also takes away a false doubt: a service that closes an idle
-//     connection just as a call is written to it leaves open whether the call ran.
-//   - Dropping the headers: callers' services need them, and a GET is repeated anyway.
+//   - A body that can't be rewound: the transport resends only requests without a body or
+//     with GetBody. This works on every connection, but the empty body of a POST must then
+//     be sent chunked, which some services refuse.
+//   - A new connection for each call: the transport resends only on reused connections.
+//     This costs a dial, but also avoids unknown outcomes: when a service closes an idle
+//     connection while a call is written to it, it is unknown whether the call ran.
+//   - Removing the headers: the services need them, and a GET is resent anyway.
 //
-// Calls other than GET and HEAD use a fresh connection; GET and HEAD keep the pool and
-// get a body that can't be rewound, which the transport finds empty and leaves out.
-// Redirects are handed back, as following one would be a second call.
+// Calls other than GET and HEAD use a new connection by default. GET and HEAD use pooled
+// connections and a body that can't be rewound, which the transport omits if it is empty.
+// Redirects are returned to the caller, as following one would be a second call.
 type HTTP struct {
 	base    string
 	options HTTPOptions
@@ -107,17 +108,18 @@
 	}
 }
 
-// CloseIdle closes pooled connections that no call uses.
+// CloseIdle closes the idle pooled connections.
 func (h *HTTP) CloseIdle() { h.pooled.CloseIdleConnections() }
 
-// Do implements Service. An answer with any status, also an error or a redirect, is an
-// answer. Body returns ErrOutcome when it breaks off. TimeLeft includes reading Body.
+// Do implements Service. It returns answers of any status, errors and redirects included,
+// without an error. Reading Body returns ErrOutcome when the answer breaks off. TimeLeft
+// includes the time to read Body.
 func (h *HTTP) Do(ctx context.Context, call Call) (*Answer, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, failure(ErrNotSent, err)
+		return nil, newFailure(ErrNotSent, err)
 	}
 	if call.TimeLeft <= 0 {
-		return nil, failure(ErrNotSent, context.DeadlineExceeded)
+		return nil, newFailure(ErrNotSent, context.DeadlineExceeded)
 	}
 	ctx, cancel := context.WithTimeout(ctx, call.TimeLeft)
 	answer, err := h.do(ctx, call)
@@ -134,7 +136,7 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	r, err := h.request(httptrace.WithClientTrace(ctx, trace), call)
 	if err != nil {
-		return nil, failure(ErrNotSent, err)
+		return nil, newFailure(ErrNotSent, err)
 	}
 	response, err := h.transport(call).RoundTrip(r)
 	if err != nil {
@@ -145,13 +147,13 @@
 }
 
 func (h *HTTP) transport(call Call) *http.Transport {
-	if call.Reuse == ReuseAlways || call.Reuse == ReuseByMethod && isRead(call.Method) {
+	if call.Reuse == ReuseAlways || call.Reuse == ReuseByMethod && isReadMethod(call.Method) {
 		return h.pooled
 	}
 	return h.fresh
 }
 
-func isRead(method string) bool { return method == http.MethodGet || method == http.MethodHead }
+func isReadMethod(method string) bool { return method == http.MethodGet || method == http.MethodHead }
 
 func (h *HTTP) request(ctx context.Context, call Call) (*http.Request, error) {
 	if !strings.HasPrefix(call.Path, "/") {
@@ -162,46 +164,46 @@
 		return nil, errors.WithStack(err)
 	}
 	r.Host = call.Host
-	keepPath(r.URL, call.Path)
+	setRawPath(r.URL, call.Path)
 	if call.Header != nil {
 		r.Header = call.Header.Clone()
 	}
 	RemoveHopHeaders(r.Header)
-	if len(call.Body) > 0 || isRead(call.Method) && call.Reuse != ReuseNever {
-		r.Body = onceBody{bytes.NewReader(call.Body)}
+	if len(call.Body) > 0 || isReadMethod(call.Method) && call.Reuse != ReuseNever {
+		r.Body = nonRewindableBody{bytes.NewReader(call.Body)}
 		r.ContentLength = int64(len(call.Body))
 	}
 	r.GetBody = nil
 	return r, nil
 }
 
-// keepPath makes a path and query go out as they came. Decoding and encoding them again
+// setRawPath sends the path and query exactly as received. Decoding and encoding them again
 // could change them, and the service would run another call than the caller's.
-func keepPath(u *url.URL, path string) {
+func setRawPath(u *url.URL, path string) {
 	if strings.HasPrefix(path, "//") {
-		return // An opaque part that begins so would be taken for a host.
+		return // net/http would take such an opaque part for a host.
 	}
 	u.Opaque = path
 	u.RawQuery = ""
 	u.ForceQuery = false
 }
 
-// onceBody is a body that the transport can't rewind; see HTTP.
-type onceBody struct{ io.Reader }
+// nonRewindableBody is a body that the transport can't rewind and resend; see HTTP.
+type nonRewindableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonRewindableBody) Close() error { return nil }
 
-// transportFailure maps an error of the transport: before a connection was had, no byte
-// was sent; after it the service may have run the call.
+// transportFailure classifies an error of the transport: without a connection no byte was
+// sent; with one the service may have run the call.
 func transportFailure(ctx context.Context, connected bool, err error) error {
 	if cause := ctx.Err(); cause != nil {
 		err = cause
 	}
 	if connected {
-		return failure(ErrOutcome, err)
+		return newFailure(ErrOutcome, err)
 	}
-	return failure(ErrNotSent, err)
+	return newFailure(ErrNotSent, err)
 }
 
 // Healthy implements Service.
--- a/peers/service/http_test.go
+++ b/peers/service/http_test.go
@@ -71,8 +71,8 @@
 	require.Error(t, client.Healthy(t.Context()))
 }
 
-// plainDo calls through a transport as net/http sets it up.
-func plainDo(t *testing.T, client *http.Client, url string, c service.Call) error {
+// doWithTransport sends a call with a plain net/http client.
+func doWithTransport(t *testing.T, client *http.Client, url string, c service.Call) error {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), c.Method, url+c.Path, strings.NewReader(string(c.Body)))
 	require.NoError(t, err)
@@ -86,12 +86,10 @@
 	return err
 }
 
-// Symptom: stores issue two pumps on one job card, though the caller and the agent each
-// sent the call once.
-// Sequence: a call ends and leaves a kept-alive connection; the next call is written to
-// it and runs; the service closes the connection without an answer.
-// Cause: net/http's transport takes a GET, or a call with an Idempotency-Key, for
-// repeatable and sends it again on a new connection.
+// Guards against a call that runs twice although it was sent once: the service runs a call
+// that arrived over a kept-alive connection and closes the connection without an answer.
+// net/http's transport would treat a GET, or a call with an Idempotency-Key, as repeatable
+// and resend it over a new connection.
 func TestBrokenKeptAliveConnectionRunsCallOnce(t *testing.T) {
 	for _, c := range []struct{ method, body string }{
 		{"POST", ""}, {"POST", `{"part":"HP-110"}`}, {"PUT", "x"}, {"DELETE", ""}, {"GET", ""}, {"GET", "x"}, {"HEAD", ""},
@@ -103,10 +101,10 @@
 
 			s, url := start(t)
 			s.SetFaults(broken)
-			usual := &http.Client{Transport: &http.Transport{}}
-			require.NoError(t, plainDo(t, usual, url, warm))
-			require.NoError(t, plainDo(t, usual, url, next))
-			require.Equal(t, 2, s.Stats().RunsByTag[tag], "the fault must provoke the resend")
+			defaultClient := &http.Client{Transport: &http.Transport{}}
+			require.NoError(t, doWithTransport(t, defaultClient, url, warm))
+			require.NoError(t, doWithTransport(t, defaultClient, url, next))
+			require.Equal(t, 2, s.Stats().RunsByTag[tag], "the fault must make net/http resend the call")
 
 			s, url = start(t)
 			s.SetFaults(broken)
@@ -148,14 +146,14 @@
 	}
 }
 
-func TestNotSentIsSaidWhereNoByteLeft(t *testing.T) {
+func TestErrNotSentWhenNoByteWasSent(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
 	client := service.NewHTTP(server.URL)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	spent := newCall("POST", "/jobs", "")
-	spent.TimeLeft = 0
+	noTime := newCall("POST", "/jobs", "")
+	noTime.TimeLeft = 0
 	badPath := newCall("POST", "jobs", "")
 	blocked := service.NewHTTPWith(server.URL, service.HTTPOptions{
 		Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -166,23 +164,22 @@
 	short := newCall("POST", "/jobs", "")
 	short.TimeLeft = time.Millisecond
 	for name, err := range map[string]error{
-		"dial refused":   second(client.Do(t.Context(), newCall("POST", "/jobs", "x"))),
-		"dial too slow":  second(blocked.Do(t.Context(), short)),
-		"context ended":  second(client.Do(ended, newCall("POST", "/jobs", "x"))),
-		"no time left":   second(client.Do(t.Context(), spent)),
-		"malformed path": second(client.Do(t.Context(), badPath)),
+		"dial refused":   errorOf(client.Do(t.Context(), newCall("POST", "/jobs", "x"))),
+		"dial too slow":  errorOf(blocked.Do(t.Context(), short)),
+		"context ended":  errorOf(client.Do(ended, newCall("POST", "/jobs", "x"))),
+		"no time left":   errorOf(client.Do(t.Context(), noTime)),
+		"malformed path": errorOf(client.Do(t.Context(), badPath)),
 	} {
 		require.ErrorIs(t, err, service.ErrNotSent, name)
 		require.NotErrorIs(t, err, service.ErrOutcome, name)
 	}
 }
 
-func second(_ *service.Answer, err error) error { return err }
+func errorOf(_ *service.Answer, err error) error { return err }
 
-// Symptom: a caller takes half a route list for the whole.
-// Sequence: the service sends the head and a part of the body and dies.
-// Cause: a break that reads like the end of the body.
-func TestBrokenBodyIsNoWholeAnswer(t *testing.T) {
+// Guards against a partial body that reads like a complete one: the service sends the head
+// and a part of the body and then closes the connection.
+func TestBrokenBodyReturnsErrOutcome(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "half")
 		_ = http.NewResponseController(w).Flush()
--- a/peers/service/service.go
+++ b/peers/service/service.go
@@ -1,6 +1,6 @@
-// Package service is the system's view of an upstream that answers HTTP requests as they
-// come. The agent beside a plain service talks to it, and entries to upstreams without an
-// agent. The client never sends a call twice by itself.
+// Package service defines the interface of a plain service, an upstream that answers HTTP
+// requests, and implements a client over HTTP. The agent beside a plain service uses it, and
+// entries use it for upstreams without an agent. The client never resends a call by itself.
 package service
 
 import (
@@ -14,33 +14,34 @@
 
 // Failures of a Service.
 var (
-	// ErrNotSent means that it is proved that no byte of the call reached the service.
+	// ErrNotSent means that certainly no byte of the call reached the service.
 	ErrNotSent = errors.New("service: call not sent")
-	// ErrOutcome means that the call was sent and no whole answer came: it may have run.
+	// ErrOutcome means that the call may have been sent but no complete answer arrived: it
+	// may have run.
 	ErrOutcome = errors.New("service: outcome unknown")
 )
 
 // Call is one call of a plain service.
 type Call struct {
 	Method string
-	// Path is the path below the service with its query, starting with '/'.
+	// Path is the path on the service, beginning with '/', and the query.
 	Path string
-	// Host is the name that the service is asked for; empty means its address.
+	// Host is the Host header; if empty, the service's address is used.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Reuse says whether the call may use a kept connection.
+	// Reuse selects whether the call may use a pooled connection.
 	Reuse Reuse
-	// TimeLeft is how long the answer may take.
+	// TimeLeft is the time to the deadline of the answer.
 	TimeLeft time.Duration
 }
 
-// Reuse says whether a call may use a connection that has served another.
+// Reuse selects whether a call may use a connection that has served another call.
 type Reuse uint8
 
-// The ways of reuse.
+// The values of Reuse.
 const (
-	// ReuseByMethod lets GET and HEAD use kept connections.
+	// ReuseByMethod lets GET and HEAD use pooled connections.
 	ReuseByMethod Reuse = iota
 	// ReuseAlways is for calls that may be repeated whatever their method.
 	ReuseAlways
