--- a/peers/settings/load.go
+++ b/peers/settings/load.go
@@ -15,13 +15,13 @@
 	"github.com/rs/zerolog"
 )
 
-// InvalidError lists all faults of one file.
+// InvalidError lists all faults of a settings file.
 type InvalidError struct {
 	File   string
 	Faults []Fault
 }
 
-// Error implements error; it has one line for each fault.
+// Error implements error. It returns one line for each fault.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Faults))
 	for i, fault := range e.Faults {
@@ -30,8 +30,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// ReadFile reads a settings file with the given parser. Its error is an *InvalidError
-// when the file could be read.
+// ReadFile reads a settings file and parses it with parse. If the file can be read but has
+// faults, the error is an *InvalidError.
 func ReadFile[T any](file string, parse func([]byte) (*T, []Fault)) (*T, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -44,11 +44,12 @@
 	return value, nil
 }
 
-// minKeyBytes is the least length of a link key: that of the hash that proves it.
+// minKeyBytes is the minimum length of a link key, which equals the length of the hash that
+// authenticates with it.
 const minKeyBytes = 32
 
-// Load returns the secret, or nil when none is named. Its errors name the place and
-// never the content.
+// Load returns the secret, or nil if neither field is set. Its errors name the file or the
+// variable and never contain the secret.
 func (s Secret) Load() ([]byte, error) {
 	switch {
 	case s.File != "":
@@ -56,22 +57,22 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "read secret")
 		}
-		return checkLength(data, "file "+s.File)
+		return checkKeyLength(data, "file "+s.File)
 	case s.Env != "":
-		return checkLength([]byte(os.Getenv(s.Env)), "environment variable "+s.Env)
+		return checkKeyLength([]byte(os.Getenv(s.Env)), "environment variable "+s.Env)
 	}
 	return nil, nil
 }
 
-func checkLength(data []byte, where string) ([]byte, error) {
+func checkKeyLength(data []byte, source string) ([]byte, error) {
 	data = bytes.TrimSpace(data)
 	if len(data) < minKeyBytes {
-		return nil, errors.Errorf("secret in %s has %d bytes, at least %d are needed", where, len(data), minKeyBytes)
+		return nil, errors.Errorf("secret in %s has %d bytes, at least %d are needed", source, len(data), minKeyBytes)
 	}
 	return data, nil
 }
 
-// LoadKeys returns both link keys; previous is nil when none is set.
+// LoadKeys returns both link keys; previous is nil if it is not set.
 func (l Link) LoadKeys() (current, previous []byte, err error) {
 	current, err = l.CurrentKey.Load()
 	if err != nil {
@@ -81,7 +82,7 @@
 	return current, previous, errors.WithMessage(err, "link.previousKey")
 }
 
-// KeyFiles returns the files that hold link keys.
+// KeyFiles returns the names of the files with the link keys.
 func (l Link) KeyFiles() []string {
 	var files []string
 	for _, secret := range []Secret{l.CurrentKey, l.PreviousKey} {
@@ -92,26 +93,26 @@
 	return files
 }
 
-// HTTPOptions returns the options of the clients of the platform's services.
+// HTTPOptions returns the options for the clients of the platform's services.
 func (p Platform) HTTPOptions() httpjson.Options {
 	return httpjson.Options{Timeout: Milliseconds(p.TimeoutMs)}
 }
 
-// OpenTable returns the table service as processes use it: lost answers are settled, and
-// an outage is not fed by retries.
+// OpenTable returns a client of the table service. It determines the outcome of calls whose
+// answer was lost, and a circuit breaker stops its calls during an outage.
 func (p Platform) OpenTable() table.Store {
 	http := table.NewHTTP(p.Table, p.HTTPOptions())
 	return table.NewSettled(table.NewBreaking(http, breaker.DefaultSettings))
 }
 
-// Milliseconds converts a setting to a duration.
+// Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// ZerologLevel returns the level for the logger.
+// ZerologLevel returns the level as the logger's type.
 func (l Log) ZerologLevel() zerolog.Level {
 	level, err := zerolog.ParseLevel(l.Level)
 	if err != nil {
-		return zerolog.InfoLevel // Parse admits no other names.
+		return zerolog.InfoLevel // Parse accepts only known names.
 	}
 	return level
 }
--- a/peers/settings/rotation_test.go
+++ b/peers/settings/rotation_test.go
@@ -10,24 +10,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-type ignore struct{}
+type ignoreHandler struct{}
 
-func (ignore) OnOpen(*link.Conn)                  {}
-func (ignore) OnMessage(*link.Conn, link.Message) {}
-func (ignore) OnClose(*link.Conn, error)          {}
+func (ignoreHandler) OnOpen(*link.Conn)                  {}
+func (ignoreHandler) OnMessage(*link.Conn, link.Message) {}
+func (ignoreHandler) OnClose(*link.Conn, error)          {}
 
 func startNode(t *testing.T, vm string, keys *link.Keys) *link.Node {
 	t.Helper()
-	node, err := link.Start(link.Config{Listen: "127.0.0.1:0", Self: link.Identity{VM: vm}, Keys: keys, Handler: ignore{}})
+	node, err := link.Start(link.Config{Listen: "127.0.0.1:0", Self: link.Identity{VM: vm}, Keys: keys, Handler: ignoreHandler{}})
 	require.NoError(t, err)
 	t.Cleanup(node.Close)
 	return node
 }
 
-// Symptom: after a key file was replaced, the process takes no links any more.
-// Sequence: the file is read while it is half written, and then whole.
-// Cause: the half was put to use, or the whole was not read again.
-func TestHalfWrittenKeyKeepsTheOldOne(t *testing.T) {
+// Guards against rejected links after the replacement of a key file: a check that reads a
+// partly written file must keep the previous key, and the next check must load the complete
+// file.
+func TestHalfWrittenKeyKeepsPreviousKey(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "key")
 	old, next := strings.Repeat("old ", 10), strings.Repeat("next ", 10)
 	write := func(text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
--- a/peers/settings/rules.go
+++ b/peers/settings/rules.go
@@ -11,7 +11,7 @@
 	"acaciacleat.example/core/strictjson"
 )
 
-// Fault is one thing wrong with settings.
+// Fault is a validation error in settings.
 type Fault = strictjson.Fault
 
 var (
@@ -56,27 +56,27 @@
 	return u.User == nil && u.RawQuery == "" && u.Fragment == ""
 }
 
-// Parse reads settings strictly into value, which holds the defaults, and returns all
-// faults at once. together checks fields against each other.
-func Parse[T any](data []byte, value *T, together func(*T) []Fault) []Fault {
+// Parse decodes settings strictly into value, which holds the defaults, and returns all
+// faults. checkFields returns the faults between fields.
+func Parse[T any](data []byte, value *T, checkFields func(*T) []Fault) []Fault {
 	faults := strictjson.Parse(data, value, func(v *T) []Fault {
-		return append(rules.Check(v), together(v)...)
+		return append(rules.Check(v), checkFields(v)...)
 	})
 	for i := range faults {
-		hideSecret(&faults[i])
+		redactSecret(&faults[i])
 	}
 	return faults
 }
 
-// hideSecret takes the value out of a fault in a field that says where a secret stands:
-// whoever wrote the secret itself there would find it in the log of the failed start.
-func hideSecret(fault *Fault) {
+// redactSecret removes the value from a fault in a field that refers to a secret. If the
+// field holds the secret itself by mistake, it would appear in the log of the failed start.
+func redactSecret(fault *Fault) {
 	if strings.Contains(fault.Path, ".currentKey") || strings.Contains(fault.Path, ".previousKey") {
 		fault.Value = "(not shown)"
 	}
 }
 
-// Check returns the faults between the fields of the keys; path is that of the Link.
+// Check returns the faults between the fields of the keys; path is the path of the Link.
 func (l Link) Check(path string) []Fault {
 	var faults []Fault
 	if l.CurrentKey == (Secret{}) {
@@ -93,7 +93,7 @@
 	return []Fault{strictjson.NewFault(path, nil, "one of file and env", "Remove one of the two.")}
 }
 
-// Check returns the faults between the two files.
+// Check returns a fault if only one of the two files is set.
 func (t TLS) Check(path string) []Fault {
 	switch {
 	case t.CertFile != "" && t.KeyFile == "":
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// AtMost returns a fault when the value at path is greater than that of the other field.
+// AtMost returns a fault if the value at path is greater than bound, the value of the field
+// other.
 func AtMost(path string, value int, other string, bound int) []Fault {
 	if value <= bound {
 		return nil
--- a/peers/settings/settings.go
+++ b/peers/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds the parts of a process's settings that entries and agents
-// share: their types, defaults and rules. Settings are one JSON file for each process,
-// read at its start. Times end in Ms and are in milliseconds, sizes end in Bytes.
+// Package settings defines the settings that entries and agents share: their types, defaults
+// and validation rules. Each process reads its settings from one JSON file at startup. Names
+// of times end in Ms, for milliseconds; names of sizes end in Bytes.
 package settings
 
 import (
@@ -10,7 +10,7 @@
 	"acaciacleat.example/peers/collector"
 )
 
-// VM tells where the process runs.
+// VM identifies the VM on which the process runs.
 type VM struct {
 	// ID is the VM's id in the platform's list of VMs. Required.
 	ID string `json:"id" validate:"label"`
@@ -18,23 +18,23 @@
 	Zone string `json:"zone" validate:"label"`
 }
 
-// Link is the process's end of the links between the system's own processes.
+// Link configures the process's links to the system's other processes.
 type Link struct {
-	// Listen is the IP address and port on which links are taken. Required; port 0
-	// chooses a free one.
+	// Listen is the IP address and port on which the process accepts links. Required; port
+	// 0 selects a free port.
 	Listen string `json:"listen" validate:"ipport"`
-	// CurrentKey proves this process to others. Required. A key file is read again when
-	// it changes. To rotate without a failed link: give the new key to all processes as
-	// previousKey, then exchange the two in all, then take the old one away.
+	// CurrentKey authenticates this process to others. Required. A key file is reloaded when
+	// it changes. To rotate the key without a failed link: set the new key as previousKey in
+	// all processes, then swap the two keys in all processes, then remove the old key.
 	CurrentKey Secret `json:"currentKey"`
-	// PreviousKey is accepted from others besides the current one. Default: none.
+	// PreviousKey is a second key that is accepted from other processes. Default: none.
 	PreviousKey Secret `json:"previousKey"`
 }
 
-// Secret says where a secret stands; the secret itself is never in settings. One of the
-// two is set.
+// Secret refers to a secret; the secret itself is never in the settings. Only one of the
+// fields may be set.
 type Secret struct {
-	// File is a file with the secret; white space round it doesn't count.
+	// File is the name of a file with the secret; surrounding white space is ignored.
 	File string `json:"file"`
 	// Env is the name of an environment variable with the secret.
 	Env string `json:"env" validate:"omitempty,envname"`
@@ -50,13 +50,14 @@
 	VMs string `json:"vms" validate:"baseurl"`
 	// Weights is the weight store. Required.
 	Weights string `json:"weights" validate:"baseurl"`
-	// TimeoutMs bounds the time until a call is answered, and each pause in its answer. Default 2000.
+	// TimeoutMs limits the time until a call is answered, and each pause in its answer.
+	// Default 2000.
 	TimeoutMs int `json:"timeoutMs" validate:"gte=1,lte=60000"`
 }
 
-// Log says what is logged, as JSON lines on the standard error stream.
+// Log configures the log, which is written as JSON lines to the standard error stream.
 type Log struct {
-	// Level is the least level logged: debug, info, warn or error. Default info.
+	// Level is the minimum level that is logged: debug, info, warn or error. Default info.
 	Level string `json:"level" validate:"oneof=debug info warn error"`
 }
 
@@ -67,16 +68,17 @@
 	ExporterOTLP   = "otlp"
 )
 
-// Trace says where spans go.
+// Trace configures the export of spans.
 type Trace struct {
 	// Exporter is none, stdout or otlp. Default none.
 	Exporter string `json:"exporter" validate:"oneof=none stdout otlp"`
-	// Endpoint is the base URL of the OTLP/HTTP collector; for otlp only, and required
-	// for it.
+	// Endpoint is the base URL of the OTLP/HTTP collector. Required for otlp, not allowed
+	// otherwise.
 	Endpoint string `json:"endpoint" validate:"omitempty,baseurl"`
 }
 
-// Open opens the exporter for the process on a VM; spans of Stdout go to output.
+// Open opens the exporter for the process on the given VM. The stdout exporter writes to
+// output.
 func (t Trace) Open(vm string, output io.Writer) (*collector.Tracer, error) {
 	return collector.Open(context.Background(), collector.Config{
 		Exporter: collector.Exporter(t.Exporter),
@@ -86,9 +88,9 @@
 	})
 }
 
-// TLS names a certificate's files in PEM. Both are set or none; without them the
-// address is served in clear. Changed files are read again; when they don't fit
-// together, the certificate read last stays in use.
+// TLS names the PEM files of a certificate. Either both are set or none; without them the
+// address is served without TLS. Changed files are reloaded; if the certificate and the key
+// don't match, the last valid pair stays in use.
 type TLS struct {
 	// CertFile holds the certificate followed by its chain. Default: none.
 	CertFile string `json:"certFile"`
@@ -99,11 +101,11 @@
 // Enabled reports whether certificate files are set.
 func (t TLS) Enabled() bool { return t.CertFile != "" }
 
-// Defaults.
+// Default values.
 const (
 	DefaultPlatformTimeoutMs = 2_000
 	DefaultLogLevel          = "info"
-	// DefaultDrainMs lets all but the very longest requests finish.
+	// DefaultDrainMs is long enough for all but the longest requests.
 	DefaultDrainMs = 600_000
 )
 
--- a/peers/settings/settings_test.go
+++ b/peers/settings/settings_test.go
@@ -17,7 +17,7 @@
 	TLS      TLS      `json:"tls"`
 }
 
-const sound = `{"vm":{"id":"a","zone":"z"},"link":{"listen":"127.0.0.1:0","currentKey":{"file":"key"}},
+const validSettings = `{"vm":{"id":"a","zone":"z"},"link":{"listen":"127.0.0.1:0","currentKey":{"file":"key"}},
 	"platform":{"table":"http://h/t","objects":"http://h/o","vms":"http://h/v","weights":"http://h/w"}}`
 
 func parse(text string) (*sample, []Fault) {
@@ -28,15 +28,15 @@
 	return s, faults
 }
 
-func TestDefaultsFillWhatIsLeftOut(t *testing.T) {
-	s, faults := parse(sound)
+func TestDefaultsFillOmittedFields(t *testing.T) {
+	s, faults := parse(validSettings)
 	require.Empty(t, faults)
 	require.Equal(t, DefaultPlatformTimeoutMs, s.Platform.TimeoutMs)
 	require.Equal(t, DefaultLogLevel, s.Log.Level)
 	require.Equal(t, "http://h/w", s.Platform.Weights)
 }
 
-func TestEveryFaultIsNamedAtOnce(t *testing.T) {
+func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	_, faults := parse(`{"vm":{"id":"","zone":"z","Zone":"z"},"link":{"listen":"host:80","currentKey":"the key itself",
 		"previousKey":{"file":"a","env":"the key itself"}},"platform":{"table":"ftp://h","objects":"http://u:p@h","vms":"",
 		"weights":"http://h?x=1","timeoutMs":0},"log":{"level":"loud"},"trace":{"exporter":"otlp"},"tls":{"keyFile":"k"},"more":1}`)
