--- a/peers/vars/vars.go
+++ b/peers/vars/vars.go
@@ -1,6 +1,6 @@
-// Package vars serves a process's expvars together with values of one of its parts. In
-// one process several entries and agents may run, so a part's own are not published
-// globally.
+// Package vars serves a process's expvars together with the variables of one component. A
+// process may run several entries and agents, so the variables of a component are not
+// published globally.
 package vars
 
 import (
@@ -9,7 +9,7 @@
 	"net/http"
 )
 
-// Write answers with one JSON object of own and of all published variables.
+// Write writes one JSON object with the variables in own and all published variables.
 func Write(w http.ResponseWriter, own map[string]expvar.Func) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	fmt.Fprint(w, "{")
