--- a/peers/vmlist/http.go
+++ b/peers/vmlist/http.go
@@ -9,7 +9,7 @@
 	"acaciacleat.example/peers/httpjson"
 )
 
-// HTTP is the list of VMs as an HTTP/JSON client sees it.
+// HTTP is an HTTP client of the list of VMs.
 type HTTP struct {
 	client *httpjson.Client
 }
--- a/peers/vmlist/vmlist.go
+++ b/peers/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is the system's view of the platform's list of VMs, which lags behind
-// reality: it may show a VM that is gone and miss one that is there.
+// Package vmlist reads the platform's list of VMs. The list lags behind the actual state: it
+// may contain VMs that no longer exist and lack VMs that do.
 package vmlist
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrUnavailable means that the list could not be read; the last one read still stands.
+// ErrUnavailable means that the list can't be read. Callers keep using the last list read.
 var ErrUnavailable = errors.New("vmlist: list unavailable")
 
-// Role is what runs on a VM.
+// Role is the kind of process that runs on a VM.
 type Role string
 
 // The roles.
@@ -22,15 +22,15 @@
 
 // VM is one machine in the list.
 type VM struct {
-	// ID names the VM; a replacement has another ID.
+	// ID is unique to the VM; a replacement VM has another ID.
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
 	Zone string `json:"zone"`
-	// Link is the IP address and port on which the VM's process takes links.
+	// Link is the IP address and port on which the VM's process accepts links.
 	Link string `json:"link"`
-	// Service is the service whose upstream stands on the VM; agents only.
+	// Service is the service whose upstream runs on the VM; agents only.
 	Service string `json:"service,omitempty"`
-	// Leaving is set once the platform plans to take the VM away.
+	// Leaving is true once the platform plans to remove the VM.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
