--- a/peers/weights/http.go
+++ b/peers/weights/http.go
@@ -10,7 +10,7 @@
 	"acaciacleat.example/peers/httpjson"
 )
 
-// Paths of the weight store below its base URL, and the names of their parameters.
+// Paths of the weight store relative to its base URL, and the names of their parameters.
 const (
 	PathArtifact = "/artifact"
 	PathRate     = "/rate"
@@ -19,12 +19,12 @@
 	ParamVersion = "version"
 )
 
-// RateAnswer is the body that PathRate answers.
+// RateAnswer is the body of the answer to PathRate.
 type RateAnswer struct {
 	BytesPerSecond float64 `json:"bytes_per_second"`
 }
 
-// HTTP is the weight store as an HTTP/JSON client sees it.
+// HTTP is an HTTP client of the weight store.
 type HTTP struct {
 	client *httpjson.Client
 }
--- a/peers/weights/weights.go
+++ b/peers/weights/weights.go
@@ -1,4 +1,5 @@
-// Package weights is the system's view of the platform's rate-limited weight store.
+// Package weights defines the interface of the platform's rate-limited weight store and
+// implements a client over HTTP.
 package weights
 
 import (
@@ -10,7 +11,7 @@
 // Failures of a Store.
 var (
 	ErrUnavailable = errors.New("weights: store unavailable")
-	// ErrRateLimited means that the store's rate is spent; ask again later.
+	// ErrRateLimited means that the store's rate limit is exhausted; retry later.
 	ErrRateLimited = errors.New("weights: rate limit reached")
 	ErrNotFound    = errors.New("weights: no such artifact")
 )
@@ -22,9 +23,10 @@
 	Bytes   int64  `json:"bytes"`
 }
 
-// Store tells what can be loaded and how fast. Engines fetch the bytes themselves.
+// Store describes the available artifacts and the transfer rate. Engines fetch the artifacts
+// themselves.
 type Store interface {
 	Describe(ctx context.Context, name, version string) (Artifact, error)
-	// RateBytesPerSecond is the rate that all engines share.
+	// RateBytesPerSecond returns the transfer rate that all engines share.
 	RateBytesPerSecond(ctx context.Context) (float64, error)
 }
