--- a/agent/process/process_test.go
+++ b/agent/process/process_test.go
@@ -31,8 +31,8 @@
 func (orphaned) Cancel(context.Context, call.ID) error { return nil }
 
 func (orphaned) Report(context.Context) (engine.Report, error) {
-	held := []engine.Held{{ID: call.ID{7}.String(), Tokens: 300}}
-	return engine.Report{Model: "m", CapacityTokens: capacity, Held: held}, nil
+	held := []engine.Allocation{{ID: call.ID{7}.String(), Tokens: 300}}
+	return engine.Report{Model: "m", CapacityTokens: capacity, Allocations: held}, nil
 }
 
 // noVMs is an empty list.
--- a/agent/server/memory.go
+++ b/agent/server/memory.go
@@ -239,7 +239,7 @@
 // toReport translates an engine's report; what has no id of ours is foreign.
 func toReport(report *engine.Report, now time.Time) reservation.Report {
 	r := reservation.Report{TakenAt: now.Add(-time.Duration(report.AgeMs) * time.Millisecond)}
-	for _, held := range report.Held {
+	for _, held := range report.Allocations {
 		id, err := call.ParseID(held.ID)
 		if err != nil {
 			r.ForeignTokens += held.Tokens
--- a/agent/server/run.go
+++ b/agent/server/run.go
@@ -73,13 +73,13 @@
 	ctx, cancel := context.WithDeadline(l.ctx, l.deadline)
 	defer cancel()
 	id := l.offer.ID.String()
-	s.config.Tracer.StartAt(l.span.Parent(), collector.HopQueue, l.arrived).End(id, result.OK)
-	upstream := s.config.Tracer.Start(l.span.Parent(), collector.HopUpstream)
+	s.config.Tracer.StartAt(l.span.TraceParent(), collector.HopQueue, l.arrived).End(id, result.OK)
+	upstream := s.config.Tracer.Start(l.span.TraceParent(), collector.HopUpstream)
 	var end *link.End
 	if s.config.Engine != nil {
-		end = s.generate(ctx, l, upstream.Parent())
+		end = s.generate(ctx, l, upstream.TraceParent())
 	} else {
-		end = s.serve(ctx, l, upstream.Parent())
+		end = s.serve(ctx, l, upstream.TraceParent())
 	}
 	upstream.End(id, end.Code)
 	l.span.End(id, end.Code)
@@ -231,7 +231,7 @@
 	switch {
 	case errors.Is(err, engine.ErrRejected):
 		return result.UpstreamRejected
-	case errors.Is(err, engine.ErrMemory):
+	case errors.Is(err, engine.ErrOutOfMemory):
 		return result.MemoryFull
 	default:
 		return result.UpstreamFailed
--- a/agent/server/run_test.go
+++ b/agent/server/run_test.go
@@ -16,7 +16,7 @@
 type both struct{}
 
 func (both) Error() string   { return "memory" }
-func (both) Unwrap() []error { return []error{engine.ErrMemory, engine.ErrNotStarted} }
+func (both) Unwrap() []error { return []error{engine.ErrOutOfMemory, engine.ErrNotStarted} }
 
 // Symptom: an answer says not-run of a call that ran, or ran of one that nobody saw run.
 // Sequence: the engine's call fails in each way that its adapter tells apart, before the
@@ -39,7 +39,7 @@
 		execution result.Execution
 	}{
 		{"memory with the engine's word", refuse(both{}), result.MemoryFull, result.NotRun},
-		{"memory without a word", refuse(errors.Wrap(engine.ErrMemory, "503")), result.MemoryFull, result.Unknown},
+		{"memory without a word", refuse(errors.Wrap(engine.ErrOutOfMemory, "503")), result.MemoryFull, result.Unknown},
 		{"no connection", refuse(engine.ErrNotStarted), result.UpstreamFailed, result.NotRun},
 		{"rejected", refuse(engine.ErrRejected), result.UpstreamRejected, result.NotRun},
 		{"broken before any answer", refuse(engine.ErrBroken), result.UpstreamFailed, result.Unknown},
--- a/agent/server/tell.go
+++ b/agent/server/tell.go
@@ -78,7 +78,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.leaving && slices.ContainsFunc(vms, func(vm vmlist.VM) bool {
-		return vm.ID == s.config.VM && vm.Leaving
+		return vm.ID == s.config.VM && vm.Draining
 	})
 }
 
--- a/agent/server/tell_test.go
+++ b/agent/server/tell_test.go
@@ -22,14 +22,14 @@
 	s := startServer(t, nil)
 	e := dialEntry(t, "entry", s)
 	own := vmlist.VM{ID: "agent", Role: vmlist.RoleAgent, Zone: "zone-a", Service: testService}
-	other := vmlist.VM{ID: "other", Role: vmlist.RoleAgent, Zone: "zone-a", Service: testService, Leaving: true}
+	other := vmlist.VM{ID: "other", Role: vmlist.RoleAgent, Zone: "zone-a", Service: testService, Draining: true}
 	s.readGroup(t.Context(), fixedList{own, other}, nil)
 	first, second := call.ID{1}, call.ID{2}
 	require.NoError(t, e.conn.Send(offerOf(first, s, true)))
 	e.await(t, "the end", func() bool { return e.answered(first) })
 	_, refused := e.refusal(first)
 	require.False(t, refused, "another VM's mark says nothing about this one")
-	own.Leaving = true
+	own.Draining = true
 	s.readGroup(t.Context(), fixedList{own, other}, nil)
 	e.await(t, "the word that the agent leaves", func() bool { return e.left })
 	require.NoError(t, e.conn.Send(offerOf(second, s, true)))
--- a/entry/capacity/agent_test.go
+++ b/entry/capacity/agent_test.go
@@ -295,7 +295,7 @@
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
 			report := engine.Report{Model: modelName, Version: "1", CapacityTokens: 400_000}
 			for i := range held {
-				report.Held = append(report.Held, engine.Held{ID: call.ID{byte(i)}.String(), Tokens: 9_024})
+				report.Allocations = append(report.Allocations, engine.Allocation{ID: call.ID{byte(i)}.String(), Tokens: 9_024})
 			}
 			body, err := json.Marshal(report)
 			require.NoError(b, err)
--- a/entry/command/document.go
+++ b/entry/command/document.go
@@ -161,7 +161,7 @@
 		return err
 	}
 	if (c.Service == "") == (c.Args.RequestID == "") {
-		return commandline.Usage("explain takes either REQUEST-ID or --service NAME")
+		return commandline.NewUsageError("explain takes either REQUEST-ID or --service NAME")
 	}
 	ask := client.Explain
 	name := c.Args.RequestID
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -82,7 +82,7 @@
 			Zone:    vm.Zone,
 			Link:    vm.Link,
 			Service: vm.Service,
-			Leaving: vm.Leaving,
+			Leaving: vm.Draining,
 		})
 	}
 	v.apply(v.members.HandleList(now, list))
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -342,7 +342,7 @@
 	offer.TimeLeftMs = deadline.Forward(call.Remaining(f.spec.Deadline, time.Now())).Milliseconds()
 	f.endSpan(result.AgentLost)
 	f.span = f.registry.tracer.Start(f.spec.Offer.TraceParent, collector.HopLink)
-	offer.TraceParent = f.span.Parent()
+	offer.TraceParent = f.span.TraceParent()
 	offer.Delivered = string(f.deliveredText)
 	offer.DeliveredTokens = f.deliveredTokens
 	offer.BodyBytes = len(f.spec.Body)
--- a/entry/front/generate.go
+++ b/entry/front/generate.go
@@ -101,7 +101,7 @@
 			Prefix:       digests,
 			Objective:    string(ref.Service.Objective),
 			Revision:     uint64(q.snapshot.Revision),
-			TraceParent:  q.span.Parent(),
+			TraceParent:  q.span.TraceParent(),
 		},
 		Route: routing.Request{
 			Service:      ref.Service.Name,
@@ -121,7 +121,7 @@
 
 // runGeneration runs the request and sends the answer, streamed or whole.
 func (q *request) runGeneration(g *caller.Generation, ref *document.ModelRef, spec flight.Spec) {
-	shape := caller.NewShape(g, q.id.String(), q.started.Unix())
+	shape := caller.NewAnswerEncoder(g, q.id.String(), q.started.Unix())
 	sink := &generationSink{request: q, shape: shape, stream: g.Stream, maxBytes: q.front.config.Limits.WholeAnswerBytes}
 	sink.class = call.ClassOf(spec.Route.Work.PromptTokens)
 	sink.service = ref.Service.Name
@@ -151,7 +151,7 @@
 // generationSink writes an answer to the caller. It implements flight.Sink.
 type generationSink struct {
 	request  *request
-	shape    *caller.Shape
+	shape    *caller.AnswerEncoder
 	stream   bool
 	service  string
 	class    call.Class
@@ -220,7 +220,7 @@
 	if !s.stream {
 		h := s.request.writer.Header()
 		h.Set("Content-Type", "application/json")
-		_, _ = s.request.writer.Write(s.shape.Whole(s.buf, finishReason, usage))
+		_, _ = s.request.writer.Write(s.shape.EncodeWhole(s.buf, finishReason, usage))
 		return
 	}
 	if !s.started {
@@ -245,6 +245,6 @@
 		return
 	}
 	s.request.finish(err)
-	s.buf = caller.AppendFailure(s.buf, err, s.request.id.String())
+	s.buf = caller.AppendErrorEvent(s.buf, err, s.request.id.String())
 	_ = s.Flush()
 }
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -152,7 +152,7 @@
 	body := caller.ProblemJSON(err, q.id.String())
 	h.Set("Content-Type", "application/problem+json")
 	if q.openAI {
-		body = caller.FailureJSON(err, q.id.String())
+		body = caller.ErrorJSON(err, q.id.String())
 		h.Set("Content-Type", "application/json")
 	}
 	q.writer.WriteHeader(info.HTTPStatus)
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -96,7 +96,7 @@
 			Path:         path,
 			Header:       forwardedHeaders(q.http.Header),
 			Revision:     uint64(q.snapshot.Revision),
-			TraceParent:  q.span.Parent(),
+			TraceParent:  q.span.TraceParent(),
 		},
 		Route: routing.Request{
 			Service:      service.Name,
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -267,7 +267,7 @@
 
 		Organisation: e.organisation(),
 	}
-	service.RemoveHopHeaders(header)
+	service.RemoveHopByHopHeaders(header)
 	e.g.config.Dialect.Forward(header, send)
 	return service.Call{
 		Method:   e.r.Method,
--- a/entry/operator/documents.go
+++ b/entry/operator/documents.go
@@ -106,10 +106,10 @@
 		return
 	}
 	h.writeJSON(w, http.StatusOK, api.Status{
-		Service: service.Name,
-		ETag:    state.ETag(service.Name),
-		InForce: state.Revision(),
-		Missing: append([]string{}, h.missing(r.Context(), state.Revision())...),
+		Service:        service.Name,
+		ETag:           state.ETag(service.Name),
+		ActiveRevision: state.Revision(),
+		Missing:        append([]string{}, h.missing(r.Context(), state.Revision())...),
 	})
 }
 
--- a/peers/caller/answer.go
+++ b/peers/caller/answer.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// Shape encodes one answer, streamed or whole. It must not be used by several goroutines
+// AnswerEncoder encodes one answer, streamed or whole. It must not be used by several goroutines
 // at a time.
-type Shape struct {
+type AnswerEncoder struct {
 	chat    bool
 	id      string
 	created int64
@@ -45,9 +45,9 @@
 	chunkSuffix []byte
 }
 
-// NewShape returns the encoder of the answer to a request.
-func NewShape(g *Generation, requestID string, created int64) *Shape {
-	s := &Shape{chat: g.Chat, created: created, model: g.Model}
+// NewAnswerEncoder returns the encoder of the answer to a request.
+func NewAnswerEncoder(g *Generation, requestID string, created int64) *AnswerEncoder {
+	s := &AnswerEncoder{chat: g.Chat, created: created, model: g.Model}
 	object, before, after := "text_completion", `"choices":[{"index":0,"text":`, `,"logprobs":null,"finish_reason":null}]}`+"\n\n"
 	s.id = "cmpl-" + requestID
 	if g.Chat {
@@ -61,7 +61,7 @@
 }
 
 // header returns lead and an object's first fields, including the comma that follows them.
-func (s *Shape) header(lead, object string) []byte {
+func (s *AnswerEncoder) header(lead, object string) []byte {
 	b := []byte(lead + `{"id":"` + s.id + `","object":"` + object + `","created":`)
 	b = strconv.AppendInt(b, s.created, 10)
 	b = append(b, `,"model":`...)
@@ -78,7 +78,7 @@
 
 // AppendFirst appends the first event of a streamed chat answer. Completions have no such
 // event.
-func (s *Shape) AppendFirst(dst []byte) []byte {
+func (s *AnswerEncoder) AppendFirst(dst []byte) []byte {
 	if !s.chat {
 		return dst
 	}
@@ -87,14 +87,14 @@
 }
 
 // AppendChunk appends one event of a streamed answer, with the given text.
-func (s *Shape) AppendChunk(dst, text []byte) []byte {
+func (s *AnswerEncoder) AppendChunk(dst, text []byte) []byte {
 	dst = append(dst, s.chunkPrefix...)
 	dst = quote(dst, text)
 	return append(dst, s.chunkSuffix...)
 }
 
 // AppendLast appends the final events of a streamed answer. A nil usage is left out.
-func (s *Shape) AppendLast(dst []byte, finishReason string, usage *Usage) []byte {
+func (s *AnswerEncoder) AppendLast(dst []byte, finishReason string, usage *Usage) []byte {
 	object := "text_completion"
 	choice := `"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":`
 	if s.chat {
@@ -114,8 +114,8 @@
 	return append(dst, "data: [DONE]\n\n"...)
 }
 
-// Whole returns the body of an answer that is not streamed.
-func (s *Shape) Whole(text []byte, finishReason string, usage *Usage) []byte {
+// EncodeWhole returns the body of an answer that is not streamed.
+func (s *AnswerEncoder) EncodeWhole(text []byte, finishReason string, usage *Usage) []byte {
 	object := "text_completion"
 	if s.chat {
 		object = "chat.completion"
@@ -137,8 +137,8 @@
 	return append(b, '}')
 }
 
-// Failure is the JSON body of an error in OpenAI's format, extended by the result code.
-type Failure struct {
+// ErrorBody is the JSON body of an error in OpenAI's format, extended by the result code.
+type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
@@ -162,10 +162,10 @@
 	return info.Meaning + " (" + err.Detail + ") " + info.Remedy
 }
 
-// FailureJSON returns an error in OpenAI's format.
-func FailureJSON(err *result.Error, requestID string) []byte {
+// ErrorJSON returns an error in OpenAI's format.
+func ErrorJSON(err *result.Error, requestID string) []byte {
 	info := result.Lookup(err.Code)
-	return encode(Failure{Error: ErrorDetail{
+	return encode(ErrorBody{Error: ErrorDetail{
 		Message:    ErrorMessage(err),
 		Type:       errorType(info.HTTPStatus),
 		Code:       info.Name,
@@ -175,10 +175,10 @@
 	}})
 }
 
-// AppendFailure appends the error event that ends a stream which failed after its start.
-func AppendFailure(dst []byte, err *result.Error, requestID string) []byte {
+// AppendErrorEvent appends the error event that ends a stream which failed after its start.
+func AppendErrorEvent(dst []byte, err *result.Error, requestID string) []byte {
 	dst = append(dst, "event: error\ndata: "...)
-	dst = append(dst, FailureJSON(err, requestID)...)
+	dst = append(dst, ErrorJSON(err, requestID)...)
 	return append(dst, "\n\n"...)
 }
 
--- a/peers/collector/collector.go
+++ b/peers/collector/collector.go
@@ -43,8 +43,8 @@
 	Exporter Exporter
 	// Endpoint is the URL of the OTLP collector. Only OTLP uses it.
 	Endpoint string
-	// Process is the VM's id, exported with each span.
-	Process string
+	// VM is the VM's id, exported with each span.
+	VM string
 	// Output receives the spans of the Stdout exporter.
 	Output io.Writer
 }
@@ -66,7 +66,7 @@
 		sdktrace.WithBatcher(exporter),
 		sdktrace.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "acaciacleat"),
-			attribute.String("service.instance.id", config.Process),
+			attribute.String("service.instance.id", config.VM),
 		)),
 	)
 	return &Tracer{provider: provider, tracer: provider.Tracer("acaciacleat")}, nil
@@ -130,8 +130,8 @@
 	return Span{span: span, traceParent: carrier[traceParentHeader]}
 }
 
-// Parent returns the traceparent for the calls that this hop makes.
-func (s Span) Parent() string { return s.traceParent }
+// TraceParent returns the traceparent for the calls that this hop makes.
+func (s Span) TraceParent() string { return s.traceParent }
 
 // End ends the span and records the request's id and result code.
 func (s Span) End(request string, code result.Code) {
--- a/peers/collector/collector_test.go
+++ b/peers/collector/collector_test.go
@@ -25,7 +25,7 @@
 	require.NoError(t, err)
 	const callers = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 	outer := tracer.Start(callers, HopEntry)
-	inner := tracer.Start(outer.Parent(), HopAgent)
+	inner := tracer.Start(outer.TraceParent(), HopAgent)
 	inner.End("r", result.UpstreamFailed)
 	outer.End("r", result.OK)
 	require.NoError(t, tracer.Close(context.Background()))
@@ -51,7 +51,7 @@
 	require.Nil(t, tracer)
 	span := tracer.Start("00-a", HopEntry)
 	span.End("r", result.OK)
-	require.Equal(t, "00-a", span.Parent())
+	require.Equal(t, "00-a", span.TraceParent())
 	require.NoError(t, tracer.Close(context.Background()))
 }
 
--- a/peers/commandline/commandline.go
+++ b/peers/commandline/commandline.go
@@ -53,8 +53,8 @@
 	return command
 }
 
-// Usage returns the error of a command that was called with wrong arguments.
-func Usage(message string) error {
+// NewUsageError returns the error of a command that was called with wrong arguments.
+func NewUsageError(message string) error {
 	return &flags.Error{Type: flags.ErrRequired, Message: message}
 }
 
--- a/peers/engine/engine.go
+++ b/peers/engine/engine.go
@@ -21,8 +21,8 @@
 	ErrRejected = errors.New("engine: request rejected")
 	// ErrFenced means that an order had an outdated fencing number.
 	ErrFenced = errors.New("engine: fencing number too old")
-	// ErrMemory means that the engine's KV cache is full.
-	ErrMemory = errors.New("engine: out of memory")
+	// ErrOutOfMemory means that the engine's KV cache is full.
+	ErrOutOfMemory = errors.New("engine: out of memory")
 )
 
 // Generate is a request to an engine.
@@ -88,16 +88,16 @@
 	CapacityTokens int64    `json:"capacity_tokens"`
 	UsedTokens     int64    `json:"used_tokens"`
 	CachedTokens   int64    `json:"cached_tokens"`
-	// Held lists the owners of memory: running requests and group reservations.
-	Held []Held `json:"held"`
+	// Allocations lists the owners of memory: running requests and group reservations.
+	Allocations []Allocation `json:"held"`
 	// Fence is the highest fencing number seen; 0 if the engine ignores fencing numbers.
 	Fence uint64 `json:"fence"`
 	// AgeMs is the age of the report in milliseconds, as known to the engine.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// Held is the memory that one request or reservation holds.
-type Held struct {
+// Allocation is the memory that one request or reservation holds.
+type Allocation struct {
 	ID     string `json:"id"`
 	Tokens int64  `json:"tokens"`
 	// Reserved is true for a group reservation and false for a running request.
--- a/peers/engine/errors.go
+++ b/peers/engine/errors.go
@@ -45,9 +45,9 @@
 	case detail.Type == TypeFenced:
 		return newFailure(ErrFenced, cause)
 	case detail.Type == TypeMemory && notRun:
-		return &kindError{kinds: []error{ErrMemory, ErrNotStarted}, cause: cause}
+		return &kindError{kinds: []error{ErrOutOfMemory, ErrNotStarted}, cause: cause}
 	case detail.Type == TypeMemory:
-		return newFailure(ErrMemory, cause)
+		return newFailure(ErrOutOfMemory, cause)
 	case isPermanentRefusal(response.StatusCode):
 		return newFailure(ErrRejected, cause)
 	case notRun:
--- a/peers/engine/http_test.go
+++ b/peers/engine/http_test.go
@@ -85,8 +85,8 @@
 	require.NoError(t, client.Reserve(t.Context(), id, 2000, time.Minute), "renewed")
 	report, err := client.Report(t.Context())
 	require.NoError(t, err)
-	require.Equal(t, []engine.Held{{ID: id.String(), Tokens: 2000, Reserved: true}}, report.Held)
-	require.ErrorIs(t, client.Reserve(t.Context(), call.ID{8}, 1e9, time.Minute), engine.ErrMemory)
+	require.Equal(t, []engine.Allocation{{ID: id.String(), Tokens: 2000, Reserved: true}}, report.Allocations)
+	require.ErrorIs(t, client.Reserve(t.Context(), call.ID{8}, 1e9, time.Minute), engine.ErrOutOfMemory)
 	require.NoError(t, client.Cancel(t.Context(), id))
 	require.NoError(t, client.Cancel(t.Context(), id), "idempotent")
 	require.Zero(t, e.Stats().HeldTokens)
@@ -160,7 +160,7 @@
 	notJSON.Body = []byte(`"prompt"`)
 	noTime := request("x", 1)
 	noTime.TimeLeft = 0
-	kinds := []error{engine.ErrNotStarted, engine.ErrBroken, engine.ErrRejected, engine.ErrMemory}
+	kinds := []error{engine.ErrNotStarted, engine.ErrBroken, engine.ErrRejected, engine.ErrOutOfMemory}
 	for _, c := range []struct {
 		name        string
 		fault       faults.Kind
@@ -175,7 +175,7 @@
 		{name: "no time left", do: noTime, want: []error{engine.ErrNotStarted}},
 		{name: "unknown model", do: unknown, want: []error{engine.ErrRejected}},
 		{name: "no object", do: notJSON, want: []error{engine.ErrRejected}},
-		{name: "too large", do: request("x", 1e6), want: []error{engine.ErrMemory, engine.ErrNotStarted}},
+		{name: "too large", do: request("x", 1e6), want: []error{engine.ErrOutOfMemory, engine.ErrNotStarted}},
 		{name: "closed without a byte", do: request("x", 1), fault: faults.Die, want: []error{engine.ErrBroken}},
 		{name: "closed after it ran", do: request("x", 1), fault: faults.AnswerLost, want: []error{engine.ErrBroken}, runs: 1},
 		{name: "bare 503", do: request("x", 1), fault: faults.Outage, want: []error{engine.ErrBroken}},
@@ -249,7 +249,7 @@
 	g := request(strings.Repeat("abcd", 14_000), 4000)
 	g.Group = []string{server.URL}
 	_, err := client.Generate(t.Context(), g)
-	require.ErrorIs(t, err, engine.ErrMemory)
+	require.ErrorIs(t, err, engine.ErrOutOfMemory)
 	require.ErrorIs(t, err, engine.ErrNotStarted)
 
 	require.NoError(t, client.Reserve(t.Context(), id, 9000, time.Minute))
--- a/peers/engine/protocol.go
+++ b/peers/engine/protocol.go
@@ -100,5 +100,5 @@
 	TTLMs  int64  `json:"ttl_ms"`
 }
 
-// Done is the data of the event that ends a complete stream.
-const Done = "[DONE]"
+// DoneMarker is the data of the event that ends a complete stream.
+const DoneMarker = "[DONE]"
--- a/peers/engine/stream.go
+++ b/peers/engine/stream.go
@@ -131,7 +131,7 @@
 		if err != nil {
 			return Delta{}, false, s.fail(err)
 		}
-		if string(data) == Done {
+		if string(data) == DoneMarker {
 			return Delta{}, false, s.finish()
 		}
 		delta, err := s.decodeChunk(data)
@@ -178,7 +178,7 @@
 	return whole, nil
 }
 
-// unexpectedEOF replaces io.EOF, since a stream may end only with Done.
+// unexpectedEOF replaces io.EOF, since a stream may end only with DoneMarker.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/peers/httpjson/httpjson.go
+++ b/peers/httpjson/httpjson.go
@@ -23,7 +23,7 @@
 // Defaults of Options.
 const (
 	DefaultTimeout        = 2 * time.Second
-	DefaultLongest        = 30 * time.Second
+	DefaultMaxDuration    = 30 * time.Second
 	DefaultIdleConns      = 32
 	DefaultMaxAnswerBytes = 64 << 20
 )
@@ -40,8 +40,8 @@
 type Options struct {
 	// Timeout limits the time until a call's answer begins, and each pause in a transfer.
 	Timeout time.Duration
-	// Longest limits the duration of each call. The caller's context may end it earlier.
-	Longest time.Duration
+	// MaxDuration limits the duration of each call. The caller's context may end it earlier.
+	MaxDuration time.Duration
 	// IdleConns is the number of connections kept open between calls.
 	IdleConns int
 	// MaxAnswerBytes is the maximum size of an answer.
@@ -52,8 +52,8 @@
 	if o.Timeout <= 0 {
 		o.Timeout = DefaultTimeout
 	}
-	if o.Longest <= 0 {
-		o.Longest = DefaultLongest
+	if o.MaxDuration <= 0 {
+		o.MaxDuration = DefaultMaxDuration
 	}
 	if o.IdleConns <= 0 {
 		o.IdleConns = DefaultIdleConns
@@ -120,7 +120,7 @@
 // then failed, the error would mean "not sent" although the service may have executed the
 // first copy.
 func (c *Client) Do(ctx context.Context, request Request) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.options.Longest)
+	ctx, cancel := context.WithTimeout(ctx, c.options.MaxDuration)
 	defer cancel()
 	timeout := cmp.Or(request.Timeout, c.options.Timeout)
 	ctx, progress := withProgressTimer(ctx, request.Wait+timeout)
--- a/peers/operator/operator.go
+++ b/peers/operator/operator.go
@@ -21,8 +21,8 @@
 	ParamLimit = "limit"
 )
 
-// Headers with the ETag of the document on which a put is based. A put without If-Match and
-// If-None-Match creates a document and never replaces one.
+// Headers with the ETag of the document on which a put is based. A put with neither If-Match
+// nor If-None-Match creates a document and never replaces one.
 const (
 	HeaderETag        = "ETag"
 	HeaderIfMatch     = "If-Match"
@@ -60,8 +60,8 @@
 type Status struct {
 	Service string `json:"service"`
 	ETag    string `json:"etag"`
-	// InForce is the revision that the queried entry applies.
-	InForce document.Revision `json:"revision_in_force"`
+	// ActiveRevision is the revision that the queried entry applies.
+	ActiveRevision document.Revision `json:"revision_in_force"`
 	// Missing lists what the rollout still waits for; empty if every live node applies the
 	// document.
 	Missing []string `json:"missing"`
--- a/peers/service/answer.go
+++ b/peers/service/answer.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// kindError is an error that wraps a kind, such as ErrOutcome, and its cause.
+// kindError is an error that wraps a kind, such as ErrOutcomeUnknown, and its cause.
 type kindError struct {
 	kind  error
 	cause error
@@ -21,7 +21,7 @@
 
 func newFailure(kind, cause error) error { return &kindError{kind: kind, cause: cause} }
 
-// answerBody returns ErrOutcome when an answer breaks off, so that no reader takes a part of
+// answerBody returns ErrOutcomeUnknown when an answer breaks off, so that no reader takes a part of
 // the answer for the whole.
 type answerBody struct {
 	io.ReadCloser
@@ -38,7 +38,7 @@
 	if cause := b.ctx.Err(); cause != nil {
 		err = cause
 	}
-	return n, newFailure(ErrOutcome, err)
+	return n, newFailure(ErrOutcomeUnknown, err)
 }
 
 // Close implements io.Closer. It ends a call whose answer was not read to its end.
@@ -54,9 +54,9 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopHeaders removes the headers that apply to a single connection, including those
+// RemoveHopByHopHeaders removes the headers that apply to a single connection, including those
 // that the Connection header names.
-func RemoveHopHeaders(header http.Header) {
+func RemoveHopByHopHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for _, name := range strings.Split(line, ",") {
 			header.Del(strings.TrimSpace(name))
--- a/peers/service/http.go
+++ b/peers/service/http.go
@@ -66,8 +66,8 @@
 // It never sends a call twice. net/http's transport resends a request when a kept-alive
 // connection breaks before the answer and the request looks idempotent: its method is
 // GET, HEAD, OPTIONS or TRACE, or it has an Idempotency-Key or X-Idempotency-Key
-// header. As the service may have run the first copy, a call could then run twice. There
-// are three ways to prevent the resend:
+// header. As the service may have run the first copy, a call could then run twice. Possible
+// ways to prevent the resend:
 //
 //   - A body that can't be rewound: the transport resends only requests without a body or
 //     with GetBody. This works on every connection, but the empty body of a POST must then
@@ -112,7 +112,7 @@
 func (h *HTTP) CloseIdle() { h.pooled.CloseIdleConnections() }
 
 // Do implements Service. It returns answers of any status, errors and redirects included,
-// without an error. Reading Body returns ErrOutcome when the answer breaks off. TimeLeft
+// without an error. Reading Body returns ErrOutcomeUnknown when the answer breaks off. TimeLeft
 // includes the time to read Body.
 func (h *HTTP) Do(ctx context.Context, call Call) (*Answer, error) {
 	if err := ctx.Err(); err != nil {
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, transportFailure(ctx, connected.Load(), err)
 	}
-	RemoveHopHeaders(response.Header)
+	RemoveHopByHopHeaders(response.Header)
 	return &Answer{Status: response.StatusCode, Header: response.Header, Body: response.Body}, nil
 }
 
@@ -168,7 +168,7 @@
 	if call.Header != nil {
 		r.Header = call.Header.Clone()
 	}
-	RemoveHopHeaders(r.Header)
+	RemoveHopByHopHeaders(r.Header)
 	if len(call.Body) > 0 || isReadMethod(call.Method) && call.Reuse != ReuseNever {
 		r.Body = nonRewindableBody{bytes.NewReader(call.Body)}
 		r.ContentLength = int64(len(call.Body))
@@ -201,7 +201,7 @@
 		err = cause
 	}
 	if connected {
-		return newFailure(ErrOutcome, err)
+		return newFailure(ErrOutcomeUnknown, err)
 	}
 	return newFailure(ErrNotSent, err)
 }
--- a/peers/service/http_test.go
+++ b/peers/service/http_test.go
@@ -111,7 +111,7 @@
 			client := service.NewHTTP(url)
 			do(t, client, warm)
 			_, err := client.Do(t.Context(), next)
-			require.ErrorIs(t, err, service.ErrOutcome)
+			require.ErrorIs(t, err, service.ErrOutcomeUnknown)
 			require.NotErrorIs(t, err, service.ErrNotSent)
 			require.Equal(t, 1, s.Stats().RunsByTag[tag])
 		})
@@ -125,8 +125,8 @@
 		want error
 		runs int
 	}{
-		{"closed before the call ran", faults.Die, service.ErrOutcome, 0},
-		{"closed after the call ran", faults.AnswerLost, service.ErrOutcome, 1},
+		{"closed before the call ran", faults.Die, service.ErrOutcomeUnknown, 0},
+		{"closed after the call ran", faults.AnswerLost, service.ErrOutcomeUnknown, 1},
 		{"silent until the time passed", faults.Silent, context.DeadlineExceeded, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -139,7 +139,7 @@
 			}
 			_, err := service.NewHTTP(url).Do(t.Context(), job)
 			require.ErrorIs(t, err, c.want)
-			require.ErrorIs(t, err, service.ErrOutcome)
+			require.ErrorIs(t, err, service.ErrOutcomeUnknown)
 			require.NotErrorIs(t, err, service.ErrNotSent)
 			require.Equal(t, c.runs, s.Stats().RunsByTag[tag])
 		})
@@ -171,7 +171,7 @@
 		"malformed path": errorOf(client.Do(t.Context(), badPath)),
 	} {
 		require.ErrorIs(t, err, service.ErrNotSent, name)
-		require.NotErrorIs(t, err, service.ErrOutcome, name)
+		require.NotErrorIs(t, err, service.ErrOutcomeUnknown, name)
 	}
 }
 
@@ -179,7 +179,7 @@
 
 // Guards against a partial body that reads like a complete one: the service sends the head
 // and a part of the body and then closes the connection.
-func TestBrokenBodyReturnsErrOutcome(t *testing.T) {
+func TestBrokenBodyReturnsErrOutcomeUnknown(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "half")
 		_ = http.NewResponseController(w).Flush()
@@ -190,6 +190,6 @@
 	require.NoError(t, err)
 	defer answer.Body.Close()
 	_, err = io.ReadAll(answer.Body)
-	require.ErrorIs(t, err, service.ErrOutcome)
+	require.ErrorIs(t, err, service.ErrOutcomeUnknown)
 	require.False(t, errors.Is(err, io.EOF))
 }
--- a/peers/service/service.go
+++ b/peers/service/service.go
@@ -16,9 +16,9 @@
 var (
 	// ErrNotSent means that certainly no byte of the call reached the service.
 	ErrNotSent = errors.New("service: call not sent")
-	// ErrOutcome means that the call may have been sent but no complete answer arrived: it
+	// ErrOutcomeUnknown means that the call may have been sent but no complete answer arrived: it
 	// may have run.
-	ErrOutcome = errors.New("service: outcome unknown")
+	ErrOutcomeUnknown = errors.New("service: outcome unknown")
 )
 
 // Call is one call of a plain service.
--- a/peers/settings/settings.go
+++ b/peers/settings/settings.go
@@ -83,7 +83,7 @@
 	return collector.Open(context.Background(), collector.Config{
 		Exporter: collector.Exporter(t.Exporter),
 		Endpoint: t.Endpoint,
-		Process:  vm,
+		VM:       vm,
 		Output:   output,
 	})
 }
--- a/peers/vmlist/vmlist.go
+++ b/peers/vmlist/vmlist.go
@@ -30,8 +30,8 @@
 	Link string `json:"link"`
 	// Service is the service whose upstream runs on the VM; agents only.
 	Service string `json:"service,omitempty"`
-	// Leaving is true once the platform plans to remove the VM.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is true once the platform plans to remove the VM.
+	Draining bool `json:"leaving,omitempty"`
 }
 
 // Lister reads the list. Implementations are safe for concurrent use.
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -78,7 +78,7 @@
 	lines := bufio.NewScanner(strings.NewReader(stream))
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
-		if !ok || data == peer.Done {
+		if !ok || data == peer.DoneMarker {
 			continue
 		}
 		var chunk peer.Chunk
@@ -207,7 +207,7 @@
 func checkBook(t *rapid.T, e *Engine) {
 	report := e.laggingReport()
 	sum := int64(0)
-	for _, held := range report.Held {
+	for _, held := range report.Allocations {
 		sum += held.Tokens
 	}
 	require.Equal(t, sum, report.UsedTokens)
@@ -296,7 +296,7 @@
 		time.Sleep(999 * time.Millisecond)
 		require.Zero(t, e.laggingReport().UsedTokens)
 		time.Sleep(time.Millisecond)
-		require.Equal(t, []peer.Held{{ID: "r", Tokens: 100, Reserved: true}}, e.laggingReport().Held)
+		require.Equal(t, []peer.Allocation{{ID: "r", Tokens: 100, Reserved: true}}, e.laggingReport().Allocations)
 		time.Sleep(2900 * time.Millisecond)
 		require.Equal(t, int64(100), e.laggingReport().UsedTokens, "expired, but not yet reported")
 		time.Sleep(100 * time.Millisecond)
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -45,15 +45,15 @@
 		CapacityTokens: e.config.EngineTokens,
 		UsedTokens:     e.used,
 		CachedTokens:   e.cache.tokens(),
-		Held:           make([]peer.Held, 0, len(e.running)+len(e.reservations)),
+		Allocations:    make([]peer.Allocation, 0, len(e.running)+len(e.reservations)),
 		Fence:          e.fence,
 	}
 	for _, seq := range e.running {
-		report.Held = append(report.Held, peer.Held{ID: seq.id, Tokens: seq.need})
+		report.Allocations = append(report.Allocations, peer.Allocation{ID: seq.id, Tokens: seq.need})
 	}
 	for _, id := range slices.Sorted(maps.Keys(e.reservations)) {
-		held := peer.Held{ID: id, Tokens: e.reservations[id].tokens, Reserved: true}
-		report.Held = append(report.Held, held)
+		held := peer.Allocation{ID: id, Tokens: e.reservations[id].tokens, Reserved: true}
+		report.Allocations = append(report.Allocations, held)
 	}
 	return report
 }
--- a/standin/engine/sse.go
+++ b/standin/engine/sse.go
@@ -64,7 +64,7 @@
 	if err := s.event(chunk); err != nil {
 		return err
 	}
-	return s.write([]byte(peer.Done))
+	return s.write([]byte(peer.DoneMarker))
 }
 
 func (s *sse) fail(o outcome) error {
--- a/standin/platform/contract_test.go
+++ b/standin/platform/contract_test.go
@@ -23,7 +23,7 @@
 
 var (
 	artifact = weights.Artifact{Name: "assistant-1", Version: "v1", Bytes: 100 * bytesPerSecond}
-	vm       = vmlist.VM{ID: "vm-1", Role: vmlist.RoleAgent, Zone: "cwb-a", Link: "127.0.0.1:9", Service: "parts", Leaving: true}
+	vm       = vmlist.VM{ID: "vm-1", Role: vmlist.RoleAgent, Zone: "cwb-a", Link: "127.0.0.1:9", Service: "parts", Draining: true}
 )
 
 // peers are one implementation of each interface. That of table.Store is tested beside
