--- a/agent/server/memory.go
+++ b/agent/server/memory.go
@@ -243,7 +243,7 @@
 // foreign.
 func toReport(report *engine.Report, now time.Time) reservation.Report {
 	r := reservation.Report{TakenAt: now.Add(-time.Duration(report.AgeMs) * time.Millisecond)}
-	for _, held := range report.Held {
+	for _, held := range report.Allocations {
 		id, err := call.ParseID(held.ID)
 		if err != nil {
 			r.ForeignTokens += held.Tokens
--- a/agent/server/run_test.go
+++ b/agent/server/run_test.go
@@ -15,8 +15,10 @@
 // refusal for lack of memory that explicitly states not-run.
 type memoryNotStartedError struct{}
 
-func (memoryNotStartedError) Error() string   { return "memory" }
-func (memoryNotStartedError) Unwrap() []error { return []error{engine.ErrMemory, engine.ErrNotStarted} }
+func (memoryNotStartedError) Error() string { return "memory" }
+func (memoryNotStartedError) Unwrap() []error {
+	return []error{engine.ErrOutOfMemory, engine.ErrNotStarted}
+}
 
 // An answer must not report not-run for a call that ran, nor ran for a call that is not known
 // to have run. Only an explicit statement of the engine, or a stream that has begun, proves
@@ -38,7 +40,7 @@
 		execution result.Execution
 	}{
 		{"out of memory, engine states not-run", refuse(memoryNotStartedError{}), result.MemoryFull, result.NotRun},
-		{"out of memory, execution not stated", refuse(errors.Wrap(engine.ErrMemory, "503")), result.MemoryFull, result.Unknown},
+		{"out of memory, execution not stated", refuse(errors.Wrap(engine.ErrOutOfMemory, "503")), result.MemoryFull, result.Unknown},
 		{"no connection", refuse(engine.ErrNotStarted), result.UpstreamFailed, result.NotRun},
 		{"rejected", refuse(engine.ErrRejected), result.UpstreamRejected, result.NotRun},
 		{"broken before any answer", refuse(engine.ErrBroken), result.UpstreamFailed, result.Unknown},
