--- a/peers/link/auth.go
+++ b/peers/link/auth.go
@@ -16,17 +16,18 @@
 
 const nonceBytes = 32
 
-// Identity tells who is at an end of a link.
+// Identity identifies the process at one end of a link.
 type Identity struct {
-	// VM is the process's id in the list of VMs.
+	// VM is the ID of the process's VM in the VM list.
 	VM          string
 	Role        string
 	Zone        string
 	Incarnation call.Incarnation
 }
 
-// Keys holds the shared keys. Current makes proofs; Previous is still accepted, so that
-// processes can be given a new key one after another. Safe for concurrent use.
+// Keys holds the shared keys. Proofs are made with the current key; the previous key is still
+// accepted, so that a new key can be rolled out one process at a time. It is safe for concurrent
+// use.
 type Keys struct{ pair atomic.Pointer[keyPair] }
 
 type keyPair struct{ current, previous []byte }
@@ -38,38 +39,38 @@
 	return k
 }
 
-// Set replaces both keys. Links that stand are not affected.
+// Set replaces both keys. Open links are not affected.
 func (k *Keys) Set(current, previous []byte) {
 	k.pair.Store(&keyPair{current: current, previous: previous})
 }
 
-// Labels keep a proof of one end from being played back as the other's.
+// The labels keep a proof of one end from being replayed as the proof of the other end.
 const (
 	labelDial   = "acaciacleat link dial 1"
 	labelAccept = "acaciacleat link accept 1"
 )
 
-func (k *Keys) prove(label string, theirs, ours []byte, self *Identity) []byte {
-	return proof(k.pair.Load().current, label, theirs, ours, self)
+func (k *Keys) prove(label string, peerNonce, ownNonce []byte, self *Identity) []byte {
+	return proof(k.pair.Load().current, label, peerNonce, ownNonce, self)
 }
 
-func (k *Keys) verify(mac []byte, label string, theirs, ours []byte, peer *Identity) bool {
+func (k *Keys) verify(mac []byte, label string, first, second []byte, peer *Identity) bool {
 	pair := k.pair.Load()
-	if hmac.Equal(mac, proof(pair.current, label, theirs, ours, peer)) {
+	if hmac.Equal(mac, proof(pair.current, label, first, second, peer)) {
 		return true
 	}
-	return pair.previous != nil && hmac.Equal(mac, proof(pair.previous, label, theirs, ours, peer))
+	return pair.previous != nil && hmac.Equal(mac, proof(pair.previous, label, first, second, peer))
 }
 
-func proof(key []byte, label string, first, second []byte, who *Identity) []byte {
+func proof(key []byte, label string, first, second []byte, identity *Identity) []byte {
 	h := hmac.New(sha256.New, key)
 	var size [8]byte
-	for _, part := range [][]byte{[]byte(label), first, second, []byte(who.VM), []byte(who.Role), []byte(who.Zone)} {
+	for _, part := range [][]byte{[]byte(label), first, second, []byte(identity.VM), []byte(identity.Role), []byte(identity.Zone)} {
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		h.Write(size[:])
 		h.Write(part)
 	}
-	binary.BigEndian.PutUint64(size[:], uint64(who.Incarnation))
+	binary.BigEndian.PutUint64(size[:], uint64(identity.Incarnation))
 	h.Write(size[:])
 	return h.Sum(nil)
 }
@@ -81,7 +82,7 @@
 	return nonce
 }
 
-// NewIncarnation returns a new random incarnation for a process that starts.
+// NewIncarnation returns a new random incarnation for a starting process.
 func NewIncarnation() call.Incarnation {
 	var b [8]byte
 	// crypto/rand.Read never fails on the systems that Go supports.
--- a/peers/link/codec.go
+++ b/peers/link/codec.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// headerBytes is a frame's length (4 bytes, big endian, without the header itself)
-	// and its type (1 byte).
+	// headerBytes is the size of a frame's header: the payload's length (4 bytes, big endian) and
+	// the frame's type (1 byte).
 	headerBytes = 5
-	// MaxFrameBytes bounds a frame's payload, so that a broken peer can not make us
-	// hold an unbounded buffer.
+	// MaxFrameBytes bounds a frame's payload, so that a faulty peer can't cause an unbounded
+	// buffer.
 	MaxFrameBytes = 1 << 20
-	// InlineBodyBytes is the largest body that travels inside an Offer. A larger one is
-	// sent in parts after acceptance, so that a refusal costs no transfer of megabytes.
+	// InlineBodyBytes is the largest body that is sent inside an Offer. A larger body is sent in
+	// parts after the offer is accepted, so that a refused offer costs no transfer of megabytes.
 	InlineBodyBytes = 64 << 10
-	// BodyPartBytes is the size of one Body message's data.
+	// BodyPartBytes is the maximum data size of one Body message.
 	BodyPartBytes = 256 << 10
 )
 
-// ErrFrame means that a frame is malformed; the link is closed.
+// ErrFrame means that a frame is malformed or too large. On receipt, the link is closed.
 var ErrFrame = errors.New("link: malformed frame")
 
 // frameWriter appends frames to a buffer. It is not safe for concurrent use.
@@ -36,8 +36,8 @@
 	w := &frameWriter{}
 	w.enc = msgpack.NewEncoder(w)
 	w.enc.UseCompactInts(true)
-	// Arrays without field names keep frames small. A decoder refuses an array of another
-	// length, so that a message that entries of two versions exchange keeps its fields.
+	// Arrays without field names keep frames small. A decoder rejects an array of another length,
+	// so the fields of a message that processes of two versions exchange must not change.
 	w.enc.UseArrayEncodedStructs(true)
 	return w
 }
@@ -48,13 +48,13 @@
 	return len(p), nil
 }
 
-// WriteByte implements io.ByteWriter, which spares the encoder a wrapper.
+// WriteByte implements io.ByteWriter, so that the encoder needs no wrapper.
 func (w *frameWriter) WriteByte(b byte) error {
 	w.buf = append(w.buf, b)
 	return nil
 }
 
-// append adds one frame; on failure the buffer is as before.
+// append appends one frame. If it fails, the buffer is unchanged.
 func (w *frameWriter) append(message Message) error {
 	start := len(w.buf)
 	w.buf = append(w.buf, 0, 0, 0, 0, byte(message.Type()))
@@ -84,8 +84,8 @@
 	}
 }
 
-// encodeChunk and encodeAck spell out the two messages of a token's path, which must
-// not allocate.
+// encodeChunk and encodeAck encode the two messages that are sent for each token by hand, because
+// this path must not allocate.
 func (w *frameWriter) encodeChunk(m *Chunk) error {
 	w.buf = append(w.buf, m.ID[:]...)
 	if err := w.enc.EncodeUint(uint64(m.Attempt)); err != nil {
@@ -122,8 +122,8 @@
 	return r
 }
 
-// decode reads one payload. The message is valid until the next call, and a Chunk's
-// Data as long as payload.
+// decode decodes one payload. The message is valid until the next call; a Chunk's Data refers to
+// the payload and is valid as long as the payload is.
 func (r *frameReader) decode(kind Type, payload []byte) (Message, error) {
 	switch kind {
 	case TypeChunk:
@@ -186,7 +186,8 @@
 	return &r.ack, nil
 }
 
-// startWithID reads the id that begins the payload and leaves the decoder at the rest.
+// startWithID reads the call ID at the start of the payload, resets the decoder to the remaining
+// bytes and returns these.
 func (r *frameReader) startWithID(payload []byte, id *call.ID) ([]byte, error) {
 	if len(payload) < len(id) {
 		return nil, errors.Wrap(ErrFrame, "too short for an id")
--- a/peers/link/conn.go
+++ b/peers/link/conn.go
@@ -11,20 +11,20 @@
 	"github.com/pkg/errors"
 )
 
-// Failures of a link.
+// Errors of a link.
 var (
 	// ErrClosed means that the link is closed.
 	ErrClosed = errors.New("link: closed")
-	// ErrSilent means that the peer answered no heartbeat in time.
+	// ErrSilent means that nothing was received from the peer in time.
 	ErrSilent = errors.New("link: peer is silent")
-	// ErrIdle means that the link was closed because nothing needed it.
+	// ErrIdle means that the link was closed because it was not used for the idle time.
 	ErrIdle = errors.New("link: idle")
-	// ErrBacklog means that the peer reads too slowly to hold more for it.
-	ErrBacklog = errors.New("link: too much is waiting to be sent")
+	// ErrBacklog means that the send buffer is full because the peer reads too slowly.
+	ErrBacklog = errors.New("link: send buffer is full")
 )
 
-// maxBacklogBytes bounds what waits to be sent on one link. Streams are bounded one by
-// one by their acknowledgements; this bound catches a peer that reads nothing at all.
+// maxBacklogBytes bounds the send buffer of one link. Each stream is bounded by its
+// acknowledgements; this bound applies to a peer that reads nothing at all.
 const maxBacklogBytes = 256 << 20
 
 type connState uint8
@@ -40,64 +40,64 @@
 	node   *Node
 	gc     gnet.Conn
 	dialed bool
-	// addr is the address that was dialled; empty on accepted links.
+	// addr is the address that was dialled; it is empty for an accepted link.
 	addr string
-	// vm is who was dialled, once the link is known by it; it belongs to Node.mu.
+	// vm is the ID of the dialled VM, set once the link is in Node.byVM. Node.mu guards it.
 	vm string
 
-	mu     sync.Mutex
-	out    *frameWriter
-	spare  []byte
-	woken  bool
-	state  connState
-	reason error
-	ended  chan struct{}
-
-	// The fields below belong to the event loop.
-	in         *frameReader
-	nonce      []byte
-	theirNonce []byte
-	peer       Identity
-	openedAt   time.Time
-
-	opened   chan struct{}
-	busy     atomic.Int64
-	lastIn   atomic.Int64
-	lastUsed atomic.Int64
-	pinged   atomic.Int64
-	stamp    atomic.Int64
-	stampAt  atomic.Int64
-	pongs    pongWaiters
+	mu          sync.Mutex
+	out         *frameWriter
+	spareBuf    []byte
+	wakePending bool
+	state       connState
+	reason      error
+	done        chan struct{}
+
+	// The event loop owns the fields from here to createdAt.
+	in        *frameReader
+	nonce     []byte
+	peerNonce []byte
+	peer      Identity
+	createdAt time.Time
+
+	opened       chan struct{}
+	retained     atomic.Int64
+	lastReceived atomic.Int64
+	lastUsed     atomic.Int64
+	pingedAt     atomic.Int64
+	stamp        atomic.Int64
+	stampAt      atomic.Int64
+	pongs        pongWaiters
 }
 
 func newConn(node *Node, addr string, dialed bool) *Conn {
 	c := &Conn{
-		node:     node,
-		addr:     addr,
-		dialed:   dialed,
-		out:      newFrameWriter(),
-		in:       newFrameReader(),
-		opened:   make(chan struct{}),
-		ended:    make(chan struct{}),
-		openedAt: time.Now(),
+		node:      node,
+		addr:      addr,
+		dialed:    dialed,
+		out:       newFrameWriter(),
+		in:        newFrameReader(),
+		opened:    make(chan struct{}),
+		done:      make(chan struct{}),
+		createdAt: time.Now(),
 	}
 	now := node.sinceStart()
-	c.lastIn.Store(now)
+	c.lastReceived.Store(now)
 	c.lastUsed.Store(now)
 	return c
 }
 
-// Peer returns who is at the other end. It is valid once the link is open.
+// Peer returns the identity of the other end. It is valid once the link is open.
 func (c *Conn) Peer() Identity { return c.peer }
 
 // Dialed reports whether this end dialled the link.
 func (c *Conn) Dialed() bool { return c.dialed }
 
-// Stamp returns the peer's last clock stamp seen on this link, in nanoseconds since the
-// peer's start.
+// Stamp returns the peer's latest clock stamp received on this link, in nanoseconds since the peer
+// started.
 func (c *Conn) Stamp() int64 { return c.stamp.Load() }
 
-// SetStamp records a stamp that a message carried, unless a later one is known.
+// SetStamp records a clock stamp that a message carried, unless a later one is known.
 func (c *Conn) SetStamp(stamp int64) {
 	c.stampAt.Store(c.node.sinceStart())
 	for {
@@ -108,17 +108,17 @@
 	}
 }
 
-// Heard returns when the last byte came from the peer.
-func (c *Conn) Heard() time.Time { return c.node.start.Add(time.Duration(c.lastIn.Load())) }
+// Heard returns when data was last received from the peer.
+func (c *Conn) Heard() time.Time { return c.node.start.Add(time.Duration(c.lastReceived.Load())) }
 
-// Quiet returns how long ago the last byte came from the peer.
+// Quiet returns the time since data was last received from the peer.
 func (c *Conn) Quiet() time.Duration {
-	return time.Duration(c.node.sinceStart() - c.lastIn.Load())
+	return time.Duration(c.node.sinceStart() - c.lastReceived.Load())
 }
 
-// Refresh makes sure that Stamp is at most maxAge old, by a ping where it is not. An
-// agent refuses offers with an old stamp, and on an idle link the last one may be a
-// minute old.
+// Refresh ensures that Stamp is at most maxAge old. If it is older, Refresh sends a ping and waits
+// for the answer. An agent refuses offers with an old stamp, and on an idle link the last stamp may
+// be a minute old.
 func (c *Conn) Refresh(ctx context.Context, maxAge time.Duration) error {
 	if time.Duration(c.node.sinceStart()-c.stampAt.Load()) <= maxAge {
 		return nil
@@ -130,14 +130,14 @@
 	select {
 	case <-answered:
 		return nil
-	case <-c.ended:
+	case <-c.done:
 		return c.closeReason()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// pongWaiters holds those who wait for the next pong.
+// pongWaiters notifies the goroutines that wait for the next pong.
 type pongWaiters struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -152,7 +152,7 @@
 	return w.next
 }
 
-func (w *pongWaiters) release() {
+func (w *pongWaiters) notifyAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.next != nil {
@@ -161,19 +161,19 @@
 	}
 }
 
-// Retain says that a request is in flight on the link: heartbeats run until as many
-// calls of Release.
+// Retain marks a request as in flight on the link. Heartbeats are sent until Release has been
+// called as often as Retain.
 func (c *Conn) Retain() {
-	if c.busy.Add(1) == 1 {
-		// The peer owed nothing while the link was idle; its silence counts from now.
-		c.lastIn.Store(c.node.sinceStart())
-		c.pinged.Store(0)
+	if c.retained.Add(1) == 1 {
+		// An idle peer need not send anything, so its silence counts from now.
+		c.lastReceived.Store(c.node.sinceStart())
+		c.pingedAt.Store(0)
 	}
 }
 
 // Release undoes one Retain.
 func (c *Conn) Release() {
-	c.busy.Add(-1)
+	c.retained.Add(-1)
 	c.lastUsed.Store(c.node.sinceStart())
 }
 
@@ -191,31 +191,32 @@
 func (c *Conn) sendLocked(message Message) error {
 	if len(c.out.buf) > maxBacklogBytes {
 		c.mu.Unlock()
-		// Not from here: Close calls the handler, which takes its owner's locks, and whoever
-		// sends may hold them. The process would stand still for good.
+		// Close calls the handler, which takes locks that the caller of Send may hold. Calling it
+		// on this goroutine could deadlock.
 		go c.Close(ErrBacklog)
 		return ErrBacklog
 	}
 	err := c.out.append(message)
-	wake := err == nil && !c.woken
+	wake := err == nil && !c.wakePending
 	if wake {
-		c.woken = true
+		c.wakePending = true
 	}
-	if isUse(message) {
+	if countsAsUse(message) {
 		c.lastUsed.Store(c.node.sinceStart())
 	}
 	c.mu.Unlock()
 	if wake {
-		// The event loop sends everything that is queued by then in one write.
+		// When the event loop wakes, it sends all queued messages in one write.
 		_ = c.gc.Wake(nil)
 	}
 	return err
 }
 
-// isUse tells whether a message shows that its link is needed. Digests, limits and
-// documents do as well as requests, though they retain nothing: counted from Release
-// alone, their links would be closed and dialled anew once an Idle.
-func isUse(message Message) bool {
+// countsAsUse reports whether sending a message restarts the link's idle time. All messages except
+// heartbeats do. Load digests, limits and documents don't retain the link: if only Release
+// restarted the idle time, a link that carries them would be closed and dialled again once per
+// Timing.Idle.
+func countsAsUse(message Message) bool {
 	switch message.(type) {
 	case *ping, *pong:
 		return false
@@ -224,28 +225,28 @@
 	}
 }
 
-// flush runs on the event loop.
+// flush writes the queued messages to the connection. It runs on the event loop.
 func (c *Conn) flush() {
 	c.mu.Lock()
-	c.woken = false
-	full := c.out.buf
-	c.out.buf = c.spare[:0]
-	c.spare = nil
+	c.wakePending = false
+	queued := c.out.buf
+	c.out.buf = c.spareBuf[:0]
+	c.spareBuf = nil
 	c.mu.Unlock()
-	if len(full) > 0 {
-		_, _ = c.gc.Write(full)
+	if len(queued) > 0 {
+		_, _ = c.gc.Write(queued)
 	}
 	c.mu.Lock()
-	if cap(full) <= maxSpareBytes {
-		c.spare = full[:0]
+	if cap(queued) <= maxSpareBytes {
+		c.spareBuf = queued[:0]
 	}
 	c.mu.Unlock()
 }
 
-// maxSpareBytes bounds the buffer that a link keeps for its next write.
+// maxSpareBytes bounds the buffer that a link keeps for reuse after a write.
 const maxSpareBytes = 1 << 20
 
-// Close ends the link; the handler's OnClose gets the reason.
+// Close closes the link. The handler's OnClose receives the reason.
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	if c.state == stateClosed {
@@ -257,12 +258,12 @@
 	}
 	wasOpen := c.state == stateOpen
 	c.state = stateClosed
-	close(c.ended)
+	close(c.done)
 	c.mu.Unlock()
 	if c.gc != nil {
 		_ = c.gc.Close()
 	}
-	c.node.closed(c, wasOpen)
+	c.node.onConnClosed(c, wasOpen)
 }
 
 func (c *Conn) closeReason() error {
@@ -274,8 +275,8 @@
 	return c.reason
 }
 
-// read handles all whole frames that have arrived. It runs on the event loop.
-func (c *Conn) read() error {
+// readFrames handles all complete frames that have been received. It runs on the event loop.
+func (c *Conn) readFrames() error {
 	for {
 		header, err := c.gc.Peek(headerBytes)
 		if err != nil || len(header) < headerBytes {
@@ -284,26 +285,26 @@
 		size := int(binary.BigEndian.Uint32(header))
 		kind := Type(header[4])
 		if size > MaxFrameBytes {
-			return errors.Wrapf(ErrFrame, "%d bytes announced", size)
+			return errors.Wrapf(ErrFrame, "payload of %d bytes", size)
 		}
 		if c.gc.InboundBuffered() < headerBytes+size {
 			return nil
 		}
 		frame, err := c.gc.Peek(headerBytes + size)
 		if err != nil {
-			return errors.Wrap(err, "link: peek")
+			return errors.Wrap(err, "link: read frame")
 		}
 		if err := c.handle(kind, frame[headerBytes:]); err != nil {
 			return err
 		}
 		if _, err := c.gc.Discard(headerBytes + size); err != nil {
-			return errors.Wrap(err, "link: discard")
+			return errors.Wrap(err, "link: discard frame")
 		}
 	}
 }
 
 func (c *Conn) handle(kind Type, payload []byte) error {
-	c.lastIn.Store(c.node.sinceStart())
+	c.lastReceived.Store(c.node.sinceStart())
 	if !c.isOpen() && kind > typeWelcome {
 		return errors.Wrap(ErrAuth, "message before the handshake")
 	}
@@ -321,9 +322,9 @@
 	case *ping:
 		_ = c.Send(&pong{Stamp: c.node.Stamp()})
 	case *pong:
-		c.pinged.Store(0)
+		c.pingedAt.Store(0)
 		c.SetStamp(m.Stamp)
-		c.pongs.release()
+		c.pongs.notifyAll()
 	default:
 		c.node.handler.OnMessage(c, message)
 	}
@@ -336,46 +337,48 @@
 	return c.state == stateOpen
 }
 
-// check runs on the node's ticker and finds a silent or idle link.
-func (c *Conn) check(now int64) {
+// checkTimeouts closes the link if it is silent or idle, and sends heartbeats. The node's ticker
+// calls it.
+func (c *Conn) checkTimeouts(now int64) {
 	if !c.isOpen() {
-		if time.Since(c.openedAt) > c.node.timing.Handshake {
+		if time.Since(c.createdAt) > c.node.timing.Handshake {
 			c.Close(errors.Wrap(ErrAuth, "no handshake in time"))
 		}
 		return
 	}
-	if c.busy.Load() <= 0 {
+	if c.retained.Load() <= 0 {
 		if c.dialed {
 			c.checkUnretained(now)
 		}
 		return
 	}
-	quiet := now - c.lastIn.Load()
+	quiet := now - c.lastReceived.Load()
 	if quiet > int64(c.node.timing.Silence) {
 		c.Close(ErrSilent)
 		return
 	}
-	if quiet > int64(c.node.timing.Heartbeat) && c.pinged.CompareAndSwap(0, now) {
+	if quiet > int64(c.node.timing.Heartbeat) && c.pingedAt.CompareAndSwap(0, now) {
 		_ = c.Send(&ping{})
 	}
 }
 
-// checkUnretained finds a link that is idle, or silent although messages go out on it. No
-// heartbeats run there, and digests are not answered: without the ping once an Idle they
-// would go to a peer that is gone for as long as TCP tries, and nobody would dial anew.
+// checkUnretained closes a link without requests if it is idle, or if the peer is silent although
+// messages are sent on it. Such a link has no regular heartbeats and load digests are not answered.
+// Without a ping once per Timing.Idle, digests would be sent to an unreachable peer until TCP gives
+// up, and the link would not be dialled again.
 func (c *Conn) checkUnretained(now int64) {
 	if now-c.lastUsed.Load() > int64(c.node.timing.Idle) {
 		c.Close(ErrIdle)
 		return
 	}
-	if now-c.lastIn.Load() <= int64(c.node.timing.Idle) {
+	if now-c.lastReceived.Load() <= int64(c.node.timing.Idle) {
 		return
 	}
-	if c.pinged.CompareAndSwap(0, now) {
+	if c.pingedAt.CompareAndSwap(0, now) {
 		_ = c.Send(&ping{})
 		return
 	}
-	if now-c.pinged.Load() > int64(c.node.timing.Silence) {
+	if now-c.pingedAt.Load() > int64(c.node.timing.Silence) {
 		c.Close(ErrSilent)
 	}
 }
--- a/peers/link/control_message.go
+++ b/peers/link/control_message.go
@@ -10,9 +10,9 @@
 	"acaciacleat.example/core/quarantine"
 )
 
-// Hold asks the agent of a group member to reserve engine memory, which it does when the
-// request's turn has come in its own queue. With Confirm set it says that the group is
-// complete and, repeated, that its leader lives.
+// Hold asks the agent of a group member to reserve engine memory. The agent reserves it when the
+// request reaches the head of the agent's own queue. With Confirm set, the message says that the
+// group is complete; it is then repeated as the leader's heartbeat.
 type Hold struct {
 	ID           call.ID
 	Attempt      call.Attempt
@@ -20,7 +20,7 @@
 	Confirm      bool
 	Organisation string
 	PromptTokens int
-	// TimeLeftMs is the time left to the request's deadline, in milliseconds.
+	// TimeLeftMs is the time until the request's deadline, in milliseconds.
 	TimeLeftMs int64
 }
 
@@ -34,15 +34,14 @@
 	Upstream string
 }
 
-// Release gives a reservation back.
+// Release releases a reservation.
 type Release struct {
 	ID      call.ID
 	Attempt call.Attempt
 }
 
-// ConfigPush passes on the changes that lead from revision After to Revision; see
-// core/spread. Changes is empty when the sender no longer has them: the receiver then
-// asks for them.
+// ConfigPush pushes the changes from revision After to Revision; see core/spread. Changes is empty
+// if the sender no longer has them; the receiver then requests them.
 type ConfigPush struct {
 	Root     string
 	Zone     string
@@ -51,21 +50,21 @@
 	Changes  []byte
 }
 
-// ConfigAck tells that nodes have a revision in force.
+// ConfigAck acknowledges that nodes have applied a revision.
 type ConfigAck struct {
 	Root     string
 	Revision uint64
 	Nodes    []string
 }
 
-// ConfigAsk asks for the changes after a revision.
+// ConfigAsk requests the changes after a revision.
 type ConfigAsk struct {
 	After uint64
 	Nonce uint64
 }
 
-// ConfigAnswer answers ConfigAsk with changes, or with one part of the whole state when
-// After is 0. Highest is the highest revision that the sender has heard of.
+// ConfigAnswer answers a request for changes with the changes, or with one part of the whole state
+// if After is 0. Highest is the highest revision known to the sender.
 type ConfigAnswer struct {
 	Nonce    uint64
 	After    uint64
@@ -76,22 +75,22 @@
 	Parts    int
 }
 
-// LimitAsk asks the entry that owns an organisation's limits for a request and for a batch
-// beyond it; see core/limits.
+// LimitAsk requests limits from the entry that owns an organisation's limits: for one request and
+// for a batch in advance; see core/limits.
 type LimitAsk struct {
 	Service      string
 	Organisation string
 	Sequence     uint64
-	// Tokens are those of the request.
+	// Tokens is the number of tokens of the request.
 	Tokens float64
-	// Held is the concurrency that the asker holds.
+	// Held is the concurrency that the sender holds.
 	Held int
-	// MoreRequests and MoreTokens are wanted beyond the request.
+	// MoreRequests and MoreTokens are requested in addition to the request.
 	MoreRequests float64
 	MoreTokens   float64
 }
 
-// LimitGrant answers LimitAsk.
+// LimitGrant answers a request for limits.
 type LimitGrant struct {
 	Service      string
 	Organisation string
@@ -100,13 +99,14 @@
 	Requests     float64
 	Tokens       float64
 	Held         int
-	// RetryAfterMs is when the caller may ask again, in milliseconds; Refused is the least
-	// number of tokens that has no chance before.
+	// RetryAfterMs is the time after which the caller may retry, in milliseconds. Refused is the
+	// smallest number of tokens that would be refused before then.
 	RetryAfterMs int64
 	Refused      float64
 }
 
-// LimitRenew tells an owner the concurrency that the sender holds. It is not answered.
+// LimitRenew renews the concurrency that the sender holds with the owner of the limits. It is not
+// answered.
 type LimitRenew struct {
 	Holds []LimitHold
 }
@@ -119,32 +119,34 @@
 	Held         int
 }
 
-// StatusAsk asks an agent what its engine serves and how well.
+// StatusAsk requests the state of an agent's engine: the model that it serves and how well it does
+// so.
 type StatusAsk struct {
 	Nonce uint64
 }
 
-// Status answers StatusAsk.
+// Status answers a request for an engine's state.
 type Status struct {
 	Nonce    uint64
 	Model    string
 	Version  string
 	Adapters []string
 	Role     string
-	// Reported says that the engine has given a report since the agent's start; without it
-	// the fields above are empty and mean nothing. EngineDown says that it gives none now.
+	// Reported is set if the engine has reported its state since the agent started; otherwise the
+	// fields above are empty and have no meaning. EngineDown is set if it currently does not
+	// report.
 	Reported   bool
 	EngineDown bool
-	// Requests, ErrorRate (0 to 1) and FirstMs, the mean time to first token in
-	// milliseconds, are of the last minutes and of the version served now.
+	// Requests, ErrorRate (0 to 1) and FirstMs, the mean time to first token in milliseconds, cover
+	// the last minutes and only the version that is served now.
 	Requests  int
 	ErrorRate float64
 	FirstMs   float64
-	// OrderError tells why the last order failed; it is empty when it did not.
+	// OrderError is the error of the last order; it is empty if the order succeeded.
 	OrderError string
 }
 
-// Order asks an agent to change what its engine serves.
+// Order asks an agent to change the model, version, adapter or role that its engine serves.
 type Order struct {
 	Nonce   uint64
 	Kind    string
@@ -154,38 +156,39 @@
 	Role    string
 	// Fence is the fencing number of the lease under which the order is given.
 	Fence uint64
-	// Stamp is the agent's clock as the sender saw it last. The order is to be begun within
-	// StartMs of that and ended within LifeMs of its beginning, in milliseconds.
+	// Stamp is the agent's latest clock stamp known to the sender. The agent must start the order
+	// within StartMs after Stamp and complete it within LifeMs after the start; both are in
+	// milliseconds.
 	Stamp   int64
 	StartMs int64
 	LifeMs  int64
 }
 
-// OrderAnswer tells whether an agent obeys an order. A refused one has no effect.
+// OrderAnswer says whether an agent accepts an order. A refused order has no effect.
 type OrderAnswer struct {
 	Nonce  uint64
 	OK     bool
 	Detail string
 }
 
-// Works tells what an entry has placed on upstreams, in order.
+// Works carries the changes of an entry's placements on upstreams, in order, and its reports.
 type Works struct {
-	// Origin is the entry's incarnation, which is not the sender's where the message was
-	// passed on.
+	// Origin is the incarnation of the entry that the message is from. If the message was
+	// forwarded, it differs from the sender's.
 	Origin call.Incarnation
-	// Pass asks the receiver to pass the message on to the entries of its availability zone.
+	// Pass asks the receiver to forward the message to the entries of its availability zone.
 	Pass   bool
 	Events []dispatch.Event
-	// Reports is what it has seen of upstreams, and Quarantine what it has of requests under
+	// Reports are the entry's reports on upstreams, and Quarantine its reports on requests under
 	// which upstreams crash.
 	Reports    []evidence.Report
 	Quarantine []quarantine.Report
-	// Ask, if not nil, asks the receiver for a part of the routes that it has in force.
+	// Ask, if not nil, requests a part of the routing table that the receiver has in force.
 	Ask *fetch.Request
 }
 
-// RoutesPart is a part of the compressed encoding of a table of routes; see core/fetch. It is sent
-// only to an entry that has asked for it.
+// RoutesPart is a part of the compressed encoding of a routing table; see core/fetch. It is sent
+// only to an entry that has requested it.
 type RoutesPart struct {
 	Version uint64
 	Sum     uint32
@@ -194,14 +197,14 @@
 	Data    []byte
 }
 
-// Routes tells which table of routes the sender has in force. Value, its encoding, is sent
-// only where RoutesAsk has asked for it.
+// Routes announces the version of the routing table that the sender has in force. Value, the
+// table's encoding, is sent only to an entry that has requested the whole table.
 type Routes struct {
 	Version uint64
 	Value   []byte
 }
 
-// Feed names one of the platform's feeds that entries follow.
+// Feed identifies one of the platform's feeds that entries follow.
 type Feed uint8
 
 // The feeds.
@@ -222,35 +225,36 @@
 	}
 }
 
-// News tells what the sender has just read of a feed.
+// News carries the changes that the sender has just read from a feed.
 type News struct {
 	Feed Feed
-	// From and To are the places in the feed between which it has read; Routes and
-	// Changes are all that happened between them.
+	// From and To are the feed positions between which the sender has read. Routes and Changes are
+	// all the changes between them.
 	From uint64
 	To   uint64
-	// Routes is the newest encoded table of routes; empty for no change.
+	// Routes is the newest encoded routing table; it is empty if the table has not changed.
 	Routes []byte
-	// Changes are those of upstreams.
+	// Changes are the changes of upstreams.
 	Changes []dispatch.Change
-	// Omitted says that there are news too large to be sent along; see OmitRoutes.
+	// Omitted is set if the routing table has changed but is too large for this message; see
+	// OmitRoutes.
 	Omitted bool
-	// Lost says that the sender could not read; Returned that it could not the time before.
+	// Lost is set if the sender could not read the feed, and Returned if its previous read failed.
 	Lost     bool
 	Returned bool
 }
 
-// OmitRoutes leaves out the table of routes and tells its version; zero for one that isn't known.
+// OmitRoutes replaces the routing table by its version, which is zero if it is unknown.
 func (n *News) OmitRoutes(version uint64) {
 	n.Omitted, n.Routes = true, nil
 	if version > 0 {
-		// An entry of the earlier version reads no routes where Omitted is set.
+		// An entry that runs an earlier version of this program ignores Routes if Omitted is set.
 		n.Routes = binary.BigEndian.AppendUint64(nil, version)
 	}
 }
 
-// OmittedVersion returns the version of a table of routes that was left out; zero for one that isn't
-// known.
+// OmittedVersion returns the version of a routing table that was omitted, or zero if it is unknown
+// or the table was not omitted.
 func (n *News) OmittedVersion() uint64 {
 	if !n.Omitted || len(n.Routes) != 8 {
 		return 0
@@ -258,6 +262,6 @@
 	return binary.BigEndian.Uint64(n.Routes)
 }
 
-// RoutesAsk asks for the whole encoded table of routes that the receiver has in force. Only entries
-// that know no parts send it.
+// RoutesAsk requests the whole encoded routing table that the receiver has in force. Only entries
+// that run a version without RoutesPart send it.
 type RoutesAsk struct{}
--- a/peers/link/handshake.go
+++ b/peers/link/handshake.go
@@ -12,13 +12,13 @@
 	return c.sendLocked(message)
 }
 
-// onChallenge is the dialler's first step: it proves its key over both nonces.
+// onChallenge is the dialler's first step: it answers with a proof of its key over both nonces.
 func (c *Conn) onChallenge(m *challenge) error {
 	if !c.dialed || c.nonce != nil || len(m.Nonce) != nonceBytes {
 		return errors.Wrap(ErrAuth, "unexpected challenge")
 	}
 	c.nonce = newNonce()
-	c.theirNonce = append([]byte(nil), m.Nonce...)
+	c.peerNonce = append([]byte(nil), m.Nonce...)
 	self := c.node.self
 	return c.sendHandshake(&hello{
 		Self:  self,
@@ -27,7 +27,7 @@
 	})
 }
 
-// onHello is the acceptor's check of the dialler's proof.
+// onHello verifies the dialler's proof at the acceptor and answers with the acceptor's own proof.
 func (c *Conn) onHello(m *hello) error {
 	if c.dialed || c.isOpen() || len(m.Nonce) != nonceBytes {
 		return errors.Wrap(ErrAuth, "unexpected hello")
@@ -45,25 +45,25 @@
 	if err != nil {
 		return err
 	}
-	c.becomeOpen()
+	c.markOpen()
 	return nil
 }
 
-// onWelcome is the dialler's check of the acceptor's proof.
+// onWelcome verifies the acceptor's proof at the dialler.
 func (c *Conn) onWelcome(m *welcome) error {
 	if !c.dialed || c.isOpen() || c.nonce == nil {
 		return errors.Wrap(ErrAuth, "unexpected welcome")
 	}
-	if !c.node.keys.verify(m.Proof, labelAccept, c.nonce, c.theirNonce, &m.Self) {
+	if !c.node.keys.verify(m.Proof, labelAccept, c.nonce, c.peerNonce, &m.Self) {
 		return ErrAuth
 	}
 	c.peer = m.Self
 	c.SetStamp(m.Stamp)
-	c.becomeOpen()
+	c.markOpen()
 	return nil
 }
 
-func (c *Conn) becomeOpen() {
+func (c *Conn) markOpen() {
 	c.mu.Lock()
 	open := c.state == stateOpening
 	if open {
--- a/peers/link/handshake_message.go
+++ b/peers/link/handshake_message.go
@@ -1,6 +1,6 @@
 package link
 
-// challenge opens the handshake; the acceptor sends it.
+// challenge starts the handshake. The acceptor sends it.
 type challenge struct {
 	Nonce []byte
 }
@@ -19,7 +19,7 @@
 	Stamp int64
 }
 
-// ping asks for a sign of life; pong answers with the sender's clock stamp.
+// ping is a heartbeat. The peer answers it with a pong, which carries the peer's clock stamp.
 type ping struct{}
 
 type pong struct {
--- a/peers/link/link_test.go
+++ b/peers/link/link_test.go
@@ -18,7 +18,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// recorder hands copies of what happens to the test.
+// recorder is a Handler that passes copies of all events to the test.
 type recorder struct {
 	open   chan *Conn
 	chunks chan Chunk
@@ -59,7 +59,7 @@
 	return node, events
 }
 
-func TestMessagesArriveWholeAndInOrder(t *testing.T) {
+func TestMessagesArriveCompleteAndInOrder(t *testing.T) {
 	keys := NewKeys([]byte("k"), nil)
 	a, _ := startNode(t, "a", keys, Timing{})
 	b, events := startNode(t, "b", keys, Timing{})
@@ -102,20 +102,19 @@
 	}
 }
 
-// Symptom: a call waits for good on a link that TCP shows as established.
-// Sequence: a link opens, a request is put on it, then a device between the ends drops
-// every byte without a reset.
-// Cause: TCP alone reports such a loss only after many minutes.
-func TestSilentLinkIsFoundWhileBusy(t *testing.T) {
+// A device between the ends that drops all data without a reset leaves the TCP connection
+// established for many minutes. A link with a request in flight must detect the silence, so that
+// the request does not hang.
+func TestSilentLinkClosesDuringRequests(t *testing.T) {
 	keys := NewKeys([]byte("k"), nil)
 	timing := Timing{Heartbeat: 100 * time.Millisecond, Silence: 300 * time.Millisecond, Idle: time.Minute, Handshake: time.Second}
 	a, events := startNode(t, "a", keys, timing)
 	b, _ := startNode(t, "b", keys, timing)
-	relay := newMuteRelay(t, b.Addr())
+	relay := newDroppingRelay(t, b.Addr())
 	c, err := a.Dial(context.Background(), "b", relay.addr)
 	require.NoError(t, err)
 	<-events.open
-	relay.mute()
+	relay.dropAll()
 	c.Retain()
 	require.ErrorIs(t, <-events.closed, ErrSilent)
 	require.Nil(t, a.Existing("b"))
@@ -124,10 +123,9 @@
 	require.NotSame(t, c, again)
 }
 
-// Symptom: work meant for a VM that was replaced reaches its successor.
-// Sequence: the list still shows the old VM's address, where another VM now listens.
-// Cause: an address alone does not tell who listens on it.
-func TestDialRefusesAnotherVM(t *testing.T) {
+// The VM list may still contain the address of a replaced VM, on which another VM now listens.
+// That VM must not receive the requests meant for the old one.
+func TestDialRejectsAnotherVM(t *testing.T) {
 	keys := NewKeys([]byte("k"), nil)
 	a, _ := startNode(t, "a", keys, Timing{})
 	b, _ := startNode(t, "b", keys, Timing{})
@@ -151,18 +149,18 @@
 	})
 }
 
-// muteRelay forwards bytes between a dialler and target until it is muted; then it
-// swallows them without closing anything.
-type muteRelay struct {
-	addr  string
-	muted chan struct{}
+// droppingRelay forwards data between a dialler and a target. After dropAll, it discards all data
+// without closing the connections.
+type droppingRelay struct {
+	addr     string
+	dropping chan struct{}
 }
 
-func newMuteRelay(t *testing.T, target string) *muteRelay {
+func newDroppingRelay(t *testing.T, target string) *droppingRelay {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	r := &muteRelay{addr: listener.Addr().String(), muted: make(chan struct{})}
+	r := &droppingRelay{addr: listener.Addr().String(), dropping: make(chan struct{})}
 	go func() {
 		from, err := listener.Accept()
 		if err != nil {
@@ -178,9 +176,9 @@
 	return r
 }
 
-func (r *muteRelay) mute() { close(r.muted) }
+func (r *droppingRelay) dropAll() { close(r.dropping) }
 
-func (r *muteRelay) copy(to, from net.Conn) {
+func (r *droppingRelay) copy(to, from net.Conn) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
@@ -188,14 +186,14 @@
 			return
 		}
 		select {
-		case <-r.muted:
+		case <-r.dropping:
 		default:
 			_, _ = to.Write(buf[:n])
 		}
 	}
 }
 
-// TestDigestSize is the source of core/load's figure for the bytes of a digest.
+// TestDigestSize checks the size of a digest that core/load states.
 func TestDigestSize(t *testing.T) {
 	report := LoadReport{Agent: "engine-1234", Incarnation: 1 << 63, Model: "assistant-1"}
 	report.Load.FreeTokens = 400_000
@@ -212,10 +210,10 @@
 	require.LessOrEqual(t, len(w.buf), 140)
 }
 
-// Symptom: links between agents are closed and dialled anew once a minute.
-// Sequence: a link carries a digest now and then and no request for longer than Idle.
-// Cause: counting idleness from the last request alone.
-func TestLinkInUseWithoutRequestsStaysOpen(t *testing.T) {
+// A link that carries an occasional digest and no request for longer than Idle must stay open. If
+// the idle time counted from the last request alone, links between agents would be closed and
+// dialled again once a minute.
+func TestLinkWithTrafficButNoRequestsStaysOpen(t *testing.T) {
 	const idle = time.Minute
 	keys := NewKeys([]byte("k"), nil)
 	a, _ := startNode(t, "a", keys, Timing{Heartbeat: idle, Silence: 2 * idle, Idle: idle, Handshake: idle})
@@ -226,25 +224,24 @@
 	require.NoError(t, c.Send(&Ack{Seq: 1}))
 	<-events.other
 	sent := c.lastUsed.Load()
-	c.check(opened + int64(idle) + 1)
-	require.True(t, c.isOpen(), "it was in use less than Idle ago")
-	c.check(sent + int64(idle) + 1)
-	require.False(t, c.isOpen(), "nothing needed it for longer than Idle")
+	c.checkTimeouts(opened + int64(idle) + 1)
+	require.True(t, c.isOpen(), "the link was used less than Idle ago")
+	c.checkTimeouts(sent + int64(idle) + 1)
+	require.False(t, c.isOpen(), "the link was not used for longer than Idle")
 }
 
-// Symptom: digests go for many minutes to a peer that is gone.
-// Sequence: a link carries digests and no request; a device between the ends drops every
-// byte without a reset.
-// Cause: each digest counts as use, and heartbeats run for requests only.
-func TestSilentLinkIsFoundWhileItCarriesDigests(t *testing.T) {
+// On a link that carries only digests, each digest counts as use and no regular heartbeats are
+// sent. If a device between the ends drops all data without a reset, the link must still be closed;
+// otherwise digests would be sent to an unreachable peer for many minutes.
+func TestSilentLinkClosesWhileSendingDigests(t *testing.T) {
 	keys := NewKeys([]byte("k"), nil)
 	timing := Timing{Heartbeat: 100 * time.Millisecond, Silence: 300 * time.Millisecond, Idle: 300 * time.Millisecond, Handshake: time.Second}
 	a, events := startNode(t, "a", keys, timing)
 	b, _ := startNode(t, "b", keys, timing)
-	relay := newMuteRelay(t, b.Addr())
+	relay := newDroppingRelay(t, b.Addr())
 	c, err := a.Dial(context.Background(), "b", relay.addr)
 	require.NoError(t, err)
-	relay.mute()
+	relay.dropAll()
 	digests := time.NewTicker(50 * time.Millisecond)
 	defer digests.Stop()
 	for {
@@ -258,9 +255,9 @@
 	}
 }
 
-// TestWorksSize is the source of docs/CAPACITY.md's figure for the bytes that tell of one
-// request: where it was placed, that it began and that it ended.
-func TestWorksSize(t *testing.T) {
+// TestDispatchUpdateSize checks the size, stated in docs/CAPACITY.md, of the events of one request:
+// its placement, its first event and its end.
+func TestDispatchUpdateSize(t *testing.T) {
 	placed := dispatch.Event{
 		Kind: dispatch.Placed, Number: 100_000, First: 1 << 31, Helpers: make([]dispatch.Tag, 7), Tickets: make([]int, 7),
 		Prompt: 182_000, Output: 650, PartMs: 490, AimMs: 4000, GapMs: 1000, LeftMs: 15_000,
@@ -279,8 +276,7 @@
 	}
 }
 
-// TestReportSize is the source of docs/CAPACITY.md's figure for the bytes of one report on an
-// upstream.
+// TestReportSize checks the size of one report on an upstream that docs/CAPACITY.md states.
 func TestReportSize(t *testing.T) {
 	size := func(reports []evidence.Report) int {
 		w := newFrameWriter()
@@ -293,9 +289,9 @@
 	require.LessOrEqual(t, bytes, 24)
 }
 
-// Symptom: in an upgrade, entries of the two versions lose their links again and again. Cause: a
-// message that both exchange has a field more than the older one knows.
-func TestWorksOfOtherVersionsAreRead(t *testing.T) {
+// During an upgrade, entries of two versions exchange this message. A field that the older version
+// does not know would make it close the link each time.
+func TestDispatchUpdateAcrossVersions(t *testing.T) {
 	type olderWorks struct {
 		Origin call.Incarnation
 		Pass   bool
@@ -322,7 +318,7 @@
 	require.Equal(t, &Works{Origin: 3, Events: events, Reports: reports, Quarantine: held, Ask: ask}, message)
 	var read olderWorks
 	require.NoError(t, msgpack.Unmarshal(newer, &read))
-	require.Equal(t, events, read.Events[:1], "it skips the kinds behind that it doesn't know")
+	require.Equal(t, events, read.Events[:1], "an older entry skips the event kinds after it, which it does not know")
 	require.Len(t, read.Events, 6)
 	fleet := dispatch.NewFleet(dispatch.Settings{})
 	fleet.ApplyEvents(time.Now(), 3, read.Events)
@@ -335,17 +331,17 @@
 	return w.buf, err
 }
 
-// Symptom: a process on a VM with one core answers nobody for a second after its start, and
-// its timers ring late. Sequence: it starts its links and waits for its first answers.
-// Cause: the loops of its links wait in system calls that hold the scheduler's one processor.
-func TestLoopsLeaveTheSchedulerAProcessor(t *testing.T) {
+// On a VM with one core, the event loops wait in system calls that occupy the scheduler's only
+// processor. Without more processors, a process would not respond for a second after its start and
+// its timers would fire late.
+func TestStartReservesProcessors(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	startNode(t, "a", NewKeys([]byte("k"), nil), Timing{})
-	require.Equal(t, 4, runtime.GOMAXPROCS(0), "two loops, an acceptor and one for the rest")
+	require.Equal(t, 4, runtime.GOMAXPROCS(0), "two event loops, an acceptor and one for all other goroutines")
 }
 
-// A process that has more processors keeps them.
-func TestProcessorsAreNotTakenAway(t *testing.T) {
+// Start does not lower GOMAXPROCS.
+func TestStartKeepsExistingProcessors(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(9))
 	startNode(t, "a", NewKeys([]byte("k"), nil), Timing{})
 	require.Equal(t, 9, runtime.GOMAXPROCS(0))
--- a/peers/link/message.go
+++ b/peers/link/message.go
@@ -6,10 +6,10 @@
 	"acaciacleat.example/core/routing"
 )
 
-// Type tells what a frame carries.
+// Type is the type of the message that a frame carries.
 type Type uint8
 
-// The types of frame. Numbers are part of the protocol and never reused.
+// The frame types. The numbers are part of the protocol and must not be reused.
 const (
 	typeChallenge    Type = 1
 	typeHello        Type = 2
@@ -52,10 +52,10 @@
 	TypeRoutesPart   Type = 74
 )
 
-// Message is anything that a frame carries.
+// Message is a message that a frame carries.
 type Message interface{ Type() Type }
 
-// GroupMember is an agent with the address of its links.
+// GroupMember is an agent of a group and the address on which it accepts links.
 type GroupMember struct {
 	Agent string
 	Link  string
@@ -67,16 +67,16 @@
 	Value string
 }
 
-// Offer asks an agent to run a call. The body follows in Body messages once the agent
-// has accepted, unless it is small enough to be inline.
+// Offer offers a call to an agent. The request's body is inline if it is small enough; otherwise it
+// is sent in Body messages once the agent has accepted.
 type Offer struct {
 	ID      call.ID
 	Attempt call.Attempt
-	// BoundTo is the agent incarnation that may run the call; any other refuses it.
+	// BoundTo is the agent incarnation that may run the call; any other incarnation refuses it.
 	BoundTo call.Incarnation
-	// Stamp is the agent's last clock stamp that the entry saw, in nanoseconds since the
-	// agent's start. The agent refuses an offer with an old one, so that a late offer can
-	// not run a call that the agent has already forgotten.
+	// Stamp is the agent's latest clock stamp known to the entry, in nanoseconds since the agent
+	// started. The agent refuses an offer with an old stamp, so that a delayed offer can't run a
+	// call of which the agent has already dropped the record.
 	Stamp        int64
 	Service      string
 	Model        string
@@ -84,7 +84,7 @@
 	Plain        bool
 	Chat         bool
 	Repeatable   bool
-	// TimeLeftMs is the time left to the deadline, in milliseconds.
+	// TimeLeftMs is the time until the deadline, in milliseconds.
 	TimeLeftMs      int64
 	PromptTokens    int
 	MaxTokens       int
@@ -97,37 +97,38 @@
 	Header          []HeaderField
 	BodyBytes       int
 	Body            []byte
-	// Group lists agents that may take part in a request that needs the memory of more
-	// than one engine, the best ones first.
+	// Group lists the agents that may take part in a request that needs the memory of more than one
+	// engine, in order of preference.
 	Group []GroupMember
-	// Objective is the service's objective in the entry's revision of the documents, and
-	// Revision the highest that the entry has heard of: agents keep no documents, they
-	// learn with each offer what concerns them.
+	// Objective is the service's objective in the entry's revision of the documents, and Revision
+	// the highest revision known to the entry. Agents store no documents, so each offer carries the
+	// settings that they need.
 	Objective string
 	Revision  uint64
 }
 
-// Accepted says that the agent will run the call, or runs it already.
+// Accepted means that the agent will run the call or already runs it.
 type Accepted struct {
 	ID      call.ID
 	Attempt call.Attempt
-	// Queued is the number of requests ahead of it.
+	// Queued is the number of requests ahead of the call in the agent's queue.
 	Queued int
 	Load   LoadReport
 }
 
-// Refused is the agent's proof that this attempt did not run and never will.
+// Refused proves that the agent has not run this attempt and never will.
 type Refused struct {
 	ID        call.ID
 	Attempt   call.Attempt
 	Code      result.Code
 	Execution result.Execution
 	Detail    string
-	// Better names an agent believed to be less loaded; it may be empty.
+	// Better is an agent that is believed to be less loaded; it may be empty.
 	Better string
-	// RetryAfterMs is when the caller may ask again, in milliseconds; 0 for no advice.
+	// RetryAfterMs is the time after which the caller may retry, in milliseconds; 0 means that none
+	// is given.
 	RetryAfterMs int64
-	// Stamp is the agent's clock stamp, for the next offer.
+	// Stamp is the agent's clock stamp, to be used in the next offer.
 	Stamp int64
 	Load  LoadReport
 }
@@ -140,7 +141,7 @@
 	Data    []byte
 }
 
-// Head carries the status and headers of a plain service's answer.
+// Head carries the status and headers of a plain service's response.
 type Head struct {
 	ID      call.ID
 	Attempt call.Attempt
@@ -148,7 +149,7 @@
 	Header  []HeaderField
 }
 
-// Chunk carries one frame of an answer. Data is valid only during the handler's call.
+// Chunk carries one part of a response. Data is valid only during the handler's call.
 type Chunk struct {
 	ID      call.ID
 	Attempt call.Attempt
@@ -157,7 +158,7 @@
 	Data    []byte
 }
 
-// End closes an answer. Seq is the sequence number after the last chunk's.
+// End ends a response. Seq is the sequence number that follows the last chunk's.
 type End struct {
 	ID               call.ID
 	Attempt          call.Attempt
@@ -169,29 +170,30 @@
 	PromptTokens     int
 	CachedTokens     int
 	CompletionTokens int
-	// QueueMs and FirstMs tell how long the call waited at the agent and how long the
-	// engine took to its first token, in milliseconds.
+	// QueueMs is the time that the call waited in the agent's queue, and FirstMs the engine's time to
+	// first token, both in milliseconds.
 	QueueMs float64
 	FirstMs float64
 	Load    LoadReport
 }
 
-// Ack acknowledges every chunk up to Seq; the agent forgets them and may send more.
+// Ack acknowledges all chunks up to Seq. The agent drops them from its buffer and may send more.
 type Ack struct {
 	ID      call.ID
 	Attempt call.Attempt
 	Seq     uint64
 }
 
-// Cancel ends a call. The agent remembers the id, so that a late offer of it is refused.
+// Cancel cancels a call. The agent records the call's ID, so that it refuses a delayed offer of the
+// call.
 type Cancel struct {
 	ID      call.ID
 	Attempt call.Attempt
-	// Stamp is that of the call's offers.
+	// Stamp is the stamp of the call's offers.
 	Stamp int64
 }
 
-// Cancelled answers Cancel with what is known about execution.
+// Cancelled answers Cancel. It says whether the call is known to have run.
 type Cancelled struct {
 	ID        call.ID
 	Attempt   call.Attempt
@@ -199,42 +201,42 @@
 	Stamp     int64
 }
 
-// Resume asks for an answer's frames from NextSeq on over this link.
+// Resume asks the agent to send a response's chunks from NextSeq on over this link.
 type Resume struct {
 	ID      call.ID
 	Attempt call.Attempt
 	NextSeq uint64
 }
 
-// Gone answers Resume when the agent does not know the call.
+// Gone answers Resume if the agent does not know the call.
 type Gone struct {
 	ID      call.ID
 	Attempt call.Attempt
 }
 
-// Leaving says that the sender takes no new work.
+// Leaving says that the sending agent drains: it accepts no new calls.
 type Leaving struct {
 	Agent string
 }
 
-// Left answers Leaving: the sender has offered all that it had chosen the agent for, over
-// this link, and will offer nothing more.
+// Left answers Leaving. The sender has sent, over this link, all offers for which it had already
+// chosen the agent, and will send no more.
 type Left struct{}
 
-// LoadReport is a load digest with its origin.
+// LoadReport is a load digest and the agent that it describes.
 type LoadReport struct {
 	Agent       string
 	Incarnation call.Incarnation
 	Model       string
 	Leaving     bool
-	// AgeMs is how old the digest is at the sender, in milliseconds.
+	// AgeMs is the digest's age when it was sent, in milliseconds.
 	AgeMs int64
 	Load  routing.Load
-	// Revision is the highest revision of the documents that the agent has heard of.
+	// Revision is the highest revision of the documents known to the agent.
 	Revision uint64
 }
 
-// Loads carries the digests of a group of agents.
+// Loads carries the load digests of a group of agents.
 type Loads struct {
 	Reports []LoadReport
 }
--- a/peers/link/node.go
+++ b/peers/link/node.go
@@ -14,30 +14,32 @@
 	"golang.org/x/sync/singleflight"
 )
 
-// Handler takes what happens on a node's links. Its methods run on event loops and must
-// not block; a message is valid only during the call.
+// Handler handles the events of a node's links. Its methods run on event loops and must not block.
+// A message is valid only during the call.
 type Handler interface {
-	// OnOpen runs once a link's handshake is done, before any OnMessage of it.
+	// OnOpen is called when a link's handshake has completed, before any OnMessage for the link.
 	OnOpen(c *Conn)
 	OnMessage(c *Conn, message Message)
-	// OnClose runs once for each link that was open.
+	// OnClose is called once for each link that was open.
 	OnClose(c *Conn, reason error)
 }
 
-// Timing holds a node's time limits.
+// Timing configures the time limits of a node's links.
 type Timing struct {
-	// Heartbeat is the quiet time on a busy link after which a ping goes out.
+	// Heartbeat is the time without received data after which a link with requests in flight sends
+	// a ping.
 	Heartbeat time.Duration
-	// Silence is the quiet time on a busy link after which it counts as lost.
+	// Silence is the time without received data after which a link with requests in flight is
+	// closed with ErrSilent.
 	Silence time.Duration
-	// Idle is the time without a request after which the dialler closes a link.
+	// Idle is the time without requests and sent messages after which the dialler closes a link.
 	Idle time.Duration
-	// Handshake bounds dialling and the proof of the key.
+	// Handshake bounds the time to dial and to authenticate both ends.
 	Handshake time.Duration
 }
 
-// DefaultTiming finds a silent link in at most 1.5 s plus one tick, which keeps a dead
-// upstream from getting new work for more than 2 s.
+// DefaultTiming detects a silent link within 1.5 s plus one tick, so that a failed upstream
+// receives no new requests after 2 s.
 var DefaultTiming = Timing{
 	Heartbeat: 500 * time.Millisecond,
 	Silence:   1500 * time.Millisecond,
@@ -45,24 +47,26 @@
 	Handshake: 1 * time.Second,
 }
 
-const tickEvery = 100 * time.Millisecond
+// tickInterval is the interval at which the timeouts of all links are checked.
+const tickInterval = 100 * time.Millisecond
 
 // Config configures a Node.
 type Config struct {
-	// Listen is the IP address and port to take links on; port 0 chooses one.
+	// Listen is the IP address and port on which links are accepted; port 0 picks a free port.
 	Listen  string
 	Self    Identity
 	Keys    *Keys
 	Handler Handler
-	// Loops is the number of event loops for accepted links and for dialled ones each;
+	// Loops is the number of event loops for accepted links, and also the number for dialled links;
 	// 0 means 1.
 	Loops  int
 	Timing Timing
-	// Stamp is the clock that pongs carry, in nanoseconds; nil means the node's own.
+	// Stamp is the clock for the stamps in pongs, in nanoseconds; nil means the time since the
+	// node's start.
 	Stamp func() int64
 }
 
-// Node is a process's end of all its links.
+// Node manages all links of a process.
 type Node struct {
 	gnet.BuiltinEventEngine
 
@@ -73,52 +77,52 @@
 	stamp   func() int64
 	start   time.Time
 
-	engine  gnet.Engine
-	client  *gnet.Client
-	addr    string
-	booted  chan error
-	ran     chan struct{}
-	stopped chan struct{}
-	ticks   sync.WaitGroup
-
-	dials singleflight.Group
-	mu    sync.Mutex
-	conns map[*Conn]struct{}
-	byVM  map[string]*Conn
-	ended bool
+	engine    gnet.Engine
+	client    *gnet.Client
+	addr      string
+	started   chan error
+	runDone   chan struct{}
+	stopTicks chan struct{}
+	ticks     sync.WaitGroup
+
+	dials   singleflight.Group
+	mu      sync.Mutex
+	conns   map[*Conn]struct{}
+	byVM    map[string]*Conn
+	closing bool
 }
 
-// Start listens and returns once links can be taken and dialled.
+// Start starts a node. When it returns, links can be accepted and dialled.
 func Start(config Config) (*Node, error) {
 	n := &Node{
-		self:    config.Self,
-		keys:    config.Keys,
-		handler: config.Handler,
-		timing:  config.Timing,
-		stamp:   config.Stamp,
-		start:   time.Now(),
-		booted:  make(chan error, 2),
-		ran:     make(chan struct{}),
-		stopped: make(chan struct{}),
-		conns:   make(map[*Conn]struct{}),
-		byVM:    make(map[string]*Conn),
+		self:      config.Self,
+		keys:      config.Keys,
+		handler:   config.Handler,
+		timing:    config.Timing,
+		stamp:     config.Stamp,
+		start:     time.Now(),
+		started:   make(chan error, 2),
+		runDone:   make(chan struct{}),
+		stopTicks: make(chan struct{}),
+		conns:     make(map[*Conn]struct{}),
+		byVM:      make(map[string]*Conn),
 	}
 	if n.timing == (Timing{}) {
 		n.timing = DefaultTiming
 	}
 	loops := max(config.Loops, 1)
-	leaveProcessors(loops)
+	reserveProcessors(loops)
 	go func() {
-		defer close(n.ran)
-		err := gnet.Run(n, "tcp://"+config.Listen, gnet.WithReuseAddr(true), gnet.WithNumEventLoop(loops), gnet.WithLogger(quiet{}))
+		defer close(n.runDone)
+		err := gnet.Run(n, "tcp://"+config.Listen, gnet.WithReuseAddr(true), gnet.WithNumEventLoop(loops), gnet.WithLogger(discardLogger{}))
 		if err != nil {
-			n.booted <- err
+			n.started <- err
 		}
 	}()
-	if err := <-n.booted; err != nil {
+	if err := <-n.started; err != nil {
 		return nil, errors.Wrapf(err, "link: listen on %s", config.Listen)
 	}
-	client, err := gnet.NewClient(&clientEvents{node: n}, gnet.WithNumEventLoop(loops), gnet.WithLogger(quiet{}))
+	client, err := gnet.NewClient(&clientEvents{node: n}, gnet.WithNumEventLoop(loops), gnet.WithLogger(discardLogger{}))
 	if err != nil {
 		return nil, errors.Wrap(err, "link: client")
 	}
@@ -127,19 +131,19 @@
 	}
 	n.client = client
 	n.ticks.Add(1)
-	go n.tick()
+	go n.runTicker()
 	return n, nil
 }
 
-// leaveProcessors makes sure that the loops' waits leave the Go scheduler a processor.
+// reserveProcessors raises GOMAXPROCS so that the event loops leave the Go scheduler a processor.
 //
-// What goes wrong without it: an event loop waits for its connections in a system call of
-// its own, which keeps a processor of the scheduler until the runtime's monitor takes it
-// back. A process on a VM with one core has one. At its start, with nothing to do but wait
-// for its first answers, it stood still until a packet came: timers rang 0.9 to 5 s late
-// and callers were refused for as long.
-func leaveProcessors(loops int) {
-	// Loops of the listener, of the client and the listener's acceptor, and one for the rest.
+// An event loop waits for its connections in a system call that occupies a processor (P) of the
+// scheduler until the runtime's monitor retakes it. On a VM with one core there is only one: a
+// process that waited for its first answers was blocked until a packet arrived, its timers fired
+// 0.9 to 5 s late, and it refused requests for as long.
+func reserveProcessors(loops int) {
+	// The loops of the listener and of the client, the listener's acceptor, and one for all other
+	// goroutines.
 	if need := 2*loops + 2; runtime.GOMAXPROCS(0) < need {
 		runtime.GOMAXPROCS(need)
 	}
@@ -148,7 +152,7 @@
 // Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.addr }
 
-// Stamp is the clock that peers echo in offers.
+// Stamp returns the current value of the clock whose stamps peers echo in offers.
 func (n *Node) Stamp() int64 {
 	if n.stamp != nil {
 		return n.stamp()
@@ -158,30 +162,31 @@
 
 func (n *Node) sinceStart() int64 { return int64(time.Since(n.start)) + 1 }
 
-// Close ends all links and stops listening.
+// Close closes all links and stops listening.
 func (n *Node) Close() {
 	n.mu.Lock()
-	if n.ended {
+	if n.closing {
 		n.mu.Unlock()
 		return
 	}
-	n.ended = true
+	n.closing = true
 	n.mu.Unlock()
-	close(n.stopped)
+	close(n.stopTicks)
 	n.ticks.Wait()
 	for _, c := range n.snapshot() {
 		c.Close(ErrClosed)
 	}
 	_ = n.client.Stop()
-	// Stop polls for the end twice a second; the end of Run tells it at once.
+	// With a context that isn't cancelled, Stop would poll for the engine's shutdown only twice a
+	// second. The return of Run shows it immediately.
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = n.engine.Stop(ctx)
-	<-n.ran
+	<-n.runDone
 }
 
-// Dial returns an open link to the VM at addr, an existing one where there is one.
-// Concurrent calls for one VM share a dial.
+// Dial returns an open link to the VM at addr. It returns the existing link if there is one.
+// Concurrent calls for the same VM share one attempt to dial.
 func (n *Node) Dial(ctx context.Context, vm, addr string) (*Conn, error) {
 	if c := n.Existing(vm); c != nil {
 		return c, nil
@@ -198,7 +203,7 @@
 	}
 }
 
-// Existing returns the open link that was dialled to vm, or nil.
+// Existing returns the open link that this node has dialled to vm, or nil.
 func (n *Node) Existing(vm string) *Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -220,14 +225,14 @@
 	defer timer.Stop()
 	select {
 	case <-c.opened:
-	case <-c.ended:
+	case <-c.done:
 		return nil, errors.Wrapf(c.closeReason(), "link: dial %s", vm)
 	case <-timer.C:
 		c.Close(ErrSilent)
 		return nil, errors.Wrapf(ErrSilent, "link: dial %s", vm)
 	}
 	if c.peer.VM != vm {
-		// An address can be given to another VM; work meant for the old one must not reach it.
+		// An address can be reassigned to another VM, which must not receive requests for the old VM.
 		c.Close(ErrClosed)
 		return nil, errors.Errorf("link: dialled %s but %s answered", vm, c.peer.VM)
 	}
@@ -235,15 +240,16 @@
 	c.vm = vm
 	n.byVM[vm] = c
 	n.mu.Unlock()
-	return c, c.openError()
+	return c, c.checkStillOpen()
 }
 
-// openError covers a close that came between the handshake and the entry in byVM.
-func (c *Conn) openError() error {
+// checkStillOpen returns an error if the link was closed after the handshake and before it was
+// added to byVM.
+func (c *Conn) checkStillOpen() error {
 	if c.isOpen() {
 		return nil
 	}
-	c.node.forget(c)
+	c.node.unregister(c)
 	return c.closeReason()
 }
 
@@ -266,7 +272,7 @@
 	return all
 }
 
-func (n *Node) forget(c *Conn) {
+func (n *Node) unregister(c *Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
@@ -275,40 +281,40 @@
 	}
 }
 
-func (n *Node) closed(c *Conn, wasOpen bool) {
-	n.forget(c)
+func (n *Node) onConnClosed(c *Conn, wasOpen bool) {
+	n.unregister(c)
 	if wasOpen {
 		n.handler.OnClose(c, c.closeReason())
 	}
 }
 
-func (n *Node) tick() {
+func (n *Node) runTicker() {
 	defer n.ticks.Done()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-n.stopped:
+		case <-n.stopTicks:
 			return
 		case <-ticker.C:
 			now := n.sinceStart()
 			for _, c := range n.snapshot() {
-				c.check(now)
+				c.checkTimeouts(now)
 			}
 		}
 	}
 }
 
-// OnBoot implements gnet.EventHandler for accepted links.
+// OnBoot implements gnet.EventHandler. It runs when the listener has started.
 func (n *Node) OnBoot(engine gnet.Engine) gnet.Action {
 	n.engine = engine
 	addr, err := listenAddr(engine)
 	n.addr = addr
-	n.booted <- err
+	n.started <- err
 	return gnet.None
 }
 
-// listenAddr finds the port that was chosen for port 0.
+// listenAddr returns the listener's address, with the port that was picked for port 0.
 func listenAddr(engine gnet.Engine) (string, error) {
 	fd, err := engine.Dup()
 	if err != nil {
@@ -324,25 +330,25 @@
 	return listener.Addr().String(), nil
 }
 
-// OnOpen implements gnet.EventHandler: the acceptor challenges the dialler.
+// OnOpen implements gnet.EventHandler. The acceptor sends the challenge.
 func (n *Node) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
 	c := newConn(n, "", false)
 	gc.SetContext(c)
-	n.adopt(c, gc)
+	n.register(c, gc)
 	c.nonce = newNonce()
 	_ = c.sendHandshake(&challenge{Nonce: c.nonce})
 	return nil, gnet.None
 }
 
-func (n *Node) adopt(c *Conn, gc gnet.Conn) {
+func (n *Node) register(c *Conn, gc gnet.Conn) {
 	c.gc = gc
 	n.mu.Lock()
 	n.conns[c] = struct{}{}
 	n.mu.Unlock()
 }
 
-// OnTraffic implements gnet.EventHandler: it runs when bytes arrived and when Send woke
-// the loop.
+// OnTraffic implements gnet.EventHandler. It runs when data is received and when Send wakes the
+// event loop.
 func (n *Node) OnTraffic(gc gnet.Conn) gnet.Action { return onTraffic(gc) }
 
 // OnClose implements gnet.EventHandler.
@@ -350,7 +356,7 @@
 
 func onTraffic(gc gnet.Conn) gnet.Action {
 	c := gc.Context().(*Conn)
-	err := c.read()
+	err := c.readFrames()
 	c.flush()
 	if err != nil {
 		c.Close(err)
@@ -371,7 +377,7 @@
 	return gnet.None
 }
 
-// clientEvents handles dialled links.
+// clientEvents handles the gnet events of dialled links.
 type clientEvents struct {
 	gnet.BuiltinEventEngine
 	node *Node
@@ -379,7 +385,7 @@
 
 // OnOpen implements gnet.EventHandler.
 func (e *clientEvents) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
-	e.node.adopt(gc.Context().(*Conn), gc)
+	e.node.register(gc.Context().(*Conn), gc)
 	return nil, gnet.None
 }
 
@@ -389,13 +395,14 @@
 // OnClose implements gnet.EventHandler.
 func (e *clientEvents) OnClose(gc gnet.Conn, err error) gnet.Action { return onClose(gc, err) }
 
-// quiet drops gnet's own log lines; what matters reaches the handler as reasons.
-type quiet struct{}
+// discardLogger discards gnet's log messages. The errors of links reach the handler as the reason
+// passed to OnClose.
+type discardLogger struct{}
 
-func (quiet) Debugf(string, ...any) {}
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Warnf(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Warnf(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
 
-var _ logging.Logger = quiet{}
+var _ logging.Logger = discardLogger{}
