--- a/peers/table/breaking.go
+++ b/peers/table/breaking.go
@@ -10,51 +10,51 @@
 	"acaciacleat.example/core/breaker"
 )
 
-// Breaking is a Store behind circuit breakers: one for reads and one for commits, since
-// the service may serve reads while it takes no writes. A call that a breaker refuses
-// fails with ErrUnavailable, as nothing was sent. Put it inside Settled, so that the
-// repeats of Settled pass through it too.
-type Breaking struct {
+// BreakerStore is a Store with two circuit breakers: one for reads and one for commits, because the
+// service may serve reads while it accepts no writes. A call that a breaker rejects fails with
+// ErrUnavailable, as nothing was sent. Wrap a BreakerStore in a ResolvingStore and not the reverse,
+// so that retries also pass through the breakers.
+type BreakerStore struct {
 	store  Store
-	reads  gate
-	writes gate
+	reads  guardedBreaker
+	writes guardedBreaker
 }
 
-var _ Store = (*Breaking)(nil)
+var _ Store = (*BreakerStore)(nil)
 
 // NewBreaking wraps store.
-func NewBreaking(store Store, settings breaker.Settings) *Breaking {
-	return &Breaking{
+func NewBreaking(store Store, settings breaker.Settings) *BreakerStore {
+	return &BreakerStore{
 		store:  store,
-		reads:  gate{breaker: breaker.New(settings)},
-		writes: gate{breaker: breaker.New(settings)},
+		reads:  guardedBreaker{breaker: breaker.New(settings)},
+		writes: guardedBreaker{breaker: breaker.New(settings)},
 	}
 }
 
 // Get implements Store.
-func (b *Breaking) Get(ctx context.Context, key Key, consistency Consistency) (Row, error) {
-	return through(ctx, &b.reads, func() (Row, error) { return b.store.Get(ctx, key, consistency) })
+func (b *BreakerStore) Get(ctx context.Context, key Key, consistency Consistency) (Row, error) {
+	return callGuarded(ctx, &b.reads, func() (Row, error) { return b.store.Get(ctx, key, consistency) })
 }
 
 // Scan implements Store.
-func (b *Breaking) Scan(ctx context.Context, table, prefix, after string, limit int, consistency Consistency) ([]Row, error) {
-	return through(ctx, &b.reads, func() ([]Row, error) {
+func (b *BreakerStore) Scan(ctx context.Context, table, prefix, after string, limit int, consistency Consistency) ([]Row, error) {
+	return callGuarded(ctx, &b.reads, func() ([]Row, error) {
 		return b.store.Scan(ctx, table, prefix, after, limit, consistency)
 	})
 }
 
 // Commit implements Store.
-func (b *Breaking) Commit(ctx context.Context, tx Tx) ([]uint64, error) {
-	return through(ctx, &b.writes, func() ([]uint64, error) { return b.store.Commit(ctx, tx) })
+func (b *BreakerStore) Commit(ctx context.Context, tx Tx) ([]uint64, error) {
+	return callGuarded(ctx, &b.writes, func() ([]uint64, error) { return b.store.Commit(ctx, tx) })
 }
 
-// gate guards a breaker against concurrent use.
-type gate struct {
+// guardedBreaker is a circuit breaker that is safe for concurrent use.
+type guardedBreaker struct {
 	mu      sync.Mutex
 	breaker *breaker.Breaker
 }
 
-func (g *gate) allow() (breaker.Permit, error) {
+func (g *guardedBreaker) allow() (breaker.Permit, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -66,26 +66,27 @@
 	return permit, nil
 }
 
-func (g *gate) done(permit breaker.Permit, outcome breaker.Outcome) {
+func (g *guardedBreaker) done(permit breaker.Permit, outcome breaker.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.breaker.Done(permit, time.Now(), outcome)
 }
 
-func through[T any](ctx context.Context, g *gate, call func() (T, error)) (T, error) {
+func callGuarded[T any](ctx context.Context, g *guardedBreaker, call func() (T, error)) (T, error) {
 	permit, err := g.allow()
 	if err != nil {
 		var none T
 		return none, err
 	}
 	value, err := call()
-	g.done(permit, outcomeOf(ctx, err))
+	g.done(permit, breakerOutcome(ctx, err))
 	return value, err
 }
 
-// outcomeOf counts a passed deadline as a failure, because a silent service shows in no
-// other way. A cancellation says nothing about the service.
-func outcomeOf(ctx context.Context, err error) breaker.Outcome {
+// breakerOutcome returns the outcome that a call's error counts as. An exceeded deadline is a
+// failure, because a service that does not respond causes no other error. A cancellation says
+// nothing about the service.
+func breakerOutcome(ctx context.Context, err error) breaker.Outcome {
 	if !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknownOutcome) {
 		return breaker.Success
 	}
--- a/peers/table/contract_test.go
+++ b/peers/table/contract_test.go
@@ -14,24 +14,24 @@
 	"acaciacleat.example/standin/platform"
 )
 
-const rateUnused = 1
+const unusedRate = 1
 
-// eachStore runs a test against every implementation of table.Store.
-func eachStore(t *testing.T, test func(t *testing.T, store table.Store, p *platform.Platform)) {
+// forEachStore runs a test against each implementation of table.Store.
+func forEachStore(t *testing.T, test func(t *testing.T, store table.Store, p *platform.Platform)) {
 	t.Run("memory", func(t *testing.T) {
-		p := platform.New(rateUnused)
+		p := platform.New(unusedRate)
 		test(t, p.Table, p)
 	})
 	t.Run("http", func(t *testing.T) {
-		p := platform.New(rateUnused)
+		p := platform.New(unusedRate)
 		server := httptest.NewServer(p.Handler())
 		t.Cleanup(server.Close)
 		test(t, table.NewHTTP(server.URL+platform.PathTable, httpjson.Options{}), p)
 	})
 }
 
-// untilSilent returns a context that ends once a silent fault has taken a call.
-func untilSilent(t *testing.T, p *platform.Platform) context.Context {
+// contextUntilSilent returns a context that is cancelled once a call has met a Silent fault.
+func contextUntilSilent(t *testing.T, p *platform.Platform) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	p.Faults.OnHit(func(f faults.Fault) {
 		if f.Kind == faults.Silent {
@@ -52,7 +52,7 @@
 }
 
 func TestTransactions(t *testing.T) {
-	eachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
+	forEachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
 		ctx := t.Context()
 		_, err := store.Get(ctx, key("a"), table.Latest)
 		require.ErrorIs(t, err, table.ErrNotFound)
@@ -80,8 +80,8 @@
 	})
 }
 
-func TestTokenGivesFirstAnswer(t *testing.T) {
-	eachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
+func TestRepeatedTokenReturnsFirstResult(t *testing.T) {
+	forEachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
 		ctx := t.Context()
 		first, err := store.Commit(ctx, insert("t1", "a", "1"))
 		require.NoError(t, err)
@@ -94,14 +94,14 @@
 		require.NoError(t, err)
 		require.Equal(t, first, second)
 		_, err = store.Commit(ctx, insert("t2", "a", "2"))
-		require.ErrorIs(t, err, table.ErrConflict, "a conflict is an answer too")
+		require.ErrorIs(t, err, table.ErrConflict, "a conflict is also a stored result")
 		_, err = store.Get(ctx, key("a"), table.Latest)
 		require.ErrorIs(t, err, table.ErrNotFound)
 	})
 }
 
 func TestScanPages(t *testing.T) {
-	eachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
+	forEachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
 		ctx := t.Context()
 		for _, row := range []string{"b/2", "a/1", "b/3", "b/1", "c"} {
 			_, err := store.Commit(ctx, insert("t"+row, row, row))
@@ -130,7 +130,7 @@
 }
 
 func TestInvalidRequests(t *testing.T) {
-	eachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
+	forEachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
 		twice := insert("t1", "a", "1")
 		twice.Writes = append(twice.Writes, twice.Writes[0])
 		for _, tx := range []table.Tx{insert("", "a", "1"), insert("t1", "", "1"), twice} {
@@ -142,10 +142,10 @@
 	})
 }
 
-// Symptom: a value just written is missing from a read. Sequence: commit; a read that
-// may be stale; a read of the latest. Cause: the replica that answers stale reads lags.
-func TestStaleReadLags(t *testing.T) {
-	eachStore(t, func(t *testing.T, store table.Store, p *platform.Platform) {
+// Stale reads are served by a replica that lags, so they may not show a value that was just written.
+// A read with Latest must show it.
+func TestStaleReadsLag(t *testing.T) {
+	forEachStore(t, func(t *testing.T, store table.Store, p *platform.Platform) {
 		ctx := t.Context()
 		p.Table.SetReplicaLag(time.Hour)
 		_, err := store.Commit(ctx, insert("t1", "a", "1"))
@@ -160,10 +160,8 @@
 	})
 }
 
-// Symptom: a commit fails and its writer cannot tell whether it took effect. Sequence:
-// the service meets one fault during the commit; the writer repeats it with its token.
-// Cause: each fault below. The error must never claim more than is proved, and the
-// repeat must leave exactly one write.
+// A commit that meets a fault must not return ErrUnavailable unless it was certainly not applied.
+// A retry with the same token must leave exactly one write.
 func TestCommitUnderFaults(t *testing.T) {
 	cases := []struct {
 		fault   faults.Fault
@@ -178,10 +176,10 @@
 	}
 	for _, c := range cases {
 		t.Run(string(c.fault.Kind), func(t *testing.T) {
-			eachStore(t, func(t *testing.T, store table.Store, p *platform.Platform) {
+			forEachStore(t, func(t *testing.T, store table.Store, p *platform.Platform) {
 				c.fault.Operation, c.fault.Count = platform.OpTableCommit, 1
 				p.Faults.Set(c.fault)
-				_, err := store.Commit(untilSilent(t, p), insert("t1", "a", "1"))
+				_, err := store.Commit(contextUntilSilent(t, p), insert("t1", "a", "1"))
 				require.ErrorIs(t, err, c.want)
 				_, err = store.Get(t.Context(), key("a"), table.Latest)
 				require.Equal(t, c.applied, err == nil)
@@ -196,16 +194,16 @@
 	}
 }
 
-// Symptom: a read fails. Sequence: one fault during it. Cause: each fault below. A read
-// writes nothing, so its error is never ErrUnknownOutcome.
+// A read that meets a fault fails with ErrUnavailable. It writes nothing, so its error is never
+// ErrUnknownOutcome.
 func TestReadsUnderFaults(t *testing.T) {
 	for _, kind := range []faults.Kind{faults.Die, faults.Silent, faults.AnswerLost, faults.Outage} {
 		t.Run(string(kind), func(t *testing.T) {
-			eachStore(t, func(t *testing.T, store table.Store, p *platform.Platform) {
+			forEachStore(t, func(t *testing.T, store table.Store, p *platform.Platform) {
 				p.Faults.Set(faults.Fault{Operation: "*", Kind: kind})
-				_, err := store.Get(untilSilent(t, p), key("a"), table.Latest)
+				_, err := store.Get(contextUntilSilent(t, p), key("a"), table.Latest)
 				require.ErrorIs(t, err, table.ErrUnavailable)
-				_, err = store.Scan(untilSilent(t, p), "t", "", "", 1, table.Latest)
+				_, err = store.Scan(contextUntilSilent(t, p), "t", "", "", 1, table.Latest)
 				require.ErrorIs(t, err, table.ErrUnavailable)
 			})
 		})
--- a/peers/table/feed.go
+++ b/peers/table/feed.go
@@ -7,28 +7,29 @@
 	"github.com/pkg/errors"
 )
 
-// ErrHistoryGone means that the changes after the given version are no longer kept: read
-// the whole table again.
+// ErrHistoryGone means that the changes after the given version are no longer stored. The caller
+// must read the whole table again.
 var ErrHistoryGone = errors.New("table: history gone")
 
-// Change is a row as it stands after a change. A removed row has its key and version only.
+// Change is a row as of a change. A removed row has only its key and version.
 type Change struct {
 	Row
 	Removed bool
 }
 
-// Feed is a store whose tables can be followed. Implementations are safe for concurrent
-// use and honour the context's deadline.
+// Feed is a store that reports the changes of its tables. Implementations are safe for concurrent
+// use and observe the context's deadline.
 type Feed interface {
-	// All returns all rows of a table as of one moment, and that moment's version.
+	// All returns a consistent snapshot of all rows of a table, and the snapshot's version.
 	All(ctx context.Context, table string) ([]Row, uint64, error)
-	// Changes returns what changed in a table after a version, in order, and the version to
-	// go on from. It waits for a change, at the longest for wait, and then returns none.
+	// Changes returns the changes of a table after a version, in order, and the version from which
+	// to continue. If there are none, it waits for a change for at most wait, and then returns
+	// none.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]Change, uint64, error)
 	// Insert writes a row that must not exist yet; otherwise it fails with ErrConflict.
 	Insert(ctx context.Context, key Key, value []byte) error
-	// Put writes a row, whatever stood there.
+	// Put writes a row unconditionally.
 	Put(ctx context.Context, key Key, value []byte) error
-	// Remove deletes a row; that it is not there is no failure.
+	// Remove deletes a row. It is not an error if the row does not exist.
 	Remove(ctx context.Context, key Key) error
 }
--- a/peers/table/http.go
+++ b/peers/table/http.go
@@ -11,7 +11,7 @@
 	"acaciacleat.example/peers/httpjson"
 )
 
-// Paths of the table service below its base URL, and the names of their parameters.
+// The paths of the table service below its base URL, and the names of the query parameters.
 const (
 	PathRow    = "/row"
 	PathRows   = "/rows"
@@ -25,12 +25,12 @@
 	ParamConsistency = "consistency"
 )
 
-// CommitAnswer is the body of a successful commit.
+// CommitAnswer is the response body of a successful commit.
 type CommitAnswer struct {
 	Versions []uint64 `json:"versions"`
 }
 
-// HTTP is the table service as an HTTP/JSON client sees it.
+// HTTP is a client of the table service that uses HTTP with JSON bodies.
 type HTTP struct {
 	client *httpjson.Client
 }
@@ -72,9 +72,9 @@
 	return rows, nil
 }
 
-// Commit implements Store. It sends the transaction once. The client token in the body
-// makes a second Commit of the same Tx safe, so the caller, who knows the time left,
-// decides whether to repeat it; see Settled.
+// Commit implements Store. It sends the transaction once. The client token in the body makes a
+// second Commit of the same Tx safe. The caller, which knows the remaining time, decides whether to
+// retry; see ResolvingStore.
 func (h *HTTP) Commit(ctx context.Context, tx Tx) ([]uint64, error) {
 	var answer CommitAnswer
 	err := h.client.DoJSON(ctx, httpjson.Request{Method: http.MethodPost, Path: PathCommit, JSON: tx}, &answer)
@@ -98,9 +98,9 @@
 	}
 }
 
-// commitError says ErrUnavailable only with proof: no connection was had, or the
-// service states that it applied nothing. Any other failure may hide a commit whose
-// answer was lost.
+// commitError returns ErrUnavailable only if it is certain that nothing was written: there was no
+// connection, or the service states that it applied nothing. After any other error, the commit may
+// have been applied and its response lost.
 func commitError(err error) error {
 	failure := httpjson.AsFailure(err)
 	switch {
--- a/peers/table/leaserow/leaserow.go
+++ b/peers/table/leaserow/leaserow.go
@@ -1,5 +1,5 @@
-// Package leaserow keeps a lease in a row of the table service. All decisions are those
-// of core/lease; this package carries them out and reads the clocks.
+// Package leaserow stores a lease in a row of the table service. Package core/lease makes all
+// decisions; this package executes them and reads the clocks.
 package leaserow
 
 import (
@@ -15,11 +15,11 @@
 	"acaciacleat.example/peers/table"
 )
 
-// jitterShare is the part of a wait that is added at random at most, as a divisor. It
+// jitterDivisor sets the maximum jitter of a wait: the wait divided by jitterDivisor. The jitter
 // keeps processes that started together from reading the row in step.
-const jitterShare = 10
+const jitterDivisor = 10
 
-// Runner takes part in one lease. Its methods are safe for concurrent use.
+// Runner competes for one lease and renews it. Its methods are safe for concurrent use.
 type Runner struct {
 	store    table.Store
 	key      table.Key
@@ -31,8 +31,8 @@
 	lastErr error
 }
 
-// New returns a runner for the process self, an ID that no other life of a process has.
-// The store need not settle unknown outcomes: the lease reads its row back by itself.
+// New returns a runner for the process self, an ID that is unique to this incarnation of the process.
+// The store need not resolve unknown outcomes, because the lease reads its row back itself.
 func New(store table.Store, key table.Key, self string, settings lease.Settings) (*Runner, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -46,35 +46,35 @@
 	}, nil
 }
 
-// Held returns the grant if this process holds the lease now. Ask it before each act
-// and put Grant.Fence on the order.
+// Held returns the grant if this process holds the lease now. Call it before each action that the
+// lease protects, and send Grant.Fence with the order.
 func (r *Runner) Held() (lease.Grant, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.Held(r.reading())
 }
 
-// LastError returns the failure of the last read or write of the row; nil if it succeeded.
+// LastError returns the error of the last read or write of the row; nil if it succeeded.
 func (r *Runner) LastError() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastErr
 }
 
-// Run tries to get and keep the lease until ctx ends. Then it stops holding at once and
-// spends at most one RenewEvery on giving the lease up, so that another process need
-// not wait for its end.
+// Run acquires and renews the lease until ctx ends. Then it stops holding the lease immediately and
+// tries for at most RenewEvery to release it, so that another process need not wait for it to
+// expire.
 func (r *Runner) Run(ctx context.Context) {
-	r.loop(ctx)
+	r.runUntilDone(ctx)
 	r.mu.Lock()
 	r.machine.Resign()
 	r.mu.Unlock()
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.settings.RenewEvery)
+	resignCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.settings.RenewEvery)
 	defer cancel()
-	r.loop(last)
+	r.runUntilDone(resignCtx)
 }
 
-func (r *Runner) loop(ctx context.Context) {
+func (r *Runner) runUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch action := r.next(); action.Kind {
 		case lease.Read:
@@ -82,7 +82,7 @@
 		case lease.Write:
 			r.write(ctx, action.Write)
 		case lease.Wait:
-			pause(ctx, action.Wait)
+			sleepWithJitter(ctx, action.Wait)
 		default:
 			return
 		}
@@ -109,14 +109,14 @@
 	r.machine.HandleRow(r.reading(), row)
 }
 
-func (r *Runner) write(ctx context.Context, order lease.ConditionalWrite) {
+func (r *Runner) write(ctx context.Context, write lease.ConditionalWrite) {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.RenewEvery)
 	defer cancel()
-	version, err := commit(ctx, r.store, r.key, order)
+	version, err := commit(ctx, r.store, r.key, write)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastErr = err
-	r.machine.HandleWrite(r.reading(), outcomeOf(err), version)
+	r.machine.HandleWrite(r.reading(), writeOutcome(err), version)
 }
 
 func (r *Runner) reading() lease.Reading {
@@ -124,20 +124,20 @@
 	return lease.Reading{Mono: now.Sub(r.started), Wall: now.Round(0).Sub(r.started.Round(0))}
 }
 
-// Placement returns the key of the lease on placing a service's models. The entries that
-// compete for it and the agents that check its fencing number must agree on it.
+// Placement returns the key of the lease for the placement of a service's models. The entries that
+// compete for the lease and the agents that check its fencing number must use the same key.
 func Placement(service string) table.Key {
 	return table.Key{Table: "leases", Row: "placement/" + service}
 }
 
-// ReadRecord returns the lease's row; the zero Record if there is none.
+// ReadRecord returns the record in the lease's row, or the zero Record if there is no row.
 func ReadRecord(ctx context.Context, store table.Store, key table.Key) (lease.Record, error) {
 	row, err := readRow(ctx, store, key)
 	return row.Record, err
 }
 
-// ReadFence returns the fencing number of the lease's row, for lease.Guard; 0 if there
-// is no row.
+// ReadFence returns the fencing number in the lease's row, for lease.Guard; 0 if there is no
+// row.
 func ReadFence(ctx context.Context, store table.Store, key table.Key) (uint64, error) {
 	row, err := readRow(ctx, store, key)
 	return row.Record.Fence, err
@@ -158,14 +158,14 @@
 	return lease.Row{Version: row.Version, Token: row.Token, Record: record}, nil
 }
 
-func commit(ctx context.Context, store table.Store, key table.Key, order lease.ConditionalWrite) (uint64, error) {
-	value, err := json.Marshal(order.Record)
+func commit(ctx context.Context, store table.Store, key table.Key, write lease.ConditionalWrite) (uint64, error) {
+	value, err := json.Marshal(write.Record)
 	if err != nil {
 		return 0, errors.WithMessage(table.ErrInvalid, err.Error())
 	}
 	versions, err := store.Commit(ctx, table.Tx{
-		Token:      order.Token,
-		Conditions: []table.Condition{{Key: key, Version: order.IfVersion}},
+		Token:      write.Token,
+		Conditions: []table.Condition{{Key: key, Version: write.IfVersion}},
 		Writes:     []table.Write{{Key: key, Value: value}},
 	})
 	if err != nil {
@@ -174,7 +174,7 @@
 	return versions[0], nil
 }
 
-func outcomeOf(err error) lease.Outcome {
+func writeOutcome(err error) lease.Outcome {
 	switch {
 	case err == nil:
 		return lease.Applied
@@ -187,8 +187,8 @@
 	}
 }
 
-func pause(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(wait + rand.N(wait/jitterShare+1))
+func sleepWithJitter(ctx context.Context, wait time.Duration) {
+	timer := time.NewTimer(wait + rand.N(wait/jitterDivisor+1))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/peers/table/leaserow/leaserow_test.go
+++ b/peers/table/leaserow/leaserow_test.go
@@ -20,14 +20,13 @@
 	settings = lease.DefaultSettings
 )
 
-// Symptom: no process holds the lease, or two do. Sequence: two processes run; for half
-// a minute each call of the table meets the fault below; then the faults end; then the
-// holder stops. Cause: the fault. Once the table is well, one process must hold the
-// lease again, and after a planned stop the other takes over within one poll.
+// Two processes compete for the lease while every call of the table meets a fault. They must never
+// both hold it. Once the table works again, one must hold it, and after a planned stop of the holder
+// the other must take over within two poll intervals.
 func TestTwoRunnersUnderFaults(t *testing.T) {
 	cases := []struct {
-		fault     faults.Fault
-		heldInRun bool
+		fault           faults.Fault
+		heldDuringFault bool
 	}{
 		{faults.Fault{Kind: faults.Outage}, false},
 		{faults.Fault{Kind: faults.Die}, false},
@@ -69,7 +68,7 @@
 				c.fault.Operation = "*"
 				p.Faults.Set(c.fault)
 				holder, _ = watch(3 * settings.Length)
-				require.Equal(t, c.heldInRun, holder >= 0)
+				require.Equal(t, c.heldDuringFault, holder >= 0)
 				p.Faults.Set()
 				holder, after := watch(2 * settings.Length)
 				require.NotEqual(t, -1, holder)
--- a/peers/table/settled.go
+++ b/peers/table/settled.go
@@ -8,66 +8,65 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of a Settled store's retries.
+// Limits of the retries of a ResolvingStore.
 const (
-	settleFirstWait   = 50 * time.Millisecond
-	settleLongestWait = 2 * time.Second
-	// settleWindow ends well before the service may forget a token: a repeat after
-	// that would be a new transaction, and its conflict would not prove that the
-	// first had no effect.
-	settleWindow = TokenMemory / 2
+	resolveInitialInterval = 50 * time.Millisecond
+	resolveMaxInterval     = 2 * time.Second
+	// resolveWindow ends well before the service may drop a token. A later retry would be a new
+	// transaction, and its conflict would not prove that the first commit was not applied.
+	resolveWindow = TokenMemory / 2
 )
 
-// Settled is a Store whose Commit settles unknown outcomes. When the answer to a commit
-// is lost, the writer cannot tell whether it took effect; acting on either guess loses
-// a write or does one twice. Settled repeats the transaction with its token, which
-// gives the first one's answer, and also reads the written rows back, which can prove
-// success while the service takes no writes. The waits between grow and are jittered,
-// so that many writers do not repeat in step.
-type Settled struct {
+// ResolvingStore is a Store whose Commit resolves unknown outcomes. If the response to a commit is
+// lost, the writer cannot know whether the commit was applied; to guess would lose a write or
+// apply it twice. ResolvingStore retries the transaction with the same token, which returns the
+// first commit's result. It also reads the written rows back, which can prove success while the
+// service accepts no writes. Retries use exponential backoff with jitter, so that many writers don't
+// retry in step.
+type ResolvingStore struct {
 	Store
 }
 
 // NewSettled wraps store.
-func NewSettled(store Store) *Settled { return &Settled{Store: store} }
+func NewSettled(store Store) *ResolvingStore { return &ResolvingStore{Store: store} }
 
-// Commit implements Store. It still fails with ErrUnknownOutcome if ctx or half of
-// TokenMemory ends first. ErrUnavailable means that no attempt can have taken effect;
-// Settled does not repeat those, because whether to wait is the caller's decision.
-func (s *Settled) Commit(ctx context.Context, tx Tx) ([]uint64, error) {
-	attempt := settling{ctx: ctx, store: s.Store, tx: tx}
+// Commit implements Store. It fails with ErrUnknownOutcome if ctx ends or half of TokenMemory passes
+// before the outcome is known. ErrUnavailable means that no attempt can have been applied; Commit
+// does not retry after it, because the caller decides whether to wait.
+func (s *ResolvingStore) Commit(ctx context.Context, tx Tx) ([]uint64, error) {
+	attempt := resolution{ctx: ctx, store: s.Store, tx: tx}
 	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = settleFirstWait
-	waits.MaxInterval = settleLongestWait
+	waits.InitialInterval = resolveInitialInterval
+	waits.MaxInterval = resolveMaxInterval
 	versions, err := backoff.Retry(ctx, attempt.try,
-		backoff.WithBackOff(waits), backoff.WithMaxElapsedTime(settleWindow))
-	if err != nil && attempt.doubt {
+		backoff.WithBackOff(waits), backoff.WithMaxElapsedTime(resolveWindow))
+	if err != nil && attempt.maybeApplied {
 		return nil, errors.WithMessage(ErrUnknownOutcome, err.Error())
 	}
 	return versions, err
 }
 
-// settling is one transaction on its way to a known outcome.
-type settling struct {
+// resolution is the state of one Commit until its outcome is known.
+type resolution struct {
 	ctx   context.Context
 	store Store
 	tx    Tx
-	// doubt is set while an earlier attempt may have taken effect. Then even an
-	// attempt that is proved to have done nothing does not end the doubt.
-	doubt bool
+	// maybeApplied is set if an earlier attempt may have been applied. A later attempt that was
+	// certainly not applied doesn't clear it.
+	maybeApplied bool
 }
 
-func (s *settling) try() ([]uint64, error) {
+func (s *resolution) try() ([]uint64, error) {
 	versions, err := s.store.Commit(s.ctx, s.tx)
 	switch {
 	case err == nil:
 		return versions, nil
 	case errors.Is(err, ErrConflict):
-		s.doubt = false
+		s.maybeApplied = false
 		return nil, backoff.Permanent(err)
 	case errors.Is(err, ErrUnknownOutcome):
-		s.doubt = true
-	case !s.doubt:
+		s.maybeApplied = true
+	case !s.maybeApplied:
 		return nil, backoff.Permanent(err)
 	}
 	if versions, ok := s.readBack(); ok {
@@ -76,9 +75,10 @@
 	return nil, err
 }
 
-// readBack reports the versions if every written row carries the token. The reverse
-// proves nothing: the commit may still be on its way, or a later write may cover it.
-func (s *settling) readBack() ([]uint64, bool) {
+// readBack returns the versions of the written rows if all of them carry the transaction's token.
+// Otherwise nothing is proved: the commit may still be in flight, or a later write may have replaced
+// its rows.
+func (s *resolution) readBack() ([]uint64, bool) {
 	versions := make([]uint64, 0, len(s.tx.Writes))
 	for _, write := range s.tx.Writes {
 		row, err := s.store.Get(s.ctx, write.Key, Latest)
--- a/peers/table/settled_test.go
+++ b/peers/table/settled_test.go
@@ -14,11 +14,9 @@
 	"acaciacleat.example/standin/platform"
 )
 
-// Symptom: a writer is told that its commit did not happen although it did, or the
-// reverse. Sequence: the faults below hit the first commits; the writer waits for at
-// most a minute. Cause: an attempt that is proved to have done nothing says nothing
-// about the attempt before it.
-func TestSettledOutcomes(t *testing.T) {
+// An attempt that was certainly not applied proves nothing about the attempts before it. If it did,
+// a writer could be told that its commit was not applied although it was, or the reverse.
+func TestResolvingStoreOutcomes(t *testing.T) {
 	commits := func(kind faults.Kind, skip, count int) faults.Fault {
 		return faults.Fault{Operation: platform.OpTableCommit, Kind: kind, Skip: skip, Count: count}
 	}
@@ -42,7 +40,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := platform.New(rateUnused)
+				p := platform.New(unusedRate)
 				p.Faults.Set(c.faults...)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
@@ -59,12 +57,12 @@
 	}
 }
 
-// Symptom: a writer reads "conflict" although its own write made the conflict.
-// Sequence: its first commit is slow; it gives up waiting and repeats; the row exists.
-// Cause: the late first commit. The token must give both the same answer.
-func TestSettledLateFirstCommit(t *testing.T) {
+// If a commit is slow and its writer gives up and retries, the first commit may still be applied
+// later. Both must get the same result by their token; otherwise the writer would get a conflict
+// with its own write.
+func TestResolvingStoreLateFirstCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := platform.New(rateUnused)
+		p := platform.New(unusedRate)
 		p.Faults.Set(faults.Fault{Operation: platform.OpTableCommit, Kind: faults.Slow, Delay: time.Second, Count: 1})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
@@ -79,13 +77,12 @@
 	})
 }
 
-// Symptom: a service that is down gets more calls than when it is well. Sequence: an
-// outage of ten minutes; a hundred writers keep asking; the outage ends. Cause: each
-// writer repeats by itself. The breaker must bound the calls, keep reads open, and let
-// writers through again soon after the end.
-func TestBreakingBoundsCallsInOutage(t *testing.T) {
+// During an outage, each writer retries on its own, so that the service would get more calls than
+// normal. The circuit breaker must bound the commits, not block reads, and allow commits again soon
+// after the outage.
+func TestBreakerStoreBoundsCallsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := platform.New(rateUnused)
+		p := platform.New(unusedRate)
 		store := table.NewBreaking(p.Table, breaker.DefaultSettings)
 		reached := 0
 		p.Faults.OnHit(func(faults.Fault) { reached++ })
--- a/peers/table/table.go
+++ b/peers/table/table.go
@@ -1,6 +1,6 @@
-// Package table is the system's view of the platform's transactional table service:
-// versioned rows, transactions with conditions, and client tokens that make a commit
-// recognisable after its answer was lost.
+// Package table is the interface to the platform's transactional table service. The service offers
+// versioned rows, transactions with conditions, and client tokens that identify a commit whose
+// response was lost.
 package table
 
 import (
@@ -10,78 +10,78 @@
 	"github.com/pkg/errors"
 )
 
-// Failures of a Store. Callers test them with errors.Is.
+// Errors of a Store. Callers check for them with errors.Is.
 var (
 	// ErrNotFound means that the row does not exist.
 	ErrNotFound = errors.New("table: row not found")
 	// ErrConflict means that a condition did not hold; nothing was written.
 	ErrConflict = errors.New("table: condition failed")
-	// ErrUnavailable means that the service could not be asked: it is proved that
-	// nothing was written.
+	// ErrUnavailable means that the service did not process the request: it is certain that nothing
+	// was written.
 	ErrUnavailable = errors.New("table: service unavailable")
-	// ErrUnknownOutcome means that the answer was lost: the commit may have taken effect.
+	// ErrUnknownOutcome means that the response was lost: the commit may have been applied.
 	ErrUnknownOutcome = errors.New("table: outcome unknown")
-	// ErrInvalid means that the request is malformed; nothing was written, and a
-	// repeat will fail in the same way.
+	// ErrInvalid means that the request is malformed. Nothing was written, and a retry fails in the
+	// same way.
 	ErrInvalid = errors.New("table: invalid request")
 )
 
-// Key names a row.
+// Key identifies a row.
 type Key struct {
 	Table string `json:"table"`
 	Row   string `json:"row"`
 }
 
-// Row is a stored row. Version rises with each write to it and is never zero; a row
-// that is deleted and written again goes on from a higher version.
+// Row is a stored row. Version increases with each write to the row and is never zero. A row that is
+// deleted and written again has a higher version than before.
 type Row struct {
 	Key     Key    `json:"key"`
 	Version uint64 `json:"version"`
-	// Token is the client token of the transaction that wrote the row last.
+	// Token is the client token of the last transaction that wrote the row.
 	Token string `json:"token"`
 	Value []byte `json:"value"`
-	// Damaged says that the value could not be decoded; Value is then empty.
+	// Damaged is set if the value could not be decoded; Value is then empty.
 	Damaged bool `json:"-"`
 }
 
-// Condition demands that a row has the given version; 0 demands that it is absent.
+// Condition requires that a row has the given version; 0 requires that the row does not exist.
 type Condition struct {
 	Key     Key    `json:"key"`
 	Version uint64 `json:"version"`
 }
 
-// Write puts a row, or deletes it.
+// Write writes or deletes a row.
 type Write struct {
 	Key    Key    `json:"key"`
 	Value  []byte `json:"value,omitempty"`
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Tx is a transaction: all writes happen if all conditions hold, otherwise none.
+// Tx is a transaction: all writes are applied if all conditions hold, otherwise none.
 type Tx struct {
-	// Token identifies the transaction and is never empty. A second commit with the
-	// same token does nothing and returns the first one's answer, a conflict too, for
-	// at least TokenMemory.
+	// Token identifies the transaction and must not be empty. For at least TokenMemory, a second
+	// commit with the same token does nothing and returns the result of the first one, even if that
+	// was a conflict.
 	Token      string      `json:"token"`
 	Conditions []Condition `json:"conditions,omitempty"`
 	Writes     []Write     `json:"writes"`
 }
 
-// TokenMemory is how long the service remembers a token at least.
+// TokenMemory is the minimum time for which the service stores a token.
 const TokenMemory = 10 * time.Minute
 
-// Consistency says how fresh a read must be.
+// Consistency is the required consistency of a read.
 type Consistency string
 
-// The consistencies.
+// The consistency levels.
 const (
-	// Latest reads what the last commit wrote.
+	// Latest reads the result of the last commit.
 	Latest Consistency = "latest"
-	// Stale may be answered by a replica that lags.
+	// Stale may read from a replica that lags.
 	Stale Consistency = "stale"
 )
 
-// Store is the table service. Implementations are safe for concurrent use and honour
+// Store is a client of the table service. Implementations are safe for concurrent use and observe
 // the context's deadline. Reads never fail with ErrUnknownOutcome.
 type Store interface {
 	Get(ctx context.Context, key Key, consistency Consistency) (Row, error)
