--- a/peers/documents/documents.go
+++ b/peers/documents/documents.go
@@ -1,9 +1,9 @@
-// Package documents keeps the service documents in the platform's table service.
+// Package documents stores the service documents in the platform's table service.
 //
-// One rising revision numbers the states of the whole store. A change is one
-// transaction: its condition is the head row, which every change rewrites, and it writes
-// the head, the rows of the service that changed and one row of the change log. So two
-// operators can't both take a revision, and no reader sees half a change.
+// A single increasing revision numbers the states of the whole store. A change is one transaction on
+// the condition that the head row has not changed. It writes the head row, the rows of the changed
+// service and one row of the change log. Hence two operators can't use the same revision, and no
+// reader sees a partial change.
 package documents
 
 import (
@@ -21,21 +21,22 @@
 	"github.com/pkg/errors"
 )
 
-// Failures besides those of package table.
+// Errors in addition to those of package table.
 var (
-	// ErrCompacted means that the change log doesn't lead from the revision asked for to
-	// the newest one; Load reads the whole state instead.
+	// ErrCompacted means that the change log does not contain all changes from the requested
+	// revision to the newest one. The caller can read the whole state with Load.
 	ErrCompacted = errors.New("documents: change log doesn't reach back")
-	// ErrReverted means that the table holds a lower revision than was read from it
-	// before, as after a restore from a backup. Nothing is written over it.
+	// ErrReverted means that the table has a lower revision than was read from it before, for
+	// example after a restore from a backup. Nothing is written in this case.
 	ErrReverted = errors.New("documents: table's revision went back")
-	// ErrBusy means that other services' changes won every attempt; nothing was written.
+	// ErrBusy means that each attempt conflicted with a change to another service; nothing was
+	// written.
 	ErrBusy = errors.New("documents: too many concurrent changes")
-	// ErrNoState means that neither the table, the object store nor a peer had a state.
+	// ErrNoState means that neither the table, the object store nor a peer returned a state.
 	ErrNoState = errors.New("documents: no state found")
 )
 
-// InvalidError lists the faults of a document that was refused.
+// InvalidError lists the faults of a rejected document.
 type InvalidError struct{ Faults []document.Fault }
 
 // Error implements error.
@@ -43,18 +44,18 @@
 	return strconv.Itoa(len(e.Faults)) + " faults, first: " + e.Faults[0].String()
 }
 
-// Conflict tells an operator that the document changed since it was read.
+// Conflict describes a put that was rejected because the document has changed since it was read.
 type Conflict struct {
-	// Current is the ETag of the document that stands; empty when there is none.
+	// Current is the ETag of the stored document; empty if there is none.
 	Current string `json:"current"`
-	// Diff leads from the document that stands to the one that was put.
+	// Diff lists the changes from the stored document to the one in the put.
 	Diff []document.Change `json:"diff"`
 }
 
-// State is one revision of all documents. It is immutable.
+// State is the state of all documents at one revision. It is immutable.
 type State struct {
 	Snapshot *document.Snapshot
-	// changed maps each service to the revision that changed it last.
+	// changed maps each service to the last revision that changed it.
 	changed map[string]document.Revision
 }
 
@@ -63,10 +64,10 @@
 	return &State{Snapshot: document.Compile(0, nil), changed: map[string]document.Revision{}}
 }
 
-// Revision returns the state's revision.
+// Revision returns the revision of the state.
 func (s *State) Revision() document.Revision { return s.Snapshot.Revision }
 
-// ETag returns the entity tag of a service's document; empty when there is none.
+// ETag returns the entity tag of a service's document; empty if there is no document.
 func (s *State) ETag(service string) string {
 	revision, ok := s.changed[service]
 	if !ok {
@@ -75,12 +76,12 @@
 	return ETag(revision)
 }
 
-// ETag returns the entity tag of a document that the revision changed last.
+// ETag returns the entity tag of a document whose last change made the given revision.
 func ETag(revision document.Revision) string {
 	return strconv.Quote(strconv.FormatUint(uint64(revision), 10))
 }
 
-// Apply returns the state after the changes, which must follow on the state's revision.
+// Apply returns the state after the changes, which must directly follow the state's revision.
 func (s *State) Apply(changes []Change) (*State, error) {
 	if len(changes) == 0 {
 		return s, nil
@@ -106,36 +107,37 @@
 	return &State{Snapshot: snapshot, changed: changed}, nil
 }
 
-// Config is what a Store needs.
+// Config configures a Store.
 type Config struct {
 	Table   table.Store
 	Objects objects.Store
-	// Token returns a client token that no other call of any process returns.
+	// Token returns a client token that is unique across all calls and processes.
 	Token func() string
-	// Now is the wall clock, for the change log's readers only.
+	// Now is the wall clock. Its times are shown in the history and not used otherwise.
 	Now func() time.Time
-	// CallTimeout bounds each call of the table; default DefaultCallTimeout.
+	// CallTimeout bounds each call to the table; the default is DefaultCallTimeout.
 	CallTimeout time.Duration
-	// Backoff paces the attempts to settle a lost answer; default exponential from
-	// 50 ms. The context's deadline ends them.
+	// Backoff returns the delays between attempts to resolve the outcome of a commit whose
+	// response was lost. The default is exponential from 50 ms. The context's deadline ends the
+	// attempts.
 	Backoff func() backoff.BackOff
 }
 
-// DefaultCallTimeout bounds one call of the table. A connection may be silent for good;
-// a put normally ends within 2 s, so that half of it is left for a second attempt.
+// DefaultCallTimeout bounds one call to the table, because a connection may never respond. A put
+// normally completes within 2 s, so half of that is left for a second attempt.
 const DefaultCallTimeout = time.Second
 
-// settleInterval is the first pause before an answer is asked for again.
-const settleInterval = 50 * time.Millisecond
+// resolveInitialInterval is the default backoff before the first retry of an unknown outcome.
+const resolveInitialInterval = 50 * time.Millisecond
 
 // Store is the document store. It is safe for concurrent use.
 type Store struct {
 	config Config
-	// putting holds one element while a put runs and guards known.
-	putting chan struct{}
-	// known is the state that the last put started from or made. It saves a put from
-	// reading 35,000 rows to find the one that changes.
-	known *State
+	// putSlot is a semaphore that holds one element while a put runs. It guards cached.
+	putSlot chan struct{}
+	// cached is the state that the last put read or wrote. Without it, a put would read 35,000 rows
+	// to find the one that changes.
+	cached *State
 }
 
 // New returns a Store.
@@ -146,11 +148,11 @@
 	if config.Backoff == nil {
 		config.Backoff = func() backoff.BackOff {
 			b := backoff.NewExponentialBackOff()
-			b.InitialInterval = settleInterval
+			b.InitialInterval = resolveInitialInterval
 			return b
 		}
 	}
-	return &Store{config: config, putting: make(chan struct{}, 1), known: Empty()}
+	return &Store{config: config, putSlot: make(chan struct{}, 1), cached: Empty()}
 }
 
 func (s *Store) get(ctx context.Context, row string) (table.Row, error) {
@@ -172,7 +174,8 @@
 	return err
 }
 
-// tokenBytes makes it impossible in practice that two calls return the same token.
+// tokenBytes is the length of a token, large enough that two random tokens are never equal in
+// practice.
 const tokenBytes = 16
 
 // NewToken returns a random client token, for Config.
--- a/peers/documents/documents_test.go
+++ b/peers/documents/documents_test.go
@@ -20,7 +20,7 @@
 	require.EqualValues(t, 1, mustPut(t, s, service("a", 1, "x", "y"), IfAbsent))
 	require.EqualValues(t, 2, mustPut(t, s, service("b", 1, "x"), IfAbsent))
 	require.EqualValues(t, 3, mustPut(t, s, service("a", 1, "y", "z"), `"1"`))
-	require.EqualValues(t, 3, mustPut(t, s, service("a", 1, "y", "z"), `"1"`), "what stands already makes no revision")
+	require.EqualValues(t, 3, mustPut(t, s, service("a", 1, "y", "z"), `"1"`), "a put of the stored document creates no revision")
 
 	loaded, err := newStore(f, nil).Load(ctx)
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 	require.Nil(t, loaded.Snapshot.Principal(document.HashKey("x")).In("a"))
 	changes, err := s.Changes(ctx, 1)
 	require.NoError(t, err)
-	require.Equal(t, []string{"x"}, changes[1].Update.Drop, "only what changed is written")
+	require.Equal(t, []string{"x"}, changes[1].Update.Drop, "only the changed rows are written")
 	require.Len(t, changes[1].Update.Put, 1)
 	advanced, err := s.Advance(ctx, Empty())
 	require.NoError(t, err)
@@ -42,19 +42,19 @@
 func TestRefusedDocuments(t *testing.T) {
 	s := newStore(newFakeTable(), nil)
 	mustPut(t, s, service("a", 1, "x"), IfAbsent)
-	spoilt := service("b", -1)
-	stolen := service("b", 1)
-	stolen.Organisations = []document.Organisation{{Name: "y", KeyHashes: []string{document.HashKey("x").String()}}}
-	for _, d := range []*document.Service{spoilt, stolen} {
+	invalidModel := service("b", -1)
+	duplicateKey := service("b", 1)
+	duplicateKey.Organisations = []document.Organisation{{Name: "y", KeyHashes: []string{document.HashKey("x").String()}}}
+	for _, d := range []*document.Service{invalidModel, duplicateKey} {
 		var invalid *InvalidError
 		_, _, err := s.Put(context.Background(), d, IfAny)
 		require.ErrorAs(t, err, &invalid)
 	}
 }
 
-// Symptom: an operator's change was gone a minute later. Events: two operators read one
-// version and both put. Cause: the second overwrote what he had never seen.
-func TestTwoOperators(t *testing.T) {
+// If two operators read the same version and both put, the second must get a conflict. Otherwise it
+// would overwrite a change that it has not seen.
+func TestConcurrentOperatorsConflict(t *testing.T) {
 	f := newFakeTable()
 	one, two := newStore(f, nil), newStore(f, nil)
 	mustPut(t, one, service("a", 1), IfAbsent)
@@ -65,16 +65,16 @@
 	require.EqualValues(t, 3, mustPut(t, two, service("b", 1), IfAbsent), "another service's change is no conflict")
 }
 
-// Symptom: an operator was told of a conflict with his own change, or one put made two
-// revisions. Events: the table's answer was lost, before or after the commit took effect,
-// and another operator may have come between. Cause: the put was sent again as a new one.
+// The response to a commit may be lost before or after the commit is applied, and another operator's
+// put may come in between. If the retry were sent as a new put, an operator would get a conflict with
+// their own change, or one put would create two revisions.
 func TestLostAnswers(t *testing.T) {
 	lost, down := table.ErrUnknownOutcome, table.ErrUnavailable
 	rival := func(f *fakeTable) { mustPut(nil, newStore(f, nil), service("rival", 1), IfAbsent) }
 	for name, c := range map[string]struct {
-		before, after []error // answers of the first commits
-		getsDown      int     // reads after the first that fail
-		rival         bool    // another operator's put takes the revision first
+		before, after []error // results of the first commits
+		failedReads   int     // number of failing reads after the first one
+		rival         bool    // another operator's put creates the revision first
 		want          document.Revision
 		err           error
 		commits       int
@@ -82,8 +82,8 @@
 		"after effect":                  {after: []error{lost}, want: 1, commits: 1},
 		"before effect":                 {before: []error{lost}, want: 1, commits: 1},
 		"both, twice":                   {before: []error{lost, lost}, after: []error{lost}, want: 1, commits: 1},
-		"after effect, reads down":      {after: []error{lost}, getsDown: 2, want: 1, commits: 1},
-		"after effect, reads down long": {after: []error{lost, lost, lost, lost, lost}, getsDown: 9, err: lost, commits: 1},
+		"after effect, reads down":      {after: []error{lost}, failedReads: 2, want: 1, commits: 1},
+		"after effect, reads down long": {after: []error{lost, lost, lost, lost, lost}, failedReads: 9, err: lost, commits: 1},
 		"before effect, rival":          {before: []error{lost}, rival: true, want: 2, commits: 2},
 		"refused":                       {before: []error{down}, err: down},
 		"refused after lost":            {before: []error{lost, down, down, down, down}, err: lost},
@@ -97,7 +97,7 @@
 					return nil
 				}
 				if operation == "get" {
-					if gets++; gets > 1 && gets <= 1+c.getsDown {
+					if gets++; gets > 1 && gets <= 1+c.failedReads {
 						return down
 					}
 					return nil
@@ -131,8 +131,8 @@
 	}
 }
 
-// Two operators put at random while commits lose their answers. The log must hold each
-// accepted put once, under the revision that its operator was told, and no refused one.
+// Two operators put at random while responses to commits are lost. The log must contain each accepted
+// put exactly once, under the revision that Put returned, and no rejected put.
 func TestPutsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFakeTable()
@@ -171,9 +171,9 @@
 	})
 }
 
-// Symptom: a node served an organisation that had been removed together with a change
-// that it did serve. Events: it read the headers, the change was written, it read the
-// organisations. Cause: pages of one load are of several revisions.
+// A change may be written between the reads of two pages of one load. The loaded state must not mix
+// the two revisions; otherwise a node would serve an organisation that the change removed together
+// with other parts of the change.
 func TestLoadDuringChanges(t *testing.T) {
 	f := newFakeTable()
 	writer := newStore(f, nil)
@@ -192,7 +192,7 @@
 	require.Empty(t, document.Diff(service("a", 4, "only4"), got.Snapshot.Service("a")))
 }
 
-func TestLogIsCompacted(t *testing.T) {
+func TestChangeLogIsTruncated(t *testing.T) {
 	ctx := context.Background()
 	f := newFakeTable()
 	s := newStore(f, nil)
@@ -209,7 +209,7 @@
 	require.ErrorIs(t, err, ErrReverted)
 }
 
-func TestLargeChangeIsLoadedWhole(t *testing.T) {
+func TestLargeChangeRequiresFullLoad(t *testing.T) {
 	f := newFakeTable()
 	names := make([]string, 3000)
 	for i := range names {
@@ -229,13 +229,13 @@
 	f, o := newFakeTable(), fakeObjects{}
 	s := newStore(f, o)
 	_, err := s.Start(ctx)
-	require.NoError(t, err, "an empty table is a state")
+	require.NoError(t, err, "an empty table is a valid state")
 	mustPut(t, s, service("a", 1, "x"), IfAbsent)
-	old := s.known
+	old := s.cached
 	require.NoError(t, s.Save(ctx, old))
 	mustPut(t, s, service("a", 2, "x"), IfAny)
-	peer := func(context.Context) ([]byte, error) { return s.known.Encode(), nil }
-	damaged := func(context.Context) ([]byte, error) { return append(s.known.Encode(), ' '), nil }
+	peer := func(context.Context) ([]byte, error) { return s.cached.Encode(), nil }
+	damaged := func(context.Context) ([]byte, error) { return append(s.cached.Encode(), ' '), nil }
 	broken := func(context.Context) ([]byte, error) { return nil, errors.New("no route") }
 	for name, c := range map[string]struct {
 		down      bool
@@ -243,9 +243,9 @@
 		want      *State
 		confirmed bool
 	}{
-		"table up":                  {want: s.known, confirmed: true},
+		"table up":                  {want: s.cached, confirmed: true},
 		"table down, object only":   {down: true, peers: []Source{broken, damaged}, want: old},
-		"table down, peer is newer": {down: true, peers: []Source{broken, peer}, want: s.known},
+		"table down, peer is newer": {down: true, peers: []Source{broken, peer}, want: s.cached},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f.before = func(string) error {
--- a/peers/documents/fake_test.go
+++ b/peers/documents/fake_test.go
@@ -15,13 +15,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeTable is a table with hooks where answers get lost; one goroutine uses it.
+// fakeTable is an in-memory table with hooks that can lose responses. It is not safe for concurrent
+// use.
 type fakeTable struct {
 	rows    map[table.Key]table.Row
 	applied map[string][]uint64
 	commits int
-	// before runs before an operation takes effect and after once it has; an error is
-	// the operation's answer.
+	// before runs before an operation is applied and after runs once it has been applied. If one of
+	// them returns an error, the operation returns it.
 	before, after func(operation string) error
 }
 
@@ -102,28 +103,28 @@
 
 var tokens int
 
-// newStore returns a store whose every settling stops after five attempts.
+// newStore returns a store that resolves an unknown outcome in at most five attempts.
 func newStore(f *fakeTable, o fakeObjects) *Store {
 	return New(Config{
 		Table: f, Objects: o,
 		Token:   func() string { tokens++; return strconv.Itoa(tokens) },
 		Now:     func() time.Time { return time.Unix(0, 0) },
-		Backoff: func() backoff.BackOff { return &fewTries{left: 4} },
+		Backoff: func() backoff.BackOff { return &limitedBackoff{retries: 4} },
 	})
 }
 
-type fewTries struct{ left int }
+type limitedBackoff struct{ retries int }
 
-func (b *fewTries) Reset() {}
+func (b *limitedBackoff) Reset() {}
 
-func (b *fewTries) NextBackOff() time.Duration {
-	if b.left--; b.left < 0 {
+func (b *limitedBackoff) NextBackOff() time.Duration {
+	if b.retries--; b.retries < 0 {
 		return backoff.Stop
 	}
 	return 0
 }
 
-// service returns a document whose organisations are named; each has one key.
+// service returns a document with the named organisations, each of which has one key.
 func service(name string, replicas int, organisations ...string) *document.Service {
 	models := []document.Model{{Name: name + "-1", Version: "1", Replicas: replicas, ContextTokens: 1, EngineTokens: 1}}
 	s := &document.Service{Name: name, Kind: document.KindModel, Models: models}
--- a/peers/documents/load.go
+++ b/peers/documents/load.go
@@ -9,15 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// scanPage is the number of rows read at once: 500 organisations are about 150 KB.
-const scanPage = 500
+// scanPageRows is the number of rows per read; 500 organisations are about 150 KB.
+const scanPageRows = 500
 
-// maxLoadAttempts bounds how often a load starts again because the log was outrun.
+// maxLoadAttempts bounds the attempts of a load that fails because the change log was truncated in the
+// meantime.
 const maxLoadAttempts = 3
 
 // head returns the newest revision and the version of the row that holds it.
 func (s *Store) head(ctx context.Context) (document.Revision, uint64, error) {
-	row, err := s.get(ctx, headName)
+	row, err := s.get(ctx, headRowName)
 	if errors.Is(err, table.ErrNotFound) {
 		return 0, 0, nil
 	}
@@ -35,9 +36,9 @@
 	return revision, err
 }
 
-// Changes returns the changes after the given revision, oldest first, at the cost of one
-// read when there are none. It returns ErrCompacted when the log doesn't lead on from
-// there and ErrReverted when the table's revision is lower.
+// Changes returns the changes after the given revision, oldest first. It costs one read if there are
+// none. It returns ErrCompacted if the log does not contain all of them, and ErrReverted if the
+// table's revision is lower.
 func (s *Store) Changes(ctx context.Context, after document.Revision) ([]Change, error) {
 	newest, err := s.Head(ctx)
 	if err != nil {
@@ -52,7 +53,7 @@
 	}
 	var changes []Change
 	for next := after; next < newest; {
-		rows, err := s.scan(ctx, changePrefix, changeName(next), scanPage)
+		rows, err := s.scan(ctx, changePrefix, changeRowName(next), scanPageRows)
 		if err != nil {
 			return nil, err
 		}
@@ -76,15 +77,15 @@
 	return changes, nil
 }
 
-// Advance returns the newest state, from the change log where it reaches back to the
-// given state and by a whole load otherwise.
+// Advance returns the newest state. It applies the change log if that covers all changes since the
+// given state, and loads the whole state otherwise.
 func (s *Store) Advance(ctx context.Context, from *State) (*State, error) {
-	state, _, err := s.newest(ctx, from)
+	state, _, err := s.advanceFrom(ctx, from)
 	return state, err
 }
 
-// newest also returns the version of the head row that belongs to the state.
-func (s *Store) newest(ctx context.Context, from *State) (*State, uint64, error) {
+// advanceFrom is like Advance and also returns the version of the head row at that state.
+func (s *Store) advanceFrom(ctx context.Context, from *State) (*State, uint64, error) {
 	for range maxLoadAttempts {
 		revision, version, err := s.head(ctx)
 		if err != nil {
@@ -107,10 +108,10 @@
 	return nil, 0, ErrBusy
 }
 
-// Load reads the whole state. Changes may be written while its pages are read, so that
-// the rows are of several revisions. It therefore reads the head before the first page
-// and applies every change since then on top: a change carries whole values, hence it
-// does no harm where a page already had it.
+// Load reads the whole state. Changes may be written while it reads the pages, so that the rows belong
+// to several revisions. It therefore reads the head before the first page and afterwards applies all
+// changes since then. Changes contain complete values, so it is safe to apply a change that a page
+// already included.
 func (s *Store) Load(ctx context.Context) (*State, error) {
 	for range maxLoadAttempts {
 		state, err := s.loadOnce(ctx)
@@ -182,7 +183,7 @@
 func (s *Store) eachRow(ctx context.Context, prefix string, yield func(table.Row) error) error {
 	after := ""
 	for {
-		rows, err := s.scan(ctx, prefix, after, scanPage)
+		rows, err := s.scan(ctx, prefix, after, scanPageRows)
 		if err != nil {
 			return err
 		}
@@ -198,8 +199,8 @@
 	}
 }
 
-// History returns the changes of a service that the log still holds, newest first, at
-// most limit of them. It reads the whole log and is meant for operators.
+// History returns at most limit changes of a service that the log still contains, newest first. It
+// reads the whole log and is intended for operators.
 func (s *Store) History(ctx context.Context, service string, limit int) ([]Change, error) {
 	var history []Change
 	err := s.eachRow(ctx, changePrefix, func(row table.Row) error {
--- a/peers/documents/put.go
+++ b/peers/documents/put.go
@@ -11,33 +11,33 @@
 
 // Values of ifMatch besides an ETag.
 const (
-	// IfAbsent demands that there is no document yet.
+	// IfAbsent requires that there is no document yet.
 	IfAbsent = ""
-	// IfAny replaces whatever stands.
+	// IfAny replaces the stored document unconditionally.
 	IfAny = "*"
 )
 
-// maxPutAttempts bounds how often a put starts again because another service changed.
-// Documents change a few times an hour; eight losses in a row mean that something writes
-// in a loop.
+// maxPutAttempts bounds the attempts of a put that conflicts with changes to other services.
+// Documents change a few times an hour, so eight conflicts in a row mean that a client writes in a
+// loop.
 const maxPutAttempts = 8
 
-// Put stores a document and returns the revision that made it, or the conflict when the
-// document that stands isn't the one that ifMatch names. Putting what already stands is
-// accepted and makes no revision, so that an operator may repeat a put without harm. The
-// store keeps the document, which may not be changed afterwards. The context needs a
-// deadline: until it ends, a lost answer is asked for again.
+// Put stores a document and returns the revision of the change. If the stored document does not match
+// ifMatch, it returns the conflict instead. A put of a document that equals the stored one succeeds
+// and creates no revision, so that an operator may safely repeat a put. The store retains the
+// document, which must not be modified afterwards. The context must have a deadline: until it ends,
+// Put retries to resolve an unknown outcome.
 //
-// Errors: *InvalidError; ErrBusy, ErrReverted and table.ErrUnavailable prove that nothing
-// was written; table.ErrUnknownOutcome means that the answer was lost and could not be
-// settled before the context ended.
+// Errors: *InvalidError; ErrBusy, ErrReverted and table.ErrUnavailable, which prove that nothing was
+// written; table.ErrUnknownOutcome if a response was lost and the outcome could not be resolved before
+// the context ended.
 func (s *Store) Put(ctx context.Context, service *document.Service, ifMatch string) (document.Revision, *Conflict, error) {
 	if faults := document.Validate(service); len(faults) > 0 {
 		return 0, nil, &InvalidError{Faults: faults}
 	}
 	select {
-	case s.putting <- struct{}{}:
-		defer func() { <-s.putting }()
+	case s.putSlot <- struct{}{}:
+		defer func() { <-s.putSlot }()
 	case <-ctx.Done():
 		return 0, nil, errors.Wrap(table.ErrUnavailable, "documents: waiting for another put")
 	}
@@ -50,15 +50,15 @@
 	return 0, nil, ErrBusy
 }
 
-// putOnce returns table.ErrConflict when another change came first and this one is
-// proved not to have been written.
+// putOnce makes one attempt of a put. It returns table.ErrConflict if another change was written
+// first and this one was certainly not written.
 func (s *Store) putOnce(ctx context.Context, service *document.Service, ifMatch string) (document.Revision, *Conflict, error) {
-	state, headVersion, err := s.newest(ctx, s.known)
+	state, headVersion, err := s.advanceFrom(ctx, s.cached)
 	if err != nil {
-		// Nothing was sent that could write, whatever a read's own failure was.
+		// No write was sent yet, so nothing was written, whatever the error of the read.
 		return 0, nil, notWritten(err)
 	}
-	s.known = state
+	s.cached = state
 	current := state.Snapshot.Service(service.Name)
 	update := document.UpdateBetween(current, service)
 	if current != nil && update.Empty() {
@@ -76,22 +76,23 @@
 		Service:  service.Name,
 		At:       s.config.Now(),
 		Update:   &update,
-		Diff:     shorten(document.Diff(current, service)),
+		Diff:     truncateDiff(document.Diff(current, service)),
 	}
-	if err := s.commitSettled(ctx, transaction(change, service, headVersion), change); err != nil {
+	if err := s.commitResolved(ctx, transaction(change, service, headVersion), change); err != nil {
 		return 0, nil, err
 	}
 	if next, err := state.Apply([]Change{change}); err == nil {
-		s.known = next
+		s.cached = next
 	}
 	return change.Revision, nil, nil
 }
 
-func shorten(diff []document.Change) []document.Change {
+func truncateDiff(diff []document.Change) []document.Change {
 	return diff[:min(len(diff), maxLoggedDifferences)]
 }
 
-// notWritten turns the failure of a read before any commit into one that says so.
+// notWritten converts the error of a read that precedes any commit to one that proves that nothing was
+// written.
 func notWritten(err error) error {
 	if errors.Is(err, table.ErrUnknownOutcome) || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return errors.Wrap(table.ErrUnavailable, err.Error())
@@ -99,15 +100,14 @@
 	return err
 }
 
-// commitSettled commits and, when the answer is lost, finds out what happened.
+// commitResolved commits a transaction and, if the response is lost, resolves the outcome.
 //
-// What goes wrong: the commit takes effect and its answer is lost. A second commit under
-// a new token would fail on the head row and tell the operator of a conflict with
-// himself, or make a second revision. So every attempt has the same token, and the log's
-// row for the revision is read: it names the token of the put that took the revision.
-// Whoever took it, a late copy of this commit can't take effect any more, because the
-// head row has gone past its condition.
-func (s *Store) commitSettled(ctx context.Context, tx table.Tx, change Change) error {
+// If a commit is applied and its response is lost, a second commit with a new token would conflict
+// with the first on the head row, or create a second revision. Therefore all attempts use the same
+// token, and the change log's row for the revision is read, which contains the token of the put that
+// created the revision. Once any put has created it, a delayed copy of this commit can't be applied
+// any more, because its condition on the head row no longer holds.
+func (s *Store) commitResolved(ctx context.Context, tx table.Tx, change Change) error {
 	maybeWritten := false
 	attempt := func() (struct{}, error) {
 		err := s.commit(ctx, tx)
@@ -120,7 +120,7 @@
 			return struct{}{}, backoff.Permanent(err)
 		}
 		maybeWritten = true
-		return struct{}{}, s.readToken(ctx, change)
+		return struct{}{}, s.checkLoggedToken(ctx, change)
 	}
 	_, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(s.config.Backoff()), backoff.WithMaxElapsedTime(0))
 	switch {
@@ -132,10 +132,10 @@
 	return errors.Wrapf(table.ErrUnknownOutcome, "documents: revision %d: %v", change.Revision, err)
 }
 
-// readToken returns nil when the revision is this change's, a permanent ErrConflict when
-// it is another's, and any other error when that is still open.
-func (s *Store) readToken(ctx context.Context, change Change) error {
-	row, err := s.get(ctx, changeName(change.Revision))
+// checkLoggedToken returns nil if this change created the revision, a permanent ErrConflict if another
+// change did, and any other error if that is still unknown.
+func (s *Store) checkLoggedToken(ctx context.Context, change Change) error {
+	row, err := s.get(ctx, changeRowName(change.Revision))
 	if err != nil {
 		return err
 	}
--- a/peers/documents/rows.go
+++ b/peers/documents/rows.go
@@ -11,35 +11,36 @@
 	"github.com/pkg/errors"
 )
 
-// The rows of the table. A service's name has no '/', so that organisations of two
-// services never share a row.
+// The table's name and the names of its rows. A service's name contains no '/', so that organisations
+// of two services never share a row.
 const (
 	tableName          = "documents"
-	headName           = "head"
+	headRowName        = "head"
 	servicePrefix      = "service/"
 	organisationPrefix = "organisation/"
 	changePrefix       = "change/"
 )
 
-// LogLength is the number of revisions that the change log keeps: each put deletes the
-// row that falls out, so that nobody has to compact it. A node that was away for longer
-// loads the whole state. At 1,024 a day of one change a minute and a half is covered.
+// LogLength is the number of revisions in the change log. Each put deletes the row that exceeds it, so
+// the log needs no separate compaction. A node that is further behind loads the whole state. 1,024
+// revisions cover a day at one change every minute and a half.
 const LogLength = 1024
 
-// maxUpdateBytes bounds an update kept in the log. A larger one, such as 35,000
-// organisations at once, makes its readers load the whole state, which costs them no
-// more than it would.
+// maxUpdateBytes bounds the size of an update in the change log. After a larger update, such as
+// 35,000 organisations at once, readers load the whole state, which costs no more than reading the
+// update.
 const maxUpdateBytes = 256 << 10
 
-// maxLoggedDifferences bounds the differences kept for the history.
+// maxLoggedDifferences bounds the number of differences that a row of the change log keeps for the
+// history.
 const maxLoggedDifferences = 50
 
-// headRow numbers the newest revision.
+// headRow is the row that holds the newest revision.
 type headRow struct {
 	Revision document.Revision `json:"revision"`
 }
 
-// serviceRow is a service's header with the revision that changed the service last.
+// serviceRow is a service's header and the last revision that changed the service.
 type serviceRow struct {
 	Revision document.Revision `json:"revision"`
 	Header   *document.Service `json:"header"`
@@ -48,26 +49,27 @@
 // Change is one row of the change log.
 type Change struct {
 	Revision document.Revision `json:"revision"`
-	// Token is the client token of the put, by which its writer knows it again.
+	// Token is the client token of the put, by which its writer identifies it.
 	Token   string    `json:"token"`
 	Service string    `json:"service"`
 	At      time.Time `json:"at"`
-	// Update is the change; nil when it was too large to keep.
+	// Update is the change; nil if it exceeded maxUpdateBytes.
 	Update *document.Update `json:"update,omitempty"`
-	// Diff is for the history's readers, shortened.
+	// Diff lists the first differences, for the history.
 	Diff []document.Change `json:"diff,omitempty"`
 }
 
 func rowKey(row string) table.Key { return table.Key{Table: tableName, Row: row} }
 
-func serviceName(service string) string { return servicePrefix + service }
+func serviceRowName(service string) string { return servicePrefix + service }
 
-func organisationName(service, organisation string) string {
+func organisationRowName(service, organisation string) string {
 	return organisationPrefix + service + "/" + organisation
 }
 
-// changeName orders the log's rows by revision: 20 digits hold any uint64.
-func changeName(revision document.Revision) string {
+// changeRowName pads the revision to the 20 digits of the largest uint64, so that the log's rows are
+// sorted by revision.
+func changeRowName(revision document.Revision) string {
 	return fmt.Sprintf("%s%020d", changePrefix, revision)
 }
 
@@ -77,8 +79,8 @@
 	return service
 }
 
-// encode can't fail: the rows' types have no value that JSON lacks, and Validate
-// refuses limits that are not numbers.
+// encode encodes a row's value as JSON. It can't fail: JSON can represent all values of the rows'
+// types, because Validate rejects limits that are NaN or infinite.
 func encode(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -91,36 +93,37 @@
 	return errors.Wrapf(json.Unmarshal(row.Value, value), "documents: row %s", row.Key.Row)
 }
 
-func put(row string, value any) table.Write {
+func putRow(row string, value any) table.Write {
 	return table.Write{Key: rowKey(row), Value: encode(value)}
 }
 
-func remove(row string) table.Write { return table.Write{Key: rowKey(row), Delete: true} }
+func deleteRow(row string) table.Write { return table.Write{Key: rowKey(row), Delete: true} }
 
-// transaction writes the change from the state old, whose head row has the given version.
+// transaction returns the transaction that writes a change, on the condition that the head row has the
+// given version.
 func transaction(change Change, service *document.Service, headVersion uint64) table.Tx {
 	update := change.Update
 	header, _ := document.Rows(service)
 	writes := []table.Write{
-		put(headName, headRow{Revision: change.Revision}),
-		put(serviceName(service.Name), serviceRow{Revision: change.Revision, Header: header}),
+		putRow(headRowName, headRow{Revision: change.Revision}),
+		putRow(serviceRowName(service.Name), serviceRow{Revision: change.Revision, Header: header}),
 	}
 	for i := range update.Put {
-		writes = append(writes, put(organisationName(service.Name, update.Put[i].Name), update.Put[i]))
+		writes = append(writes, putRow(organisationRowName(service.Name, update.Put[i].Name), update.Put[i]))
 	}
 	for _, name := range update.Drop {
-		writes = append(writes, remove(organisationName(service.Name, name)))
+		writes = append(writes, deleteRow(organisationRowName(service.Name, name)))
 	}
 	if len(encode(update)) > maxUpdateBytes {
 		change.Update = nil
 	}
-	writes = append(writes, put(changeName(change.Revision), change))
+	writes = append(writes, putRow(changeRowName(change.Revision), change))
 	if change.Revision > LogLength {
-		writes = append(writes, remove(changeName(change.Revision-LogLength)))
+		writes = append(writes, deleteRow(changeRowName(change.Revision-LogLength)))
 	}
 	return table.Tx{
 		Token:      change.Token,
-		Conditions: []table.Condition{{Key: rowKey(headName), Version: headVersion}},
+		Conditions: []table.Condition{{Key: rowKey(headRowName), Version: headVersion}},
 		Writes:     writes,
 	}
 }
--- a/peers/documents/start.go
+++ b/peers/documents/start.go
@@ -11,35 +11,35 @@
 	"github.com/pkg/errors"
 )
 
-// objectName is the object that holds an encoded state.
+// objectName is the name of the object that holds an encoded state.
 const objectName = "documents/state"
 
-// SaveEvery is the number of revisions between two saved states. A start then reads
-// at most that many rows of the log, and a save of 10 MB is rare.
+// SaveEvery is the number of revisions between two saved states. It bounds the rows of the log that a
+// starting process reads, and keeps saves of 10 MB rare.
 const SaveEvery = 64
 
-// ErrDamaged means that an encoded state is cut short or changed.
+// ErrDamaged means that an encoded state is truncated or corrupt.
 var ErrDamaged = errors.New("documents: encoded state is damaged")
 
-// image is the encoded form of a state.
-type image struct {
+// encodedState is the encoded form of a state.
+type encodedState struct {
 	Revision document.Revision `json:"revision"`
-	Services []imageService    `json:"services"`
+	Services []encodedService  `json:"services"`
 }
 
-type imageService struct {
+type encodedService struct {
 	Changed  document.Revision `json:"changed"`
 	Document *document.Service `json:"document"`
 }
 
-// Encode returns the state for the object store or a peer: a line with a format number
-// and a checksum, then JSON.
+// Encode encodes the state for the object store or a peer: a line with a format number and a checksum,
+// followed by JSON.
 func (s *State) Encode() []byte {
-	whole := image{Revision: s.Revision()}
+	encoded := encodedState{Revision: s.Revision()}
 	s.Snapshot.Services(func(service *document.Service) {
-		whole.Services = append(whole.Services, imageService{Changed: s.changed[service.Name], Document: service})
+		encoded.Services = append(encoded.Services, encodedService{Changed: s.changed[service.Name], Document: service})
 	})
-	body := encode(whole)
+	body := encode(encoded)
 	return append(stateHeader(body), body...)
 }
 
@@ -47,51 +47,51 @@
 	return fmt.Appendf(nil, "acaciacleat-state 1 %016x\n", xxhash.Sum64(body))
 }
 
-// Decode reads what Encode wrote; it returns ErrDamaged when the checksum differs.
+// Decode decodes a state that Encode has encoded. It returns ErrDamaged if the checksum does not match.
 func Decode(data []byte) (*State, error) {
 	end := bytes.IndexByte(data, '\n') + 1
 	body := data[end:]
 	if end == 0 || !bytes.Equal(data[:end], stateHeader(body)) {
 		return nil, ErrDamaged
 	}
-	var whole image
-	if err := json.Unmarshal(body, &whole); err != nil {
+	var encoded encodedState
+	if err := json.Unmarshal(body, &encoded); err != nil {
 		return nil, errors.Wrap(ErrDamaged, err.Error())
 	}
-	services := make([]*document.Service, 0, len(whole.Services))
-	changed := make(map[string]document.Revision, len(whole.Services))
-	for _, service := range whole.Services {
+	services := make([]*document.Service, 0, len(encoded.Services))
+	changed := make(map[string]document.Revision, len(encoded.Services))
+	for _, service := range encoded.Services {
 		services = append(services, service.Document)
 		changed[service.Document.Name] = service.Changed
 	}
-	return &State{Snapshot: document.Compile(whole.Revision, services), changed: changed}, nil
+	return &State{Snapshot: document.Compile(encoded.Revision, services), changed: changed}, nil
 }
 
-// Save puts the state into the object store, to be done by whoever made a revision that
-// SaveEvery divides. Two savers may race and the older state stay: a start then reads a
-// longer part of the log, nothing more.
+// Save writes the state to the object store. The process that creates a revision divisible by
+// SaveEvery should call it. If two processes race and the older state remains, the only effect is that
+// a starting process reads more rows of the log.
 func (s *Store) Save(ctx context.Context, state *State) error {
 	return s.config.Objects.Put(ctx, objectName, state.Encode())
 }
 
-// Source returns an encoded state from somewhere other than the platform, such as a peer.
+// Source returns an encoded state from a source other than the platform, such as a peer.
 type Source func(ctx context.Context) ([]byte, error)
 
-// Started is the state with which a process starts.
+// Started is the result of Start.
 type Started struct {
 	State *State
-	// Confirmed says that the table gave the state. Otherwise it comes from the object
-	// store or a peer and may be old: the process admits nothing before it has asked
-	// enough peers for the highest revision.
+	// Confirmed is set if the state was read from the table. Otherwise it comes from the object store
+	// or a peer and may be outdated: the process must not admit requests before it has asked enough
+	// peers for the highest revision.
 	Confirmed bool
 }
 
-// Start finds the newest state that can be had: the saved one brought up to date from
-// the table, or, with the table down, the highest of the saved one and the peers'.
+// Start returns the newest available state: the saved state with the table's later changes or, if the
+// table is unavailable, the state with the highest revision among the saved one and those of peers.
 func (s *Store) Start(ctx context.Context, peers ...Source) (Started, error) {
 	best := Empty()
 	if data, err := s.config.Objects.Get(ctx, objectName); err == nil {
-		best = higher(best, data)
+		best = newerState(best, data)
 	}
 	state, err := s.Advance(ctx, best)
 	if errors.Is(err, ErrReverted) {
@@ -102,7 +102,7 @@
 	}
 	for _, peer := range peers {
 		if data, peerErr := peer(ctx); peerErr == nil {
-			best = higher(best, data)
+			best = newerState(best, data)
 		}
 	}
 	if best.Revision() == 0 {
@@ -111,8 +111,9 @@
 	return Started{State: best}, nil
 }
 
-// higher returns the encoded state if it is sound and of a higher revision than best.
-func higher(best *State, data []byte) *State {
+// newerState returns the encoded state if it is valid and has a higher revision than best, and best
+// otherwise.
+func newerState(best *State, data []byte) *State {
 	state, err := Decode(data)
 	if err != nil || state.Revision() <= best.Revision() {
 		return best
