--- a/agent/orders/orders.go
+++ b/agent/orders/orders.go
@@ -71,7 +71,7 @@
 // OnMessage takes orders and questions for the status.
 func (x *Executor) OnMessage(c *link.Conn, clock func() int64, message link.Message) {
 	switch m := message.(type) {
-	case *link.StatusAsk:
+	case *link.StatusRequest:
 		status := x.Status(time.Now())
 		status.Nonce = m.Nonce
 		_ = c.Send(status)
@@ -97,7 +97,7 @@
 		return err
 	}
 	// After the check, for reading the row may have taken long.
-	if age := clock() - order.Stamp; age > order.StartMs*int64(time.Millisecond) {
+	if age := clock() - order.Stamp; age > order.StartWithinMs*int64(time.Millisecond) {
 		return errors.WithMessagef(ErrExpired, "%v old", time.Duration(age))
 	}
 	return x.begin(order)
@@ -142,7 +142,7 @@
 		return ErrBusy
 	}
 	x.current = &wanted
-	go x.carryOut(wanted, time.Duration(order.LifeMs)*time.Millisecond)
+	go x.carryOut(wanted, time.Duration(order.CompleteWithinMs)*time.Millisecond)
 	return nil
 }
 
--- a/agent/orders/orders_test.go
+++ b/agent/orders/orders_test.go
@@ -36,10 +36,10 @@
 // Each case is an agent that has just started, a row and the orders that reach it.
 func TestOrdersAreObeyedOrRefused(t *testing.T) {
 	load := func(version string, fence uint64) *link.Order {
-		return &link.Order{Kind: "load-model", Model: "m", Version: version, Fence: fence, StartMs: 15_000, LifeMs: 600_000}
+		return &link.Order{Kind: "load-model", Model: "m", Version: version, Fence: fence, StartWithinMs: 15_000, CompleteWithinMs: 600_000}
 	}
 	short := load("2", 2)
-	short.LifeMs = 1000
+	short.CompleteWithinMs = 1000
 	cases := []struct {
 		name   string
 		row    uint64
@@ -85,14 +85,14 @@
 	require.False(t, x.Status(now).Reported)
 	x.Reported(now, engine.Report{Model: "m", Version: "1"}, nil)
 	for range 3 {
-		x.Ended(now, &link.End{FirstMs: 40})
+		x.Ended(now, &link.End{FirstTokenMs: 40})
 	}
 	x.Ended(now, &link.End{Code: result.UpstreamFailed})
 	x.Ended(now, &link.End{Code: result.Cancelled})
 	status := x.Status(now)
 	require.Equal(t, 4, status.Requests)
 	require.Equal(t, 0.25, status.ErrorRate)
-	require.Equal(t, 40.0, status.FirstMs)
+	require.Equal(t, 40.0, status.FirstTokenMs)
 
 	require.Equal(t, 4, x.Status(now.Add(bucketLength)).Requests)
 	require.Zero(t, x.Status(now.Add(bucketCount*bucketLength)).Requests, "they are over")
--- a/agent/orders/status.go
+++ b/agent/orders/status.go
@@ -60,9 +60,9 @@
 	b := x.book.bucket(now)
 	switch end.Code {
 	case result.OK:
-		if end.FirstMs > 0 {
+		if end.FirstTokenMs > 0 {
 			b.firsts++
-			b.firstMs += end.FirstMs
+			b.firstMs += end.FirstTokenMs
 		}
 	case result.UpstreamFailed, result.UpstreamTimeout, result.UpstreamRejected, result.UpstreamCrashed:
 		b.errors++
@@ -128,6 +128,6 @@
 		status.ErrorRate = float64(errors) / float64(status.Requests)
 	}
 	if firsts > 0 {
-		status.FirstMs = firstMs / float64(firsts)
+		status.FirstTokenMs = firstMs / float64(firsts)
 	}
 }
--- a/agent/server/intake.go
+++ b/agent/server/intake.go
@@ -289,7 +289,7 @@
 func (s *Server) onResume(c *link.Conn, m *link.Resume) {
 	l := s.find(m.ID)
 	if l == nil || l.offer.Attempt != m.Attempt || !l.resume(c, m.NextSeq) {
-		_ = c.Send(&link.Gone{ID: m.ID, Attempt: m.Attempt})
+		_ = c.Send(&link.UnknownCall{ID: m.ID, Attempt: m.Attempt})
 	}
 }
 
--- a/agent/server/run.go
+++ b/agent/server/run.go
@@ -205,7 +205,7 @@
 		PromptTokens:     final.Usage.PromptTokens,
 		CachedTokens:     final.Usage.CachedTokens,
 		CompletionTokens: final.Usage.CompletionTokens,
-		FirstMs:          milliseconds(first.Sub(l.started)),
+		FirstTokenMs:     milliseconds(first.Sub(l.started)),
 	}
 }
 
--- a/entry/capacity/spread_test.go
+++ b/entry/capacity/spread_test.go
@@ -139,7 +139,7 @@
 
 // ask sends a question and its answer, which goes back on the link of the question.
 func (s *spreading) ask(from spread.NodeID, a spread.QueryPeer) {
-	s.send(from, a.Node, &link.ConfigAsk{After: uint64(a.After), Nonce: a.Nonce}, func(n *spread.Node, _ time.Time) []spread.Action {
+	s.send(from, a.Node, &link.ConfigRequest{After: uint64(a.After), Nonce: a.Nonce}, func(n *spread.Node, _ time.Time) []spread.Action {
 		answer := spread.Answer{Node: a.Node, Nonce: a.Nonce, After: a.After, Revision: n.Revision(), Highest: n.HighestSeen()}
 		message := &link.ConfigAnswer{Nonce: a.Nonce, After: uint64(a.After), Revision: uint64(answer.Revision), Highest: uint64(answer.Highest), Parts: 1}
 		s.messages++
--- a/entry/capacity/wire_test.go
+++ b/entry/capacity/wire_test.go
@@ -67,15 +67,15 @@
 		"offer-1M":     offer(64),
 		"accepted":     &link.Accepted{ID: wireID, Attempt: 1, Queued: 5, Load: busyReport()},
 		"refused":      &link.Refused{ID: wireID, Attempt: 1, Code: result.QueueFull, Execution: result.NotRun, Better: agentName, Stamp: 1 << 50, Load: busyReport()},
-		"end":          &link.End{ID: wireID, Attempt: 1, Seq: 373, Execution: result.Ran, FinishReason: "stop", PromptTokens: 8_000, CachedTokens: 4_000, CompletionTokens: 372, QueueMs: 12.5, FirstMs: 210.5, Load: busyReport()},
+		"end":          &link.End{ID: wireID, Attempt: 1, Seq: 373, Execution: result.Ran, FinishReason: "stop", PromptTokens: 8_000, CachedTokens: 4_000, CompletionTokens: 372, QueueMs: 12.5, FirstTokenMs: 210.5, Load: busyReport()},
 		"loads-1":      &link.Loads{Reports: reports[:1]},
 		"loads-3":      &link.Loads{Reports: reports},
-		"limit-ask":    &link.LimitAsk{Service: serviceName, Organisation: organisationName, Sequence: 1 << 62, Tokens: 9_024, Held: 3, MoreRequests: 2, MoreTokens: 18_000},
+		"limit-ask":    &link.LimitRequest{Service: serviceName, Organisation: organisationName, Sequence: 1 << 62, Tokens: 9_024, Held: 3, MoreRequests: 2, MoreTokens: 18_000},
 		"limit-grant":  &link.LimitGrant{Service: serviceName, Organisation: organisationName, Sequence: 1 << 62, OK: true, Requests: 3, Tokens: 27_000, Held: 4},
 		"limit-renew":  &link.LimitRenew{Holds: []link.LimitHold{{Service: serviceName, Organisation: organisationName, Sequence: 1 << 62, Held: 3}}},
 		"chunk":        &link.Chunk{ID: wireID, Attempt: 1, Seq: 200, Tokens: 1, Data: []byte("token ")},
 		"ack":          &link.Ack{ID: wireID, Attempt: 1, Seq: 200},
-		"config-ask":   &link.ConfigAsk{After: 1 << 20, Nonce: 1 << 30},
+		"config-ask":   &link.ConfigRequest{After: 1 << 20, Nonce: 1 << 30},
 		"config-state": &link.ConfigAnswer{Nonce: 1 << 30, After: 1 << 20, Revision: 1 << 20, Highest: 1 << 20, Parts: 1},
 	}
 }
--- a/entry/config/actions.go
+++ b/entry/config/actions.go
@@ -23,7 +23,7 @@
 			message := &link.ConfigAck{Root: string(a.Root), Revision: uint64(a.Revision), Nodes: names(a.Nodes)}
 			sends = append(sends, m.sending(a.Node, message))
 		case spread.QueryPeer:
-			message := &link.ConfigAsk{After: uint64(a.After), Nonce: a.Nonce}
+			message := &link.ConfigRequest{After: uint64(a.After), Nonce: a.Nonce}
 			sends = append(sends, m.sending(a.Node, message))
 		case spread.PollTable:
 			sends = append(sends, func(ctx context.Context) { m.poll(ctx, a) })
--- a/entry/config/manager.go
+++ b/entry/config/manager.go
@@ -129,13 +129,13 @@
 	}
 }
 
-func (m *Manager) tryStart(ctx context.Context) (documents.Started, error) {
+func (m *Manager) tryStart(ctx context.Context) (documents.StartResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	return m.config.Store.Start(ctx, m.fromPeer)
 }
 
-func (m *Manager) begin(started documents.Started) {
+func (m *Manager) begin(started documents.StartResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
--- a/entry/config/messages.go
+++ b/entry/config/messages.go
@@ -24,7 +24,7 @@
 		go m.onPush(ctx, from, a)
 	case *link.ConfigAck:
 		go m.onAck(ctx, a)
-	case *link.ConfigAsk:
+	case *link.ConfigRequest:
 		go m.onAsk(ctx, c, a)
 	case *link.ConfigAnswer:
 		go m.onAnswer(ctx, from, a)
@@ -88,7 +88,7 @@
 const partBytes = 256 << 10
 
 // onAsk answers a peer with the changes it lacks, or with the whole state.
-func (m *Manager) onAsk(_ context.Context, c *link.Conn, a *link.ConfigAsk) {
+func (m *Manager) onAsk(_ context.Context, c *link.Conn, a *link.ConfigRequest) {
 	m.mu.Lock()
 	if m.node == nil {
 		m.mu.Unlock()
@@ -225,7 +225,7 @@
 	m.mu.Lock()
 	m.starting = startQuestion{nonce: nonce, answer: answer, passed: func() { timer.Reset(pollTimeout) }}
 	m.mu.Unlock()
-	if err := c.Send(&link.ConfigAsk{Nonce: nonce}); err != nil {
+	if err := c.Send(&link.ConfigRequest{Nonce: nonce}); err != nil {
 		return nil, err
 	}
 	select {
--- a/entry/config/messages_test.go
+++ b/entry/config/messages_test.go
@@ -50,7 +50,7 @@
 func (slow) OnOpen(*link.Conn)         {}
 func (slow) OnClose(*link.Conn, error) {}
 func (s slow) OnMessage(c *link.Conn, message link.Message) {
-	ask, ok := message.(*link.ConfigAsk)
+	ask, ok := message.(*link.ConfigRequest)
 	if !ok {
 		return
 	}
@@ -128,7 +128,7 @@
 	m.config.Apply = func(*documents.State) {}
 	config.Table = compacted{config.Table, pollTimeout * 2 / 5}
 	m.config.Store = documents.New(config)
-	m.begin(documents.Started{State: documents.Empty()})
+	m.begin(documents.StartResult{State: documents.Empty()})
 	m.poll(t.Context(), spread.PollTable{})
 	require.EqualValues(t, 1, m.State().Revision())
 }
--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -56,7 +56,7 @@
 	// Role tells what this entry does for the others' knowledge of the feeds, and Tell passes
 	// on what it reads; both nil for an entry that has no others.
 	Role func() follow.Role
-	Tell func(news *link.News)
+	Tell func(news *link.FeedUpdate)
 	Log  zerolog.Logger
 }
 
@@ -109,7 +109,7 @@
 		config.Role = func() follow.Role { return follow.Standalone }
 	}
 	if config.Tell == nil {
-		config.Tell = func(*link.News) {}
+		config.Tell = func(*link.FeedUpdate) {}
 	}
 	k := &Keeper{config: config, offers: make(chan offer, 8)}
 	k.routes = k.newFeed(link.FeedRoutes, k.readRoutes, k.applyRoutes)
@@ -197,7 +197,7 @@
 }
 
 // Heard takes what another entry has read of a feed.
-func (k *Keeper) Heard(from string, news *link.News) {
+func (k *Keeper) Heard(from string, news *link.FeedUpdate) {
 	switch news.Feed {
 	case link.FeedRoutes:
 		k.routes.heard(time.Now(), from, news)
@@ -238,7 +238,7 @@
 const mostRoutes = 32 << 10
 
 // outgoingRoutes returns news of the routes as they are passed on.
-func (k *Keeper) outgoingRoutes(news *link.News) *link.News {
+func (k *Keeper) outgoingRoutes(news *link.FeedUpdate) *link.FeedUpdate {
 	told := changesOnly(news)
 	if len(told.Routes) > mostRoutes {
 		version, err := k.config.Source.Version(told.Routes)
@@ -250,27 +250,27 @@
 	return told
 }
 
-func (k *Keeper) readRoutes(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error) {
+func (k *Keeper) readRoutes(ctx context.Context, after follow.Position, wait time.Duration) (*link.FeedUpdate, error) {
 	got, err := k.config.Source.Routes(ctx, uint64(after), wait)
-	return &link.News{To: got.Cursor, Routes: got.Value}, err
+	return &link.FeedUpdate{To: got.Cursor, Routes: got.Value}, err
 }
 
-func (k *Keeper) applyRoutes(now time.Time, news *link.News, from origin) bool {
+func (k *Keeper) applyRoutes(now time.Time, news *link.FeedUpdate, from origin) bool {
 	return len(news.Routes) == 0 || k.offer(offer{news.Routes, from, now})
 }
 
-func (k *Keeper) readUpstreams(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error) {
+func (k *Keeper) readUpstreams(ctx context.Context, after follow.Position, wait time.Duration) (*link.FeedUpdate, error) {
 	got, err := k.config.Source.Upstreams(ctx, uint64(after), wait)
 	if err == nil {
 		k.tellFaults(time.Now(), got.Faults)
-	} else if ctx.Err() == nil && !errors.Is(err, table.ErrHistoryGone) {
+	} else if ctx.Err() == nil && !errors.Is(err, table.ErrHistoryTruncated) {
 		k.config.Upstreams.SourceLost(time.Now())
 	}
-	return &link.News{To: got.Cursor, Changes: got.Changes}, err
+	return &link.FeedUpdate{To: got.Cursor, Changes: got.Changes}, err
 }
 
-func (k *Keeper) applyUpstreams(now time.Time, news *link.News, from origin) bool {
-	if from == fromEntry && news.Returned {
+func (k *Keeper) applyUpstreams(now time.Time, news *link.FeedUpdate, from origin) bool {
+	if from == fromEntry && news.Recovered {
 		// Registrations lapse while the store is away: what vanishes now is doubted here too.
 		k.config.Upstreams.SourceLost(now)
 	}
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -158,7 +158,7 @@
 		s.routes <- answer{err: table.ErrUnavailable}
 		s.routes <- answer{err: table.ErrUnavailable}
 		s.routes <- answer{version: 2, cursor: 12}
-		s.routes <- answer{err: table.ErrHistoryGone}
+		s.routes <- answer{err: table.ErrHistoryTruncated}
 		s.routes <- answer{version: 3, cursor: 20}
 		require.Equal(t, uint64(3), version(k))
 		require.Equal(t, []uint64{0, 10, 10, 10, 12, 0}, s.calls()[:6])
--- a/entry/directory/feed.go
+++ b/entry/directory/feed.go
@@ -32,12 +32,12 @@
 	config *Config
 	log    zerolog.Logger
 	// read reads what came after a place, or everything after zero.
-	read func(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error)
+	read func(ctx context.Context, after follow.Position, wait time.Duration) (*link.FeedUpdate, error)
 	// apply puts news in force; it reports false where they could not be taken up.
-	apply func(now time.Time, news *link.News, from origin) bool
+	apply func(now time.Time, news *link.FeedUpdate, from origin) bool
 	// outgoing returns news as they are passed on, inForce the version of the content in force, which
 	// what was left out of them has; nil where nothing is left out.
-	outgoing func(news *link.News) *link.News
+	outgoing func(news *link.FeedUpdate) *link.FeedUpdate
 	inForce  func() uint64
 	// woken has a value when a listener may have to read.
 	woken chan struct{}
@@ -54,8 +54,8 @@
 	lost time.Time
 }
 
-func (k *Keeper) newFeed(name link.Feed, read func(context.Context, follow.Position, time.Duration) (*link.News, error),
-	apply func(time.Time, *link.News, origin) bool,
+func (k *Keeper) newFeed(name link.Feed, read func(context.Context, follow.Position, time.Duration) (*link.FeedUpdate, error),
+	apply func(time.Time, *link.FeedUpdate, origin) bool,
 ) *feed {
 	return &feed{
 		name: name, config: &k.config, log: k.config.Log.With().Stringer("feed", name).Logger(),
@@ -157,7 +157,7 @@
 	}
 	news.Feed, news.From = f.name, uint64(from)
 	if !f.lost.IsZero() {
-		news.Returned = true
+		news.Recovered = true
 		f.log.Info().Dur("away_ms", time.Since(f.lost)).Msg("store answers again")
 		f.lost = time.Time{}
 	}
@@ -174,7 +174,7 @@
 
 // changesOnly returns news as they are passed on. What was read from the beginning lists all there
 // is and can't tell others what has gone: they hear the place alone.
-func changesOnly(news *link.News) *link.News {
+func changesOnly(news *link.FeedUpdate) *link.FeedUpdate {
 	told := *news
 	if news.From == 0 {
 		told.From, told.Routes, told.Changes = news.To, nil, nil
@@ -183,7 +183,7 @@
 }
 
 func (f *feed) failed(role follow.Role, err error) {
-	if errors.Is(err, table.ErrHistoryGone) {
+	if errors.Is(err, table.ErrHistoryTruncated) {
 		f.mu.Lock()
 		f.log.Warn().Uint64("after", uint64(f.state.Position())).Msg("the store has dropped its history; reading all")
 		f.state.Reset()
@@ -196,15 +196,15 @@
 	f.log.Warn().Err(err).Msg("store lost; going on with what is known")
 	f.lost = time.Now()
 	if role == follow.Follower {
-		f.config.Tell(&link.News{Feed: f.name, Lost: true})
+		f.config.Tell(&link.FeedUpdate{Feed: f.name, ReadFailed: true})
 	}
 }
 
 // heard takes what a follower has read.
-func (f *feed) heard(now time.Time, follower string, news *link.News) {
+func (f *feed) heard(now time.Time, follower string, news *link.FeedUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if news.Lost {
+	if news.ReadFailed {
 		f.state.DropFollower(follower)
 		f.wake()
 		return
--- a/entry/directory/feed_test.go
+++ b/entry/directory/feed_test.go
@@ -23,18 +23,18 @@
 	role atomic.Uint32
 
 	mu   sync.Mutex
-	news []*link.News
+	news []*link.FeedUpdate
 }
 
 // all returns what was passed on up to now.
-func (t *told) all() []*link.News {
+func (t *told) all() []*link.FeedUpdate {
 	synctest.Wait()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.news)
 }
 
-func (t *told) add(news *link.News) {
+func (t *told) add(news *link.FeedUpdate) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.news = append(t.news, news)
@@ -58,8 +58,8 @@
 }
 
 // routesNews is what a follower tells of the routes.
-func routesNews(from, to uint64, version int) *link.News {
-	news := &link.News{Feed: link.FeedRoutes, From: from, To: to}
+func routesNews(from, to uint64, version int) *link.FeedUpdate {
+	news := &link.FeedUpdate{Feed: link.FeedRoutes, From: from, To: to}
 	if version > 0 {
 		news.Routes = []byte(strconv.Itoa(version))
 	}
@@ -71,13 +71,13 @@
 		time.Sleep(settle)
 		s.routes <- answer{version: 2, cursor: 12}
 		require.Equal(t, uint64(2), version(k))
-		var routes []*link.News
+		var routes []*link.FeedUpdate
 		for _, news := range told.all() {
 			if news.Feed == link.FeedRoutes {
 				routes = append(routes, news)
 			}
 		}
-		require.Equal(t, []*link.News{
+		require.Equal(t, []*link.FeedUpdate{
 			{Feed: link.FeedRoutes, From: 10, To: 10}, // What was read from the beginning is not passed on.
 			{Feed: link.FeedRoutes, From: 10, To: 12, Routes: []byte("2")},
 		}, routes)
@@ -105,10 +105,10 @@
 		synctest.Wait()
 		var lost, returned int
 		for _, news := range told.all() {
-			if news.Lost {
+			if news.ReadFailed {
 				lost++
 			}
-			if news.Returned {
+			if news.Recovered {
 				returned++
 			}
 		}
@@ -121,7 +121,7 @@
 func listen(k *Keeper, t *testing.T) {
 	t.Helper()
 	k.Heard("a", routesNews(10, 10, 0))
-	k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 1})
+	k.Heard("a", &link.FeedUpdate{Feed: link.FeedUpstreams, From: 1, To: 1})
 	time.Sleep(time.Second) // A read that was under way has ended.
 	k.Heard("a", routesNews(10, 10, 0))
 	synctest.Wait()
@@ -135,7 +135,7 @@
 		for n := 2; n < 12; n++ {
 			k.Heard("a", routesNews(place, place+5, n))
 			place += 5
-			k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: uint64(n - 1), To: uint64(n), Changes: make([]dispatch.Change, 1)})
+			k.Heard("a", &link.FeedUpdate{Feed: link.FeedUpstreams, From: uint64(n - 1), To: uint64(n), Changes: make([]dispatch.Change, 1)})
 			require.Equal(t, uint64(n), version(k))
 			time.Sleep(follow.FollowerReadWait)
 		}
@@ -161,10 +161,12 @@
 // tells of changes that are too large to be sent along: the entry reads at once.
 func TestListenerReadsAtOnceWhatItCantHear(t *testing.T) {
 	for name, event := range map[string]func(k *Keeper){
-		"the follower loses the store": func(k *Keeper) { k.Heard("a", &link.News{Feed: link.FeedRoutes, Lost: true}) },
+		"the follower loses the store": func(k *Keeper) { k.Heard("a", &link.FeedUpdate{Feed: link.FeedRoutes, ReadFailed: true}) },
 		"its link ends":                func(k *Keeper) { k.Gone("a") },
-		"the routes are too large":     func(k *Keeper) { k.Heard("a", &link.News{Feed: link.FeedRoutes, From: 10, To: 20, Omitted: true}) },
-		"a word was missed":            func(k *Keeper) { k.Heard("a", routesNews(15, 20, 0)) },
+		"the routes are too large": func(k *Keeper) {
+			k.Heard("a", &link.FeedUpdate{Feed: link.FeedRoutes, From: 10, To: 20, Omitted: true})
+		},
+		"a word was missed": func(k *Keeper) { k.Heard("a", routesNews(15, 20, 0)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
@@ -187,7 +189,7 @@
 	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, _ *source, u *upstreams, _ *told) {
 		listen(k, t)
 		before := u.lost
-		k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 9, Returned: true, Changes: make([]dispatch.Change, 1)})
+		k.Heard("a", &link.FeedUpdate{Feed: link.FeedUpstreams, From: 1, To: 9, Recovered: true, Changes: make([]dispatch.Change, 1)})
 		require.Equal(t, before+1, u.lost)
 	})
 }
@@ -199,7 +201,7 @@
 		synctest.Wait()
 		free := k.routes.apply
 		k.routes.mu.Lock()
-		k.routes.apply = func(time.Time, *link.News, origin) bool { return false }
+		k.routes.apply = func(time.Time, *link.FeedUpdate, origin) bool { return false }
 		k.routes.mu.Unlock()
 		s.routes <- answer{version: 2, cursor: 12}
 		synctest.Wait()
@@ -232,7 +234,7 @@
 
 func TestOfLargeRoutesTheVersionIsSentAlong(t *testing.T) {
 	k := New(Config{Source: newSource(), Log: zerolog.Nop()})
-	news := &link.News{Feed: link.FeedRoutes, From: 3, To: 4, Routes: padded(12)}
+	news := &link.FeedUpdate{Feed: link.FeedRoutes, From: 3, To: 4, Routes: padded(12)}
 	told := k.outgoingRoutes(news)
 	require.True(t, told.Omitted)
 	require.Equal(t, uint64(12), told.OmittedVersion())
@@ -240,12 +242,12 @@
 	require.Equal(t, []uint64{3, 4}, []uint64{told.From, told.To})
 	require.Equal(t, padded(12), news.Routes, "the entry's own copy stays")
 
-	told = k.outgoingRoutes(&link.News{Feed: link.FeedRoutes, From: 3, To: 4, Routes: bytes.Repeat([]byte("x"), mostRoutes+1)})
-	require.Equal(t, &link.News{Feed: link.FeedRoutes, From: 3, To: 4, Omitted: true}, told, "without a version that can't be read")
+	told = k.outgoingRoutes(&link.FeedUpdate{Feed: link.FeedRoutes, From: 3, To: 4, Routes: bytes.Repeat([]byte("x"), mostRoutes+1)})
+	require.Equal(t, &link.FeedUpdate{Feed: link.FeedRoutes, From: 3, To: 4, Omitted: true}, told, "without a version that can't be read")
 }
 
 // omitted is what a follower tells of a table that is too large to be sent along.
-func omitted(from, to, version uint64) *link.News {
+func omitted(from, to, version uint64) *link.FeedUpdate {
 	news := routesNews(from, to, 0)
 	news.OmitRoutes(version)
 	return news
--- a/entry/fleet/choose.go
+++ b/entry/fleet/choose.go
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	// A link that was open before is no sign of life by itself.
-	if conn.Heard().After(sent) {
+	if conn.LastReceived().After(sent) {
 		v.learn(vm, conn)
 	}
 	return conn, nil
--- a/entry/fleet/evidence.go
+++ b/entry/fleet/evidence.go
@@ -60,7 +60,7 @@
 		return
 	}
 	// Whatever was sent before the last sign of life has been answered by it.
-	v.silent(c.Peer().VM, c.Heard())
+	v.silent(c.Peer().VM, c.LastReceived())
 }
 
 // Left records an agent's own word that it takes no new work.
@@ -77,7 +77,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer := c.Peer()
-	v.apply(v.members.HandleReply(c.Heard(), membership.ID(peer.VM), peer.Incarnation))
+	v.apply(v.members.HandleReply(c.LastReceived(), membership.ID(peer.VM), peer.Incarnation))
 }
 
 func (v *View) silent(vm string, sent time.Time) {
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -258,7 +258,7 @@
 	incarnation := c.Peer().Incarnation
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.apply(v.members.HandleReply(c.Heard(), membership.ID(vm), incarnation))
+	v.apply(v.members.HandleReply(c.LastReceived(), membership.ID(vm), incarnation))
 	a := v.agents[vm]
 	if a == nil {
 		return
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -374,7 +374,7 @@
 // connect opens the link that an action needs. It returns no link when the machine must
 // decide what its absence means.
 func (f *Flight) connect(ctx context.Context, action attempt.Action) (*link.Conn, attempt.Action) {
-	if action.Redial && f.retained != nil && f.retained.Quiet() > link.DefaultTiming.Heartbeat {
+	if action.Redial && f.retained != nil && f.retained.SinceLastReceived() > link.DefaultTiming.Heartbeat {
 		f.retained.Close(link.ErrSilent)
 	}
 	now := time.Now()
--- a/entry/flight/receive.go
+++ b/entry/flight/receive.go
@@ -114,7 +114,7 @@
 		})
 	case *link.Cancelled:
 		return f.machine.CancelAnswered(now, m.Attempt, m.Execution)
-	case *link.Gone:
+	case *link.UnknownCall:
 		return f.machine.AgentLost(now, f.target.Incarnation)
 	case *link.End:
 		f.onEnd(m)
--- a/entry/flight/registry.go
+++ b/entry/flight/registry.go
@@ -121,7 +121,7 @@
 	case *link.Cancelled:
 		c.SetStamp(m.Stamp)
 		r.post(m.ID, c, m)
-	case *link.Gone:
+	case *link.UnknownCall:
 		r.post(m.ID, c, m)
 	case *link.Leaving:
 		r.view.Left(c)
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -112,7 +112,7 @@
 		Fleet:        fleet,
 		Routes:       n.routes,
 		Offer:        func(value []byte) bool { return n.Keeper.Offer(value) },
-		OnFeedUpdate: func(vm string, news *link.News) { n.Keeper.Heard(vm, news) },
+		OnFeedUpdate: func(vm string, news *link.FeedUpdate) { n.Keeper.Heard(vm, news) },
 		OnLinkLost:   func(vm string) { n.Keeper.Gone(vm) },
 		OnEntryCount: budgets.SetEntries,
 		Log:          log,
--- a/entry/placement/asker.go
+++ b/entry/placement/asker.go
@@ -32,7 +32,7 @@
 // status asks an agent what its engine serves.
 func (a *asker) status(ctx context.Context, vm string) (*link.Status, error) {
 	nonce := a.nonce.Add(1)
-	answer, err := a.ask(ctx, vm, nonce, func(*link.Conn) link.Message { return &link.StatusAsk{Nonce: nonce} })
+	answer, err := a.ask(ctx, vm, nonce, func(*link.Conn) link.Message { return &link.StatusRequest{Nonce: nonce} })
 	if err != nil {
 		return nil, err
 	}
--- a/entry/placement/observe.go
+++ b/entry/placement/observe.go
@@ -150,7 +150,7 @@
 	replica.Role = status.Role
 	replica.Requests = status.Requests
 	replica.ErrorRate = status.ErrorRate
-	replica.FirstToken = time.Duration(status.FirstMs * float64(time.Millisecond))
+	replica.FirstToken = time.Duration(status.FirstTokenMs * float64(time.Millisecond))
 	if status.EngineDown && replica.State != routing.Leaving {
 		replica.State = routing.Dead
 	}
--- a/entry/placement/placement_test.go
+++ b/entry/placement/placement_test.go
@@ -283,7 +283,7 @@
 		w.rounds(10, first)
 		require.Equal(t, 1, w.count("2"))
 		for vm, x := range w.executors {
-			end := link.End{FirstMs: 100}
+			end := link.End{FirstTokenMs: 100}
 			if w.engines[vm].report.Version == "2" {
 				end.Code = result.UpstreamFailed
 			}
--- a/entry/placement/placer.go
+++ b/entry/placement/placer.go
@@ -196,14 +196,14 @@
 
 func (p *placer) message(order *placement.Order) link.Order {
 	return link.Order{
-		Kind:    string(order.Kind),
-		Model:   order.Model,
-		Version: order.Version,
-		Adapter: order.Adapter,
-		Role:    order.Role,
-		Fence:   p.fence,
-		StartMs: orderStart.Milliseconds(),
-		LifeMs:  p.settings.Decisions.OrderTimeout.Milliseconds(),
+		Kind:             string(order.Kind),
+		Model:            order.Model,
+		Version:          order.Version,
+		Adapter:          order.Adapter,
+		Role:             order.Role,
+		Fence:            p.fence,
+		StartWithinMs:    orderStart.Milliseconds(),
+		CompleteWithinMs: p.settings.Decisions.OrderTimeout.Milliseconds(),
 	}
 }
 
--- a/entry/quota/ask.go
+++ b/entry/quota/ask.go
@@ -148,7 +148,7 @@
 // runs on event loops and doesn't block.
 func (e *Enforcer) OnMessage(from string, c Link, message link.Message) bool {
 	switch m := message.(type) {
-	case *link.LimitAsk:
+	case *link.LimitRequest:
 		e.onAsk(from, c, m)
 	case *link.LimitGrant:
 		e.onGrant(m)
@@ -160,7 +160,7 @@
 	return true
 }
 
-func (e *Enforcer) onAsk(from string, c Link, m *link.LimitAsk) {
+func (e *Enforcer) onAsk(from string, c Link, m *link.LimitRequest) {
 	want := wantOf(m)
 	e.Counters.Answered.Add(1)
 	grant := e.answer(from, &want)
--- a/entry/quota/messages.go
+++ b/entry/quota/messages.go
@@ -7,8 +7,8 @@
 	"acaciacleat.example/peers/link"
 )
 
-func askMessage(want *limits.GrantRequest) *link.LimitAsk {
-	return &link.LimitAsk{
+func askMessage(want *limits.GrantRequest) *link.LimitRequest {
+	return &link.LimitRequest{
 		Service:      want.Key.Service,
 		Organisation: want.Key.Organisation,
 		Sequence:     want.Sequence,
@@ -19,7 +19,7 @@
 	}
 }
 
-func wantOf(m *link.LimitAsk) limits.GrantRequest {
+func wantOf(m *link.LimitRequest) limits.GrantRequest {
 	return limits.GrantRequest{
 		Key:          limits.Key{Service: m.Service, Organisation: m.Organisation},
 		Sequence:     m.Sequence,
--- a/entry/share/broadcast.go
+++ b/entry/share/broadcast.go
@@ -20,7 +20,7 @@
 		case <-p.config.Quarantine.Pending():
 		}
 		pause.For(ctx, batchDelay)
-		works := link.Works{
+		works := link.DispatchUpdate{
 			Origin:     p.config.Self.Incarnation,
 			Events:     p.config.Fleet.TakeEvents(),
 			Reports:    p.config.Fleet.TakeReports(time.Now()),
@@ -35,7 +35,7 @@
 // broadcast sends works to the entries of this availability zone and to one entry of each other
 // zone, which forwards it there. Traffic between zones then doesn't grow with the number of
 // entries.
-func (p *Peers) broadcast(works link.Works) {
+func (p *Peers) broadcast(works link.DispatchUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for zone, members := range p.zones() {
@@ -45,7 +45,7 @@
 		}
 		relay := members[rendezvous.Ranked(p.config.Self.VM, members)[0]]
 		relayed := works
-		relayed.Pass = len(members) > 1
+		relayed.Forward = len(members) > 1
 		p.send([]string{relay}, &relayed)
 	}
 }
@@ -72,10 +72,10 @@
 }
 
 // forwardInZone forwards a message from an entry of another zone to the entries of this zone.
-func (p *Peers) forwardInZone(works *link.Works) {
+func (p *Peers) forwardInZone(works *link.DispatchUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	passed := *works
-	passed.Pass = false
+	passed.Forward = false
 	p.send(p.zones()[p.config.Self.Zone], &passed)
 }
--- a/entry/share/feeds.go
+++ b/entry/share/feeds.go
@@ -13,7 +13,7 @@
 }
 
 // ForwardFeedUpdate sends what this entry has read from a feed to the entries of its zone.
-func (p *Peers) ForwardFeedUpdate(update *link.News) {
+func (p *Peers) ForwardFeedUpdate(update *link.FeedUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.send(p.zones()[p.config.Self.Zone], update)
--- a/entry/share/routes.go
+++ b/entry/share/routes.go
@@ -71,7 +71,7 @@
 			Int64("behind_ms", now.Sub(since).Milliseconds()).Msg("asking an entry for routes")
 	}
 	p.partsRequested.Add(1)
-	return known.conn.Send(&link.Works{Origin: p.config.Self.Incarnation, Ask: &ask}) == nil
+	return known.conn.Send(&link.DispatchUpdate{Origin: p.config.Self.Incarnation, PartRequest: &ask}) == nil
 }
 
 // onRoutesPart handles a received part of the routes.
--- a/entry/share/share.go
+++ b/entry/share/share.go
@@ -48,7 +48,7 @@
 	Offer func(value []byte) bool
 	// OnFeedUpdate receives what another entry has read from the platform's feeds. OnLinkLost
 	// is called when the link to an entry has ended.
-	OnFeedUpdate func(vm string, news *link.News)
+	OnFeedUpdate func(vm string, news *link.FeedUpdate)
 	OnLinkLost   func(vm string)
 	// Quarantine exchanges reports on requests under which upstreams crash.
 	Quarantine Quarantine
@@ -203,7 +203,7 @@
 	if old != 0 && old != c.Peer().Incarnation {
 		p.config.Fleet.RemoveOrigin(now, uint64(old))
 	}
-	p.sendTo(c, &link.Works{
+	p.sendTo(c, &link.DispatchUpdate{
 		Origin: p.config.Self.Incarnation, Events: p.config.Fleet.Snapshot(now), Quarantine: p.config.Quarantine.Current(),
 	})
 	if value, version := p.config.Routes(); value != nil {
@@ -245,23 +245,23 @@
 // OnMessage implements link.Handler.
 func (p *Peers) OnMessage(c *link.Conn, message link.Message) {
 	switch m := message.(type) {
-	case *link.Works:
+	case *link.DispatchUpdate:
 		now := time.Now()
 		p.config.Fleet.ApplyEvents(now, uint64(m.Origin), m.Events)
 		p.config.Fleet.ApplyReports(now, uint64(m.Origin), m.Reports)
 		p.config.Quarantine.Receive(c.Peer().VM, m.Quarantine)
-		if m.Pass {
+		if m.Forward {
 			p.forwardInZone(m)
 		}
-		if m.Ask != nil {
+		if m.PartRequest != nil {
 			// Packing a large table takes too long for the link's event loop.
-			go p.sendPart(c, *m.Ask)
+			go p.sendPart(c, *m.PartRequest)
 		}
 	case *link.Routes:
 		p.onRoutesAnnounced(c, m)
-	case *link.News:
+	case *link.FeedUpdate:
 		p.config.OnFeedUpdate(c.Peer().VM, m)
-	case *link.RoutesAsk:
+	case *link.RoutesRequest:
 		p.sendWhole(c)
 	case *link.RoutesPart:
 		p.onRoutesPart(c, m)
--- a/peers/documents/start.go
+++ b/peers/documents/start.go
@@ -77,8 +77,8 @@
 // Source returns an encoded state from a source other than the platform, such as a peer.
 type Source func(ctx context.Context) ([]byte, error)
 
-// Started is the result of Start.
-type Started struct {
+// StartResult is the result of Start.
+type StartResult struct {
 	State *State
 	// Confirmed is set if the state was read from the table. Otherwise it comes from the object store
 	// or a peer and may be outdated: the process must not admit requests before it has asked enough
@@ -88,17 +88,17 @@
 
 // Start returns the newest available state: the saved state with the table's later changes or, if the
 // table is unavailable, the state with the highest revision among the saved one and those of peers.
-func (s *Store) Start(ctx context.Context, peers ...Source) (Started, error) {
+func (s *Store) Start(ctx context.Context, peers ...Source) (StartResult, error) {
 	best := Empty()
 	if data, err := s.config.Objects.Get(ctx, objectName); err == nil {
 		best = newerState(best, data)
 	}
 	state, err := s.Advance(ctx, best)
 	if errors.Is(err, ErrReverted) {
-		return Started{}, err
+		return StartResult{}, err
 	}
 	if err == nil {
-		return Started{State: state, Confirmed: true}, nil
+		return StartResult{State: state, Confirmed: true}, nil
 	}
 	for _, peer := range peers {
 		if data, peerErr := peer(ctx); peerErr == nil {
@@ -106,9 +106,9 @@
 		}
 	}
 	if best.Revision() == 0 {
-		return Started{}, errors.Wrap(ErrNoState, err.Error())
+		return StartResult{}, errors.Wrap(ErrNoState, err.Error())
 	}
-	return Started{State: best}, nil
+	return StartResult{State: best}, nil
 }
 
 // newerState returns the encoded state if it is valid and has a higher revision than best, and best
--- a/peers/link/codec.go
+++ b/peers/link/codec.go
@@ -227,8 +227,8 @@
 		return &Cancelled{}
 	case TypeResume:
 		return &Resume{}
-	case TypeGone:
-		return &Gone{}
+	case TypeUnknownCall:
+		return &UnknownCall{}
 	case TypeLeaving:
 		return &Leaving{}
 	case TypeLeft:
@@ -245,32 +245,32 @@
 		return &ConfigPush{}
 	case TypeConfigAck:
 		return &ConfigAck{}
-	case TypeConfigAsk:
-		return &ConfigAsk{}
+	case TypeConfigRequest:
+		return &ConfigRequest{}
 	case TypeConfigAnswer:
 		return &ConfigAnswer{}
-	case TypeLimitAsk:
-		return &LimitAsk{}
+	case TypeLimitRequest:
+		return &LimitRequest{}
 	case TypeLimitGrant:
 		return &LimitGrant{}
 	case TypeLimitRenew:
 		return &LimitRenew{}
-	case TypeStatusAsk:
-		return &StatusAsk{}
+	case TypeStatusRequest:
+		return &StatusRequest{}
 	case TypeStatus:
 		return &Status{}
 	case TypeOrder:
 		return &Order{}
 	case TypeOrderAnswer:
 		return &OrderAnswer{}
-	case TypeWorks:
-		return &Works{}
+	case TypeDispatchUpdate:
+		return &DispatchUpdate{}
 	case TypeRoutes:
 		return &Routes{}
-	case TypeRoutesAsk:
-		return &RoutesAsk{}
-	case TypeNews:
-		return &News{}
+	case TypeRoutesRequest:
+		return &RoutesRequest{}
+	case TypeFeedUpdate:
+		return &FeedUpdate{}
 	case TypeRoutesPart:
 		return &RoutesPart{}
 	default:
--- a/peers/link/conn.go
+++ b/peers/link/conn.go
@@ -108,11 +108,13 @@
 	}
 }
 
-// Heard returns when data was last received from the peer.
-func (c *Conn) Heard() time.Time { return c.node.start.Add(time.Duration(c.lastReceived.Load())) }
+// LastReceived returns when data was last received from the peer.
+func (c *Conn) LastReceived() time.Time {
+	return c.node.start.Add(time.Duration(c.lastReceived.Load()))
+}
 
-// Quiet returns the time since data was last received from the peer.
-func (c *Conn) Quiet() time.Duration {
+// SinceLastReceived returns the time since data was last received from the peer.
+func (c *Conn) SinceLastReceived() time.Duration {
 	return time.Duration(c.node.sinceStart() - c.lastReceived.Load())
 }
 
--- a/peers/link/control_message.go
+++ b/peers/link/control_message.go
@@ -57,13 +57,13 @@
 	Nodes    []string
 }
 
-// ConfigAsk requests the changes after a revision.
-type ConfigAsk struct {
+// ConfigRequest requests the changes after a revision.
+type ConfigRequest struct {
 	After uint64
 	Nonce uint64
 }
 
-// ConfigAnswer answers a request for changes with the changes, or with one part of the whole state
+// ConfigAnswer answers ConfigRequest with the changes, or with one part of the whole state
 // if After is 0. Highest is the highest revision known to the sender.
 type ConfigAnswer struct {
 	Nonce    uint64
@@ -75,9 +75,9 @@
 	Parts    int
 }
 
-// LimitAsk requests limits from the entry that owns an organisation's limits: for one request and
-// for a batch in advance; see core/limits.
-type LimitAsk struct {
+// LimitRequest requests limits from the entry that owns an organisation's limits, for one request
+// and for a batch in advance; see core/limits.
+type LimitRequest struct {
 	Service      string
 	Organisation string
 	Sequence     uint64
@@ -85,12 +85,12 @@
 	Tokens float64
 	// Held is the concurrency that the sender holds.
 	Held int
-	// MoreRequests and MoreTokens are requested in addition to the request.
+	// MoreRequests and MoreTokens are the batch to grant in advance.
 	MoreRequests float64
 	MoreTokens   float64
 }
 
-// LimitGrant answers a request for limits.
+// LimitGrant answers LimitRequest.
 type LimitGrant struct {
 	Service      string
 	Organisation string
@@ -119,13 +119,13 @@
 	Held         int
 }
 
-// StatusAsk requests the state of an agent's engine: the model that it serves and how well it does
-// so.
-type StatusAsk struct {
+// StatusRequest asks an agent for the state of its engine: what it serves, and its requests, errors
+// and latency.
+type StatusRequest struct {
 	Nonce uint64
 }
 
-// Status answers a request for an engine's state.
+// Status answers StatusRequest.
 type Status struct {
 	Nonce    uint64
 	Model    string
@@ -137,11 +137,11 @@
 	// report.
 	Reported   bool
 	EngineDown bool
-	// Requests, ErrorRate (0 to 1) and FirstMs, the mean time to first token in milliseconds, cover
-	// the last minutes and only the version that is served now.
-	Requests  int
-	ErrorRate float64
-	FirstMs   float64
+	// Requests, ErrorRate (0 to 1) and FirstTokenMs, the mean time to first token in milliseconds,
+	// cover the last minutes and only the version that is served now.
+	Requests     int
+	ErrorRate    float64
+	FirstTokenMs float64
 	// OrderError is the error of the last order; it is empty if the order succeeded.
 	OrderError string
 }
@@ -157,11 +157,11 @@
 	// Fence is the fencing number of the lease under which the order is given.
 	Fence uint64
 	// Stamp is the agent's latest clock stamp known to the sender. The agent must start the order
-	// within StartMs after Stamp and complete it within LifeMs after the start; both are in
-	// milliseconds.
-	Stamp   int64
-	StartMs int64
-	LifeMs  int64
+	// within StartWithinMs after Stamp and complete it within CompleteWithinMs after the start, both
+	// in milliseconds.
+	Stamp            int64
+	StartWithinMs    int64
+	CompleteWithinMs int64
 }
 
 // OrderAnswer says whether an agent accepts an order. A refused order has no effect.
@@ -171,20 +171,21 @@
 	Detail string
 }
 
-// Works carries the changes of an entry's placements on upstreams, in order, and its reports.
-type Works struct {
+// DispatchUpdate carries the changes of an entry's placements on upstreams, in order, and its
+// reports.
+type DispatchUpdate struct {
 	// Origin is the incarnation of the entry that the message is from. If the message was
 	// forwarded, it differs from the sender's.
 	Origin call.Incarnation
-	// Pass asks the receiver to forward the message to the entries of its availability zone.
-	Pass   bool
-	Events []dispatch.Event
+	// Forward asks the receiver to forward the message to the entries of its availability zone.
+	Forward bool
+	Events  []dispatch.Event
 	// Reports are the entry's reports on upstreams, and Quarantine its reports on requests under
 	// which upstreams crash.
 	Reports    []evidence.Report
 	Quarantine []quarantine.Report
-	// Ask, if not nil, requests a part of the routing table that the receiver has in force.
-	Ask *fetch.Request
+	// PartRequest, if not nil, requests a part of the routing table that the receiver has in force.
+	PartRequest *fetch.Request
 }
 
 // RoutesPart is a part of the compressed encoding of a routing table; see core/fetch. It is sent
@@ -198,7 +199,7 @@
 }
 
 // Routes announces the version of the routing table that the sender has in force. Value, the
-// table's encoding, is sent only to an entry that has requested the whole table.
+// table's encoding, is sent only to an entry that has sent RoutesRequest.
 type Routes struct {
 	Version uint64
 	Value   []byte
@@ -225,8 +226,8 @@
 	}
 }
 
-// News carries the changes that the sender has just read from a feed.
-type News struct {
+// FeedUpdate carries the changes that the sender has just read from a feed.
+type FeedUpdate struct {
 	Feed Feed
 	// From and To are the feed positions between which the sender has read. Routes and Changes are
 	// all the changes between them.
@@ -239,29 +240,30 @@
 	// Omitted is set if the routing table has changed but is too large for this message; see
 	// OmitRoutes.
 	Omitted bool
-	// Lost is set if the sender could not read the feed, and Returned if its previous read failed.
-	Lost     bool
-	Returned bool
+	// ReadFailed is set if the sender could not read the feed, and Recovered if it could now but
+	// not the time before.
+	ReadFailed bool
+	Recovered  bool
 }
 
 // OmitRoutes replaces the routing table by its version, which is zero if it is unknown.
-func (n *News) OmitRoutes(version uint64) {
-	n.Omitted, n.Routes = true, nil
+func (u *FeedUpdate) OmitRoutes(version uint64) {
+	u.Omitted, u.Routes = true, nil
 	if version > 0 {
 		// An entry that runs an earlier version of this program ignores Routes if Omitted is set.
-		n.Routes = binary.BigEndian.AppendUint64(nil, version)
+		u.Routes = binary.BigEndian.AppendUint64(nil, version)
 	}
 }
 
 // OmittedVersion returns the version of a routing table that was omitted, or zero if it is unknown
 // or the table was not omitted.
-func (n *News) OmittedVersion() uint64 {
-	if !n.Omitted || len(n.Routes) != 8 {
+func (u *FeedUpdate) OmittedVersion() uint64 {
+	if !u.Omitted || len(u.Routes) != 8 {
 		return 0
 	}
-	return binary.BigEndian.Uint64(n.Routes)
+	return binary.BigEndian.Uint64(u.Routes)
 }
 
-// RoutesAsk requests the whole encoded routing table that the receiver has in force. Only entries
+// RoutesRequest requests the whole encoded routing table that the receiver has in force. Only entries
 // that run a version without RoutesPart send it.
-type RoutesAsk struct{}
+type RoutesRequest struct{}
--- a/peers/link/link_test.go
+++ b/peers/link/link_test.go
@@ -136,9 +136,9 @@
 func FuzzDecode(f *testing.F) {
 	w := newFrameWriter()
 	for _, m := range []Message{&Offer{Service: "s", Body: []byte("x")}, &Chunk{Data: []byte("d")}, &Ack{Seq: 4}, &End{Detail: "e"},
-		&RoutesPart{Version: 2, Parts: 1, Data: []byte("p")}, &Works{Ask: &fetch.Request{Version: 2, Part: 1}},
-		&Works{Origin: 1, Reports: []evidence.Report{{Tag: 7, Kind: evidence.Absent, AgeMs: 3}}},
-		&Works{Origin: 1, Quarantine: []quarantine.Report{{Kind: quarantine.HoldReport, LeftMs: 5}}}} {
+		&RoutesPart{Version: 2, Parts: 1, Data: []byte("p")}, &DispatchUpdate{PartRequest: &fetch.Request{Version: 2, Part: 1}},
+		&DispatchUpdate{Origin: 1, Reports: []evidence.Report{{Tag: 7, Kind: evidence.Absent, AgeMs: 3}}},
+		&DispatchUpdate{Origin: 1, Quarantine: []quarantine.Report{{Kind: quarantine.HoldReport, LeftMs: 5}}}} {
 		w.buf = w.buf[:0]
 		require.NoError(f, w.append(m))
 		f.Add(byte(m.Type()), append([]byte(nil), w.buf[headerBytes:]...))
@@ -270,7 +270,7 @@
 	rest := []dispatch.Event{{Kind: dispatch.FirstEvent, Number: 100_000}, {Kind: dispatch.Ended, Number: 100_000}}
 	for name, event := range map[string]dispatch.Event{"alone": short, "with seven helpers": placed} {
 		w := newFrameWriter()
-		require.NoError(t, w.append(&Works{Origin: 1 << 63, Events: append([]dispatch.Event{event}, rest...)}))
+		require.NoError(t, w.append(&DispatchUpdate{Origin: 1 << 63, Events: append([]dispatch.Event{event}, rest...)}))
 		t.Logf("%s: %d bytes", name, len(w.buf))
 		require.LessOrEqual(t, len(w.buf), 180)
 	}
@@ -280,7 +280,7 @@
 func TestReportSize(t *testing.T) {
 	size := func(reports []evidence.Report) int {
 		w := newFrameWriter()
-		require.NoError(t, w.append(&Works{Origin: 1 << 63, Reports: reports}))
+		require.NoError(t, w.append(&DispatchUpdate{Origin: 1 << 63, Reports: reports}))
 		return len(w.buf)
 	}
 	one := evidence.Report{Tag: 1 << 31, Kind: evidence.Replaced, AgeMs: 300}
@@ -292,18 +292,18 @@
 // During an upgrade, entries of two versions exchange this message. A field that the older version
 // does not know would make it close the link each time.
 func TestDispatchUpdateAcrossVersions(t *testing.T) {
-	type olderWorks struct {
+	type olderUpdate struct {
 		Origin call.Incarnation
 		Pass   bool
 		Events []dispatch.Event
 	}
 	events := []dispatch.Event{{Kind: dispatch.Ended, Number: 5}}
 	reports := []evidence.Report{{Tag: 7, Kind: evidence.Absent, AgeMs: 12}, {Tag: 8, Kind: evidence.Answered}}
-	older, err := encodeArray(&olderWorks{Origin: 3, Pass: true, Events: events})
+	older, err := encodeArray(&olderUpdate{Origin: 3, Pass: true, Events: events})
 	require.NoError(t, err)
-	message, err := newFrameReader().decode(TypeWorks, older)
+	message, err := newFrameReader().decode(TypeDispatchUpdate, older)
 	require.NoError(t, err)
-	require.Equal(t, &Works{Origin: 3, Pass: true, Events: events}, message)
+	require.Equal(t, &DispatchUpdate{Origin: 3, Forward: true, Events: events}, message)
 
 	print := fingerprint.Of(fingerprint.Request{Path: "/ask"})
 	held := []quarantine.Report{
@@ -311,12 +311,12 @@
 		{Kind: quarantine.HoldReport, Print: print, LeftMs: quarantine.MaxHold.Milliseconds(), Times: 3},
 	}
 	ask := &fetch.Request{Version: 1 << 40, Part: 3}
-	newer, err := encodeArray(&Works{Origin: 3, Events: events, Reports: reports, Quarantine: held, Ask: ask})
+	newer, err := encodeArray(&DispatchUpdate{Origin: 3, Events: events, Reports: reports, Quarantine: held, PartRequest: ask})
 	require.NoError(t, err)
-	message, err = newFrameReader().decode(TypeWorks, newer)
+	message, err = newFrameReader().decode(TypeDispatchUpdate, newer)
 	require.NoError(t, err)
-	require.Equal(t, &Works{Origin: 3, Events: events, Reports: reports, Quarantine: held, Ask: ask}, message)
-	var read olderWorks
+	require.Equal(t, &DispatchUpdate{Origin: 3, Events: events, Reports: reports, Quarantine: held, PartRequest: ask}, message)
+	var read olderUpdate
 	require.NoError(t, msgpack.Unmarshal(newer, &read))
 	require.Equal(t, events, read.Events[:1], "an older entry skips the event kinds after it, which it does not know")
 	require.Len(t, read.Events, 6)
--- a/peers/link/message.go
+++ b/peers/link/message.go
@@ -11,45 +11,45 @@
 
 // The frame types. The numbers are part of the protocol and must not be reused.
 const (
-	typeChallenge    Type = 1
-	typeHello        Type = 2
-	typeWelcome      Type = 3
-	typePing         Type = 4
-	typePong         Type = 5
-	TypeOffer        Type = 10
-	TypeAccepted     Type = 11
-	TypeRefused      Type = 12
-	TypeBody         Type = 13
-	TypeHead         Type = 14
-	TypeChunk        Type = 15
-	TypeEnd          Type = 16
-	TypeAck          Type = 17
-	TypeCancel       Type = 18
-	TypeCancelled    Type = 19
-	TypeResume       Type = 20
-	TypeGone         Type = 21
-	TypeLeaving      Type = 22
-	TypeLoads        Type = 23
-	TypeLeft         Type = 24
-	TypeHold         Type = 30
-	TypeHeld         Type = 31
-	TypeRelease      Type = 32
-	TypeConfigPush   Type = 40
-	TypeConfigAck    Type = 41
-	TypeConfigAsk    Type = 42
-	TypeConfigAnswer Type = 43
-	TypeLimitAsk     Type = 50
-	TypeLimitGrant   Type = 51
-	TypeLimitRenew   Type = 52
-	TypeStatusAsk    Type = 60
-	TypeStatus       Type = 61
-	TypeOrder        Type = 62
-	TypeOrderAnswer  Type = 63
-	TypeWorks        Type = 70
-	TypeRoutes       Type = 71
-	TypeRoutesAsk    Type = 72
-	TypeNews         Type = 73
-	TypeRoutesPart   Type = 74
+	typeChallenge      Type = 1
+	typeHello          Type = 2
+	typeWelcome        Type = 3
+	typePing           Type = 4
+	typePong           Type = 5
+	TypeOffer          Type = 10
+	TypeAccepted       Type = 11
+	TypeRefused        Type = 12
+	TypeBody           Type = 13
+	TypeHead           Type = 14
+	TypeChunk          Type = 15
+	TypeEnd            Type = 16
+	TypeAck            Type = 17
+	TypeCancel         Type = 18
+	TypeCancelled      Type = 19
+	TypeResume         Type = 20
+	TypeUnknownCall    Type = 21
+	TypeLeaving        Type = 22
+	TypeLoads          Type = 23
+	TypeLeft           Type = 24
+	TypeHold           Type = 30
+	TypeHeld           Type = 31
+	TypeRelease        Type = 32
+	TypeConfigPush     Type = 40
+	TypeConfigAck      Type = 41
+	TypeConfigRequest  Type = 42
+	TypeConfigAnswer   Type = 43
+	TypeLimitRequest   Type = 50
+	TypeLimitGrant     Type = 51
+	TypeLimitRenew     Type = 52
+	TypeStatusRequest  Type = 60
+	TypeStatus         Type = 61
+	TypeOrder          Type = 62
+	TypeOrderAnswer    Type = 63
+	TypeDispatchUpdate Type = 70
+	TypeRoutes         Type = 71
+	TypeRoutesRequest  Type = 72
+	TypeFeedUpdate     Type = 73
+	TypeRoutesPart     Type = 74
 )
 
 // Message is a message that a frame carries.
@@ -170,11 +170,11 @@
 	PromptTokens     int
 	CachedTokens     int
 	CompletionTokens int
-	// QueueMs is the time that the call waited in the agent's queue, and FirstMs the engine's time to
-	// first token, both in milliseconds.
-	QueueMs float64
-	FirstMs float64
-	Load    LoadReport
+	// QueueMs is the time that the call waited in the agent's queue, and FirstTokenMs the engine's
+	// time to first token, both in milliseconds.
+	QueueMs      float64
+	FirstTokenMs float64
+	Load         LoadReport
 }
 
 // Ack acknowledges all chunks up to Seq. The agent drops them from its buffer and may send more.
@@ -208,8 +208,8 @@
 	NextSeq uint64
 }
 
-// Gone answers Resume if the agent does not know the call.
-type Gone struct {
+// UnknownCall answers Resume if the agent does not know the call.
+type UnknownCall struct {
 	ID      call.ID
 	Attempt call.Attempt
 }
@@ -242,37 +242,37 @@
 }
 
 // Type implements Message.
-func (*Offer) Type() Type        { return TypeOffer }
-func (*Accepted) Type() Type     { return TypeAccepted }
-func (*Refused) Type() Type      { return TypeRefused }
-func (*Body) Type() Type         { return TypeBody }
-func (*Head) Type() Type         { return TypeHead }
-func (*Chunk) Type() Type        { return TypeChunk }
-func (*End) Type() Type          { return TypeEnd }
-func (*Ack) Type() Type          { return TypeAck }
-func (*Cancel) Type() Type       { return TypeCancel }
-func (*Cancelled) Type() Type    { return TypeCancelled }
-func (*Resume) Type() Type       { return TypeResume }
-func (*Gone) Type() Type         { return TypeGone }
-func (*Leaving) Type() Type      { return TypeLeaving }
-func (*Left) Type() Type         { return TypeLeft }
-func (*Loads) Type() Type        { return TypeLoads }
-func (*Hold) Type() Type         { return TypeHold }
-func (*Held) Type() Type         { return TypeHeld }
-func (*Release) Type() Type      { return TypeRelease }
-func (*ConfigPush) Type() Type   { return TypeConfigPush }
-func (*ConfigAck) Type() Type    { return TypeConfigAck }
-func (*ConfigAsk) Type() Type    { return TypeConfigAsk }
-func (*ConfigAnswer) Type() Type { return TypeConfigAnswer }
-func (*LimitAsk) Type() Type     { return TypeLimitAsk }
-func (*LimitGrant) Type() Type   { return TypeLimitGrant }
-func (*LimitRenew) Type() Type   { return TypeLimitRenew }
-func (*StatusAsk) Type() Type    { return TypeStatusAsk }
-func (*Status) Type() Type       { return TypeStatus }
-func (*Order) Type() Type        { return TypeOrder }
-func (*OrderAnswer) Type() Type  { return TypeOrderAnswer }
-func (*Works) Type() Type        { return TypeWorks }
-func (*Routes) Type() Type       { return TypeRoutes }
-func (*RoutesAsk) Type() Type    { return TypeRoutesAsk }
-func (*News) Type() Type         { return TypeNews }
-func (*RoutesPart) Type() Type   { return TypeRoutesPart }
+func (*Offer) Type() Type          { return TypeOffer }
+func (*Accepted) Type() Type       { return TypeAccepted }
+func (*Refused) Type() Type        { return TypeRefused }
+func (*Body) Type() Type           { return TypeBody }
+func (*Head) Type() Type           { return TypeHead }
+func (*Chunk) Type() Type          { return TypeChunk }
+func (*End) Type() Type            { return TypeEnd }
+func (*Ack) Type() Type            { return TypeAck }
+func (*Cancel) Type() Type         { return TypeCancel }
+func (*Cancelled) Type() Type      { return TypeCancelled }
+func (*Resume) Type() Type         { return TypeResume }
+func (*UnknownCall) Type() Type    { return TypeUnknownCall }
+func (*Leaving) Type() Type        { return TypeLeaving }
+func (*Left) Type() Type           { return TypeLeft }
+func (*Loads) Type() Type          { return TypeLoads }
+func (*Hold) Type() Type           { return TypeHold }
+func (*Held) Type() Type           { return TypeHeld }
+func (*Release) Type() Type        { return TypeRelease }
+func (*ConfigPush) Type() Type     { return TypeConfigPush }
+func (*ConfigAck) Type() Type      { return TypeConfigAck }
+func (*ConfigRequest) Type() Type  { return TypeConfigRequest }
+func (*ConfigAnswer) Type() Type   { return TypeConfigAnswer }
+func (*LimitRequest) Type() Type   { return TypeLimitRequest }
+func (*LimitGrant) Type() Type     { return TypeLimitGrant }
+func (*LimitRenew) Type() Type     { return TypeLimitRenew }
+func (*StatusRequest) Type() Type  { return TypeStatusRequest }
+func (*Status) Type() Type         { return TypeStatus }
+func (*Order) Type() Type          { return TypeOrder }
+func (*OrderAnswer) Type() Type    { return TypeOrderAnswer }
+func (*DispatchUpdate) Type() Type { return TypeDispatchUpdate }
+func (*Routes) Type() Type         { return TypeRoutes }
+func (*RoutesRequest) Type() Type  { return TypeRoutesRequest }
+func (*FeedUpdate) Type() Type     { return TypeFeedUpdate }
+func (*RoutesPart) Type() Type     { return TypeRoutesPart }
--- a/peers/link/works.go
+++ b/peers/link/works.go
@@ -13,13 +13,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// wireDispatchUpdate is the wire format of an entry's changes and reports. Reports and requests for
+// wireDispatchUpdate is the wire format of DispatchUpdate. Reports and requests for
 // parts are sent as events of additional kinds. An entry that runs an older version skips unknown
 // kinds, whereas it would close the link on an additional field or a message of an unknown type.
 type wireDispatchUpdate struct {
-	Origin call.Incarnation
-	Pass   bool
-	Events []dispatch.Event
+	Origin  call.Incarnation
+	Forward bool
+	Events  []dispatch.Event
 }
 
 // reportEvent is the kind of an event that carries a report on an upstream: First is the report's
@@ -37,18 +37,18 @@
 const partRequestEvent dispatch.EventKind = 66
 
 var (
-	_ msgpack.CustomEncoder = (*Works)(nil)
-	_ msgpack.CustomDecoder = (*Works)(nil)
+	_ msgpack.CustomEncoder = (*DispatchUpdate)(nil)
+	_ msgpack.CustomDecoder = (*DispatchUpdate)(nil)
 )
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (m *Works) EncodeMsgpack(enc *msgpack.Encoder) error {
-	wire := wireDispatchUpdate{Origin: m.Origin, Pass: m.Pass, Events: m.Events}
-	if n := len(m.Reports) + len(m.Quarantine); n > 0 || m.Ask != nil {
+func (m *DispatchUpdate) EncodeMsgpack(enc *msgpack.Encoder) error {
+	wire := wireDispatchUpdate{Origin: m.Origin, Forward: m.Forward, Events: m.Events}
+	if n := len(m.Reports) + len(m.Quarantine); n > 0 || m.PartRequest != nil {
 		wire.Events = append(make([]dispatch.Event, 0, len(m.Events)+n+1), m.Events...)
 	}
-	if m.Ask != nil {
-		wire.Events = append(wire.Events, dispatch.Event{Kind: partRequestEvent, Number: m.Ask.Version, Rank: m.Ask.Part})
+	if m.PartRequest != nil {
+		wire.Events = append(wire.Events, dispatch.Event{Kind: partRequestEvent, Number: m.PartRequest.Version, Rank: m.PartRequest.Part})
 	}
 	for _, r := range m.Reports {
 		wire.Events = append(wire.Events, dispatch.Event{
@@ -65,12 +65,12 @@
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (m *Works) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (m *DispatchUpdate) DecodeMsgpack(dec *msgpack.Decoder) error {
 	var wire wireDispatchUpdate
 	if err := dec.Decode(&wire); err != nil {
 		return err
 	}
-	*m = Works{Origin: wire.Origin, Pass: wire.Pass}
+	*m = DispatchUpdate{Origin: wire.Origin, Forward: wire.Forward}
 	for _, e := range wire.Events {
 		switch e.Kind {
 		case reportEvent:
@@ -78,7 +78,7 @@
 		case quarantineEvent:
 			m.Quarantine = append(m.Quarantine, quarantineReport(&e))
 		case partRequestEvent:
-			m.Ask = &fetch.Request{Version: e.Number, Part: e.Rank}
+			m.PartRequest = &fetch.Request{Version: e.Number, Part: e.Rank}
 		default:
 			m.Events = append(m.Events, e)
 		}
--- a/peers/settings/load.go
+++ b/peers/settings/load.go
@@ -101,7 +101,7 @@
 // an outage is not fed by retries.
 func (p Platform) OpenTable() table.Store {
 	http := table.NewHTTP(p.Table, p.HTTPOptions())
-	return table.NewSettled(table.NewBreaking(http, breaker.DefaultSettings))
+	return table.NewResolvingStore(table.NewBreakerStore(http, breaker.DefaultSettings))
 }
 
 // Milliseconds converts a setting to a duration.
--- a/peers/table/breaking.go
+++ b/peers/table/breaking.go
@@ -22,8 +22,8 @@
 
 var _ Store = (*BreakerStore)(nil)
 
-// NewBreaking wraps store.
-func NewBreaking(store Store, settings breaker.Settings) *BreakerStore {
+// NewBreakerStore wraps store.
+func NewBreakerStore(store Store, settings breaker.Settings) *BreakerStore {
 	return &BreakerStore{
 		store:  store,
 		reads:  guardedBreaker{breaker: breaker.New(settings)},
--- a/peers/table/feed.go
+++ b/peers/table/feed.go
@@ -7,9 +7,9 @@
 	"github.com/pkg/errors"
 )
 
-// ErrHistoryGone means that the changes after the given version are no longer stored. The caller
+// ErrHistoryTruncated means that the changes after the given version are no longer stored. The caller
 // must read the whole table again.
-var ErrHistoryGone = errors.New("table: history gone")
+var ErrHistoryTruncated = errors.New("table: history gone")
 
 // Change is a row as of a change. A removed row has only its key and version.
 type Change struct {
--- a/peers/table/settled.go
+++ b/peers/table/settled.go
@@ -27,8 +27,8 @@
 	Store
 }
 
-// NewSettled wraps store.
-func NewSettled(store Store) *ResolvingStore { return &ResolvingStore{Store: store} }
+// NewResolvingStore wraps store.
+func NewResolvingStore(store Store) *ResolvingStore { return &ResolvingStore{Store: store} }
 
 // Commit implements Store. It fails with ErrUnknownOutcome if ctx ends or half of TokenMemory passes
 // before the outcome is known. ErrUnavailable means that no attempt can have been applied; Commit
@@ -51,8 +51,9 @@
 	ctx   context.Context
 	store Store
 	tx    Tx
-	// maybeApplied is set if an earlier attempt may have been applied. A later attempt that was
-	// certainly not applied doesn't clear it.
+	// maybeApplied is set if an earlier attempt may have been applied. ErrUnavailable from a later
+	// attempt doesn't clear it. ErrConflict does, because it is the result of all attempts with this
+	// token.
 	maybeApplied bool
 }
 
--- a/peers/table/settled_test.go
+++ b/peers/table/settled_test.go
@@ -44,7 +44,7 @@
 				p.Faults.Set(c.faults...)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
-				versions, err := table.NewSettled(p.Table).Commit(ctx, insert("t1", "a", "1"))
+				versions, err := table.NewResolvingStore(p.Table).Commit(ctx, insert("t1", "a", "1"))
 				require.ErrorIs(t, err, c.want)
 				p.Faults.Set()
 				row, err := p.Table.Get(t.Context(), key("a"), table.Latest)
@@ -68,7 +68,7 @@
 		defer cancel()
 		_, err := p.Table.Commit(ctx, insert("t1", "a", "1"))
 		require.ErrorIs(t, err, table.ErrUnknownOutcome)
-		first, err := table.NewSettled(p.Table).Commit(t.Context(), insert("t1", "a", "1"))
+		first, err := table.NewResolvingStore(p.Table).Commit(t.Context(), insert("t1", "a", "1"))
 		require.NoError(t, err)
 		time.Sleep(time.Minute)
 		row, err := p.Table.Get(t.Context(), key("a"), table.Latest)
@@ -83,7 +83,7 @@
 func TestBreakerStoreBoundsCallsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform.New(unusedRate)
-		store := table.NewBreaking(p.Table, breaker.DefaultSettings)
+		store := table.NewBreakerStore(p.Table, breaker.DefaultSettings)
 		reached := 0
 		p.Faults.OnHit(func(faults.Fault) { reached++ })
 		p.Faults.Set(faults.Fault{Operation: platform.OpTableCommit, Kind: faults.Outage})
