--- a/agent/orders/orders.go
+++ b/agent/orders/orders.go
@@ -72,7 +72,7 @@
 // OnMessage handles orders and requests for the status.
 func (x *Executor) OnMessage(c *link.Conn, clock func() int64, message link.Message) {
 	switch m := message.(type) {
-	case *link.StatusAsk:
+	case *link.StatusRequest:
 		status := x.Status(time.Now())
 		status.Nonce = m.Nonce
 		_ = c.Send(status)
@@ -98,7 +98,7 @@
 		return err
 	}
 	// The age is taken after the check, because reading the row may have taken long.
-	if age := clock() - order.Stamp; age > order.StartMs*int64(time.Millisecond) {
+	if age := clock() - order.Stamp; age > order.StartWithinMs*int64(time.Millisecond) {
 		return errors.WithMessagef(ErrExpired, "%v old", time.Duration(age))
 	}
 	return x.begin(order)
@@ -144,7 +144,7 @@
 		return ErrBusy
 	}
 	x.current = &requested
-	go x.execute(requested, time.Duration(order.LifeMs)*time.Millisecond)
+	go x.execute(requested, time.Duration(order.CompleteWithinMs)*time.Millisecond)
 	return nil
 }
 
--- a/agent/orders/status.go
+++ b/agent/orders/status.go
@@ -62,9 +62,9 @@
 	b := x.stats.bucket(now)
 	switch end.Code {
 	case result.OK:
-		if end.FirstMs > 0 {
+		if end.FirstTokenMs > 0 {
 			b.firstTokens++
-			b.firstTokenMs += end.FirstMs
+			b.firstTokenMs += end.FirstTokenMs
 		}
 	case result.UpstreamFailed, result.UpstreamTimeout, result.UpstreamRejected, result.UpstreamCrashed:
 		b.errors++
@@ -130,6 +130,6 @@
 		status.ErrorRate = float64(errors) / float64(status.Requests)
 	}
 	if firstTokens > 0 {
-		status.FirstMs = firstTokenMs / float64(firstTokens)
+		status.FirstTokenMs = firstTokenMs / float64(firstTokens)
 	}
 }
--- a/agent/server/offer.go
+++ b/agent/server/offer.go
@@ -295,7 +295,7 @@
 func (s *Server) onResume(c *link.Conn, m *link.Resume) {
 	l := s.findCall(m.ID)
 	if l == nil || l.offer.Attempt != m.Attempt || !l.resume(c, m.NextSeq) {
-		_ = c.Send(&link.Gone{ID: m.ID, Attempt: m.Attempt})
+		_ = c.Send(&link.UnknownCall{ID: m.ID, Attempt: m.Attempt})
 	}
 }
 
--- a/agent/server/run.go
+++ b/agent/server/run.go
@@ -207,7 +207,7 @@
 		PromptTokens:     final.Usage.PromptTokens,
 		CachedTokens:     final.Usage.CachedTokens,
 		CompletionTokens: final.Usage.CompletionTokens,
-		FirstMs:          milliseconds(first.Sub(l.started)),
+		FirstTokenMs:     milliseconds(first.Sub(l.started)),
 	}
 }
 
--- a/entry/fleet/choose.go
+++ b/entry/fleet/choose.go
@@ -146,7 +146,7 @@
 		return nil, err
 	}
 	// A link that was already open is no evidence of liveness by itself.
-	if conn.Heard().After(sent) {
+	if conn.LastReceived().After(sent) {
 		v.recordIncarnation(vm, conn)
 	}
 	return conn, nil
--- a/entry/fleet/evidence.go
+++ b/entry/fleet/evidence.go
@@ -60,7 +60,7 @@
 		return
 	}
 	// The last received bytes prove that the peer was alive at that time.
-	v.recordTimeout(c.Peer().VM, c.Heard())
+	v.recordTimeout(c.Peer().VM, c.LastReceived())
 }
 
 // RecordLeaving records an agent's notice that it accepts no new requests.
@@ -78,7 +78,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer := c.Peer()
-	v.apply(v.members.HandleReply(c.Heard(), membership.ID(peer.VM), peer.Incarnation))
+	v.apply(v.members.HandleReply(c.LastReceived(), membership.ID(peer.VM), peer.Incarnation))
 }
 
 func (v *View) recordTimeout(vm string, sent time.Time) {
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -375,7 +375,7 @@
 // connect opens the link that an action needs. If it returns no link, it returns the
 // machine's next action for the lost link or agent.
 func (f *Flight) connect(ctx context.Context, action attempt.Action) (*link.Conn, attempt.Action) {
-	if action.Redial && f.retained != nil && f.retained.Quiet() > link.DefaultTiming.Heartbeat {
+	if action.Redial && f.retained != nil && f.retained.SinceLastReceived() > link.DefaultTiming.Heartbeat {
 		f.retained.Close(link.ErrSilent)
 	}
 	now := time.Now()
--- a/entry/flight/registry.go
+++ b/entry/flight/registry.go
@@ -124,7 +124,7 @@
 	case *link.Cancelled:
 		c.SetStamp(m.Stamp)
 		r.deliver(m.ID, c, m)
-	case *link.Gone:
+	case *link.UnknownCall:
 		r.deliver(m.ID, c, m)
 	case *link.Leaving:
 		r.view.RecordLeaving(c)
--- a/entry/placement/agentclient.go
+++ b/entry/placement/agentclient.go
@@ -32,7 +32,7 @@
 // status requests the state of an agent's engine.
 func (a *agentClient) status(ctx context.Context, vm string) (*link.Status, error) {
 	nonce := a.nonce.Add(1)
-	answer, err := a.sendRequest(ctx, vm, nonce, func(*link.Conn) link.Message { return &link.StatusAsk{Nonce: nonce} })
+	answer, err := a.sendRequest(ctx, vm, nonce, func(*link.Conn) link.Message { return &link.StatusRequest{Nonce: nonce} })
 	if err != nil {
 		return nil, err
 	}
--- a/entry/placement/placement_test.go
+++ b/entry/placement/placement_test.go
@@ -286,7 +286,7 @@
 		c.runRounds(10, first)
 		require.Equal(t, 1, c.countVersion("2"))
 		for vm, x := range c.executors {
-			end := link.End{FirstMs: 100}
+			end := link.End{FirstTokenMs: 100}
 			if c.engines[vm].report.Version == "2" {
 				end.Code = result.UpstreamFailed
 			}
--- a/entry/placement/placer.go
+++ b/entry/placement/placer.go
@@ -200,14 +200,14 @@
 
 func (p *placer) orderMessage(order *placement.Order) link.Order {
 	return link.Order{
-		Kind:    string(order.Kind),
-		Model:   order.Model,
-		Version: order.Version,
-		Adapter: order.Adapter,
-		Role:    order.Role,
-		Fence:   p.fence,
-		StartMs: orderStartTimeout.Milliseconds(),
-		LifeMs:  p.settings.Decisions.OrderTimeout.Milliseconds(),
+		Kind:             string(order.Kind),
+		Model:            order.Model,
+		Version:          order.Version,
+		Adapter:          order.Adapter,
+		Role:             order.Role,
+		Fence:            p.fence,
+		StartWithinMs:    orderStartTimeout.Milliseconds(),
+		CompleteWithinMs: p.settings.Decisions.OrderTimeout.Milliseconds(),
 	}
 }
 
--- a/entry/quota/ask.go
+++ b/entry/quota/ask.go
@@ -150,7 +150,7 @@
 // on event loops and does not block.
 func (e *Enforcer) OnMessage(from string, c Link, message link.Message) bool {
 	switch m := message.(type) {
-	case *link.LimitAsk:
+	case *link.LimitRequest:
 		e.handleGrantRequest(from, c, m)
 	case *link.LimitGrant:
 		e.handleGrant(m)
@@ -162,7 +162,7 @@
 	return true
 }
 
-func (e *Enforcer) handleGrantRequest(from string, c Link, m *link.LimitAsk) {
+func (e *Enforcer) handleGrantRequest(from string, c Link, m *link.LimitRequest) {
 	request := requestOf(m)
 	e.Counters.Answered.Add(1)
 	grant := e.grant(from, &request)
--- a/entry/quota/messages.go
+++ b/entry/quota/messages.go
@@ -7,8 +7,8 @@
 	"acaciacleat.example/peers/link"
 )
 
-func requestMessage(request *limits.GrantRequest) *link.LimitAsk {
-	return &link.LimitAsk{
+func requestMessage(request *limits.GrantRequest) *link.LimitRequest {
+	return &link.LimitRequest{
 		Service:      request.Key.Service,
 		Organisation: request.Key.Organisation,
 		Sequence:     request.Sequence,
@@ -19,7 +19,7 @@
 	}
 }
 
-func requestOf(m *link.LimitAsk) limits.GrantRequest {
+func requestOf(m *link.LimitRequest) limits.GrantRequest {
 	return limits.GrantRequest{
 		Key:          limits.Key{Service: m.Service, Organisation: m.Organisation},
 		Sequence:     m.Sequence,
--- a/peers/settings/load.go
+++ b/peers/settings/load.go
@@ -102,7 +102,7 @@
 // answer was lost, and a circuit breaker stops its calls during an outage.
 func (p Platform) OpenTable() table.Store {
 	http := table.NewHTTP(p.Table, p.HTTPOptions())
-	return table.NewSettled(table.NewBreaking(http, breaker.DefaultSettings))
+	return table.NewResolvingStore(table.NewBreakerStore(http, breaker.DefaultSettings))
 }
 
 // Milliseconds converts a number of milliseconds to a duration.
