--- a/entry/config/actions.go
+++ b/entry/config/actions.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// prepare turns actions into functions to run without the lock. It is called with mu held.
+// prepare converts actions into functions that run without the lock. It is called with mu held.
 func (m *Manager) prepare(actions []spread.Action) []func(context.Context) {
 	var sends []func(context.Context)
 	for _, action := range actions {
@@ -20,11 +20,11 @@
 		case spread.PushTo:
 			sends = append(sends, m.push(a)...)
 		case spread.AckTo:
-			message := &link.ConfigAck{Root: string(a.Root), Revision: uint64(a.Revision), Nodes: names(a.Nodes)}
-			sends = append(sends, m.sending(a.Node, message))
+			message := &link.ConfigAck{Root: string(a.Root), Revision: uint64(a.Revision), Nodes: nodeNames(a.Nodes)}
+			sends = append(sends, m.sender(a.Node, message))
 		case spread.QueryPeer:
 			message := &link.ConfigAsk{After: uint64(a.After), Nonce: a.Nonce}
-			sends = append(sends, m.sending(a.Node, message))
+			sends = append(sends, m.sender(a.Node, message))
 		case spread.PollTable:
 			sends = append(sends, func(ctx context.Context) { m.poll(ctx, a) })
 		case spread.BecomeReady:
@@ -42,18 +42,18 @@
 		Zone:     a.Zone,
 		After:    uint64(a.After),
 		Revision: uint64(a.Revision),
-		Changes:  m.since(a.After, a.Revision),
+		Changes:  m.encodeChangesSince(a.After, a.Revision),
 	}
 	sends := make([]func(context.Context), 0, len(a.Nodes))
 	for _, node := range a.Nodes {
-		sends = append(sends, m.sending(node, message))
+		sends = append(sends, m.sender(node, message))
 	}
 	return sends
 }
 
-// sending returns a function that sends a message to an entry. A lost message is covered
-// by the other ways on which a revision travels.
-func (m *Manager) sending(node spread.NodeID, message link.Message) func(context.Context) {
+// sender returns a function that sends a message to an entry. It ignores errors, because a
+// revision also reaches entries by polls and by the revision numbers in other traffic.
+func (m *Manager) sender(node spread.NodeID, message link.Message) func(context.Context) {
 	return func(ctx context.Context) {
 		for _, entry := range m.config.View.Entries() {
 			if entry.ID != string(node) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func names(nodes []spread.NodeID) []string {
+func nodeNames(nodes []spread.NodeID) []string {
 	all := make([]string, 0, len(nodes))
 	for _, node := range nodes {
 		all = append(all, string(node))
@@ -76,14 +76,14 @@
 	return all
 }
 
-// poll reads the table's newest revision and reports what came of it.
+// poll reads the table's newest revision and reports the result to the state machine.
 func (m *Manager) poll(ctx context.Context, a spread.PollTable) {
 	u, outcome := m.readTable(ctx, a.After)
 	outcome.Nonce = a.Nonce
 	report := func(now time.Time) []spread.Action { return m.node.HandlePoll(now, outcome) }
-	if !m.event(ctx, u, report) {
+	if !m.handleEvent(ctx, u, report) {
 		outcome = spread.PollResult{Nonce: a.Nonce}
-		m.event(ctx, nil, report)
+		m.handleEvent(ctx, nil, report)
 	}
 }
 
@@ -101,17 +101,17 @@
 		return nil, spread.PollResult{}
 	}
 	if !m.loading.CompareAndSwap(false, true) {
-		return nil, spread.PollResult{} // A second load would slow the first.
+		return nil, spread.PollResult{} // A second concurrent load would slow the first.
 	}
 	defer m.loading.Store(false)
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	whole, err := m.config.Store.Load(ctx)
+	full, err := m.config.Store.Load(ctx)
 	if err != nil {
 		m.log.Warn().Err(err).Msg("the documents could not be loaded; the revision in force stands")
 		return nil, spread.PollResult{}
 	}
-	return &update{whole: whole}, spread.PollResult{OK: true, Revision: whole.Revision()}
+	return &update{full: full}, spread.PollResult{OK: true, Revision: full.Revision()}
 }
 
 func (m *Manager) readChanges(ctx context.Context, after document.Revision) ([]documents.Change, error) {
@@ -120,8 +120,8 @@
 	return m.config.Store.Changes(ctx, after)
 }
 
-// Put stores a document and spreads it. It returns the revision and, when ctx allowed to
-// wait for it, the live entries that do not have it in force yet.
+// Put stores a document and distributes its revision, which it returns. If the document was
+// changed meanwhile, it returns the conflict instead.
 func (m *Manager) Put(ctx context.Context, service *document.Service, ifMatch string) (document.Revision, *documents.Conflict, error) {
 	revision, conflict, err := m.config.Store.Put(ctx, service, ifMatch)
 	if err != nil || conflict != nil {
@@ -131,46 +131,46 @@
 	return revision, nil, nil
 }
 
-// Refresh puts the newest revision of the table in force here.
+// Refresh puts the newest revision of the table in force at this entry.
 func (m *Manager) Refresh(ctx context.Context) error {
 	u, outcome := m.readTable(ctx, m.State().Revision())
 	if !outcome.OK {
 		return table.ErrUnavailable
 	}
-	m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.HandlePoll(now, outcome) })
+	m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.node.HandlePoll(now, outcome) })
 	return nil
 }
 
-// Written spreads a revision that this entry wrote, and saves the state when it is due.
+// Written distributes a revision that this entry wrote, and saves the state if a save is due.
 func (m *Manager) Written(ctx context.Context, revision document.Revision) {
 	before := m.State().Revision()
 	if revision <= before {
 		return
 	}
-	m.spread(ctx, before, revision)
+	m.distribute(ctx, before, revision)
 	m.saveIfDue(ctx, revision)
 }
 
-// spread puts a revision in force here and passes it on. When its changes can not be read
-// back, a poller finds them.
-func (m *Manager) spread(ctx context.Context, before, revision document.Revision) {
+// distribute puts a revision in force at this entry and sends it to the others. If its changes
+// cannot be read back, polls of the table find them.
+func (m *Manager) distribute(ctx context.Context, before, revision document.Revision) {
 	changes, err := m.config.Store.Changes(ctx, before)
 	if err != nil || len(changes) == 0 {
 		m.log.Warn().Err(err).Msg("the changes just written could not be read back; pollers will find them")
-		m.event(ctx, nil, func(now time.Time) []spread.Action { return m.node.ObserveRevision(now, "", revision, 0) })
+		m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.node.ObserveRevision(now, "", revision, 0) })
 		return
 	}
 	last := changes[len(changes)-1].Revision
-	m.event(ctx, &update{changes: changes}, func(now time.Time) []spread.Action {
+	m.handleEvent(ctx, &update{changes: changes}, func(now time.Time) []spread.Action {
 		return m.node.HandleWrite(now, before, last)
 	})
 }
 
-// Missing waits until every live entry has the revision in force or ctx ends, and returns
-// the entries that do not have it, by name. For a revision that another entry wrote it
-// asks all of them first.
+// Missing waits until every live entry has the revision in force or ctx ends, and returns the
+// names of the entries that do not have it. For a revision that another entry wrote it first
+// asks all of them.
 func (m *Manager) Missing(ctx context.Context, revision document.Revision) []string {
-	m.event(ctx, nil, func(now time.Time) []spread.Action {
+	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
 		if m.node.Tracker(revision) != nil || m.node.Revision() < revision {
 			return nil
 		}
@@ -183,10 +183,10 @@
 			return []string{string(m.config.Self.ID)}
 		}
 		tracker := m.node.Tracker(revision)
-		changed := m.waiting
+		changed := m.changed
 		var missing []string
 		if tracker != nil && !tracker.Complete() {
-			missing = names(tracker.Missing())
+			missing = nodeNames(tracker.Missing())
 		}
 		m.mu.Unlock()
 		if len(missing) == 0 {
--- a/entry/config/manager.go
+++ b/entry/config/manager.go
@@ -1,8 +1,8 @@
-// Package config keeps the documents in force at one entry: it carries out the decisions
-// of core/spread over links and the document store.
+// Package config keeps the service documents of one entry up to date: it carries out the
+// decisions of core/spread over links and the document store.
 //
-// A new revision is built wholly beside the old one and then put in force by one atomic
-// pointer; a request that began under the old one ends under it.
+// A new revision is built completely beside the old one and then put in force by swapping an
+// atomic pointer. A request that began under the old revision ends under it.
 package config
 
 import (
@@ -21,20 +21,21 @@
 )
 
 const (
-	// tickEvery is how often spread's clock moves on.
-	tickEvery = 100 * time.Millisecond
-	// membersEvery is how often the live entries are read from the fleet's view.
-	membersEvery = time.Second
-	// pollTimeout bounds one read of the table's changes, and each pause in a peer's answer.
+	// tickInterval is the time between two ticks of the state machine in core/spread.
+	tickInterval = 100 * time.Millisecond
+	// membersInterval is the time between two reads of the live entries from the fleet's view.
+	membersInterval = time.Second
+	// pollTimeout bounds one read of the table's changes, and the time between two parts of a
+	// peer's answer.
 	pollTimeout = 2 * time.Second
-	// startRetry is the time between two tries to find a state to start with.
-	startRetry = 500 * time.Millisecond
-	// loadTimeout bounds one of those tries, and a load of all documents. Each call in them is bounded
-	// by itself; large states take long over narrow links.
+	// startRetryInterval is the time between two attempts to find a state to start with.
+	startRetryInterval = 500 * time.Millisecond
+	// loadTimeout bounds one such attempt, and a load of all documents. Each call in them has its
+	// own timeout; large states take long over slow links.
 	loadTimeout = 60 * time.Second
-	// keptChanges is the number of changes kept for pushes and answers. At 6,000 a day
-	// they cover the last hour.
-	keptChanges = 256
+	// maxRetainedChanges is the number of changes retained for pushes and answers. At 6,000 changes
+	// a day they cover the last hour.
+	maxRetainedChanges = 256
 )
 
 // Config configures a Manager.
@@ -42,39 +43,40 @@
 	Self  spread.Member
 	Store *documents.Store
 	View  *fleet.View
-	// Apply is called with each state before it is told to others; calls do not overlap.
+	// Apply is called with each state before other entries are told that it is in force here; calls
+	// do not overlap.
 	Apply func(*documents.State)
 	Log   zerolog.Logger
 }
 
-// Manager keeps one entry's documents. It is safe for concurrent use.
+// Manager maintains the documents of one entry. It is safe for concurrent use.
 type Manager struct {
 	config Config
 	log    zerolog.Logger
 	state  atomic.Pointer[documents.State]
 
-	mu       sync.Mutex
-	node     *spread.Node
-	changes  []documents.Change
-	parts    *assembly
-	members  int
-	starting startQuestion
-	// waiting is closed and replaced whenever an acknowledgement arrives.
-	waiting chan struct{}
+	mu            sync.Mutex
+	node          *spread.Node
+	changes       []documents.Change
+	stateAssembly *assembly
+	members       int
+	startRequest  startRequest
+	// changed is closed and replaced after every event, such as an acknowledgement.
+	changed chan struct{}
 
-	// loading says that all documents are being read.
+	// loading says that a load of all documents is in progress.
 	loading   atomic.Bool
 	ready     atomic.Bool
 	lastEvent atomic.Int64
 	started   time.Time
 }
 
-// New returns a Manager without a state; Run finds one.
+// New returns a Manager without a state; Run obtains one.
 func New(config Config) *Manager {
-	return &Manager{config: config, log: config.Log, waiting: make(chan struct{}), started: time.Now()}
+	return &Manager{config: config, log: config.Log, changed: make(chan struct{}), started: time.Now()}
 }
 
-// State returns the state in force, the empty one before the first.
+// State returns the state in force, or the empty state if there is none yet.
 func (m *Manager) State() *documents.State {
 	if state := m.state.Load(); state != nil {
 		return state
@@ -82,11 +84,11 @@
 	return documents.Empty()
 }
 
-// Ready reports whether requests may be admitted under the state in force. It takes no
-// lock: it is on the path of each request.
+// Ready reports whether requests may be admitted under the state in force. It takes no lock
+// because every request calls it.
 func (m *Manager) Ready() bool {
-	quiet := time.Since(m.started) - time.Duration(m.lastEvent.Load())
-	return m.ready.Load() && quiet <= spread.DefaultConfig(m.config.Self).MaxPause
+	sinceLastEvent := time.Since(m.started) - time.Duration(m.lastEvent.Load())
+	return m.ready.Load() && sinceLastEvent <= spread.DefaultConfig(m.config.Self).MaxPause
 }
 
 // Run keeps the state up to date until ctx ends.
@@ -94,9 +96,9 @@
 	if !m.start(ctx) {
 		return
 	}
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	members := time.NewTicker(membersEvery)
+	members := time.NewTicker(membersInterval)
 	defer members.Stop()
 	m.setMembers(ctx)
 	for {
@@ -106,13 +108,13 @@
 		case <-members.C:
 			m.setMembers(ctx)
 		case <-tick.C:
-			m.event(ctx, nil, func(now time.Time) []spread.Action { return m.node.Tick(now) })
+			m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.node.Tick(now) })
 		}
 	}
 }
 
-// start finds the state to begin with: the table's, or while the table is down the
-// object store's or a peer's.
+// start obtains the initial state: from the table or, while the table is unavailable, from the
+// object store or a peer.
 func (m *Manager) start(ctx context.Context) bool {
 	for {
 		started, err := m.tryStart(ctx)
@@ -124,7 +126,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(startRetry):
+		case <-time.After(startRetryInterval):
 		}
 	}
 }
@@ -132,7 +134,7 @@
 func (m *Manager) tryStart(ctx context.Context) (documents.Started, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	return m.config.Store.Start(ctx, m.fromPeer)
+	return m.config.Store.Start(ctx, m.stateFromPeer)
 }
 
 func (m *Manager) begin(started documents.Started) {
@@ -140,12 +142,12 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	m.node = spread.New(spread.DefaultConfig(m.config.Self), now, started.State.Revision(), started.Confirmed)
-	m.put(started.State)
+	m.activate(started.State)
 	m.afterEvent(now)
 }
 
-// put is called with mu held.
-func (m *Manager) put(state *documents.State) {
+// activate puts a state in force. It is called with mu held.
+func (m *Manager) activate(state *documents.State) {
 	m.config.Apply(state)
 	m.state.Store(state)
 }
@@ -155,33 +157,32 @@
 	for _, entry := range m.config.View.Entries() {
 		members = append(members, spread.Member{ID: spread.NodeID(entry.ID), Zone: entry.Zone})
 	}
-	m.event(ctx, nil, func(now time.Time) []spread.Action {
+	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
 		m.members = len(members)
 		return m.node.SetMembers(now, members)
 	})
 }
 
-// update is what an event brings along: changes that follow on the state in force, or a
-// whole state.
+// update is the content of an event: changes that follow the state in force, or a full state.
 type update struct {
 	changes []documents.Change
-	whole   *documents.State
+	full    *documents.State
 }
 
-// build returns the state that the update leads to, or the one in force when it is not
-// newer. It returns nil when the update does not follow.
+// build returns the state after the update, or the state in force if the update is not newer. It
+// returns nil if the changes of the update do not follow the state in force.
 func (m *Manager) build(u *update) *documents.State {
 	current := m.state.Load()
 	if u == nil {
 		return current
 	}
-	if u.whole != nil {
-		if u.whole.Revision() > current.Revision() {
-			return u.whole
+	if u.full != nil {
+		if u.full.Revision() > current.Revision() {
+			return u.full
 		}
 		return current
 	}
-	next, err := current.Apply(newer(u.changes, current.Revision()))
+	next, err := current.Apply(changesAfter(u.changes, current.Revision()))
 	if err != nil {
 		m.log.Warn().Err(err).Msg("changes of the documents do not follow on the state in force")
 		return nil
@@ -189,18 +190,19 @@
 	return next
 }
 
-func newer(changes []documents.Change, than document.Revision) []documents.Change {
+func changesAfter(changes []documents.Change, after document.Revision) []documents.Change {
 	for i, change := range changes {
-		if change.Revision > than {
+		if change.Revision > after {
 			return changes[i:]
 		}
 	}
 	return nil
 }
 
-// event hands one event to the state machine and carries out its actions. The state is
-// built first, so that the machine never counts a revision that could not be built.
-func (m *Manager) event(ctx context.Context, u *update, hand func(now time.Time) []spread.Action) bool {
+// handleEvent passes one event to the state machine and carries out the resulting actions. The
+// state is built first, so that the state machine never counts a revision that could not be
+// built.
+func (m *Manager) handleEvent(ctx context.Context, u *update, handle func(now time.Time) []spread.Action) bool {
 	m.mu.Lock()
 	if m.node == nil {
 		m.mu.Unlock()
@@ -212,10 +214,10 @@
 		return false
 	}
 	now := time.Now()
-	actions := hand(now)
+	actions := handle(now)
 	if next.Revision() > m.state.Load().Revision() && m.node.Revision() >= next.Revision() {
-		m.keep(u)
-		m.put(next)
+		m.retainChanges(u)
+		m.activate(next)
 	}
 	sends := m.prepare(actions)
 	m.afterEvent(now)
@@ -226,30 +228,30 @@
 	return true
 }
 
-// afterEvent is called with mu held.
+// afterEvent updates the readiness and wakes waiting goroutines. It is called with mu held.
 func (m *Manager) afterEvent(now time.Time) {
 	m.ready.Store(m.node.Ready(now))
 	m.lastEvent.Store(int64(now.Sub(m.started)))
-	close(m.waiting)
-	m.waiting = make(chan struct{})
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-// keep remembers changes for pushes and answers. It is called with mu held.
-func (m *Manager) keep(u *update) {
-	if u.whole != nil {
+// retainChanges retains the changes of an update for pushes and answers. It is called with mu held.
+func (m *Manager) retainChanges(u *update) {
+	if u.full != nil {
 		m.changes = nil
 		return
 	}
-	m.changes = append(m.changes, newer(u.changes, m.state.Load().Revision())...)
-	if extra := len(m.changes) - keptChanges; extra > 0 {
-		m.changes = append([]documents.Change(nil), m.changes[extra:]...)
+	m.changes = append(m.changes, changesAfter(u.changes, m.state.Load().Revision())...)
+	if excess := len(m.changes) - maxRetainedChanges; excess > 0 {
+		m.changes = append([]documents.Change(nil), m.changes[excess:]...)
 	}
 }
 
-// since returns the encoded changes after a revision, or nil when they are not kept. It
-// is called with mu held.
-func (m *Manager) since(after, revision document.Revision) []byte {
-	changes := newer(m.changes, after)
+// encodeChangesSince returns the encoded changes after one revision up to another, or nil if they
+// are not all retained or too large for a message. It is called with mu held.
+func (m *Manager) encodeChangesSince(after, revision document.Revision) []byte {
+	changes := changesAfter(m.changes, after)
 	if len(changes) == 0 || changes[0].Revision != after+1 {
 		return nil
 	}
@@ -266,7 +268,7 @@
 	return data
 }
 
-// Members is the number of live entries that take part, this one included.
+// Members returns the number of live entries, including this one.
 func (m *Manager) Members() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/config/messages.go
+++ b/entry/config/messages.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// OnMessage takes the messages of this package's concern; false when it is another's. It
-// runs on event loops: what takes time is done elsewhere.
+// OnMessage handles the configuration messages, and reports false for any other message. It runs
+// on event loops, so the messages are handled in goroutines of their own.
 func (m *Manager) OnMessage(c *link.Conn, message link.Message) bool {
 	ctx := context.Background()
 	from := spread.NodeID(c.Peer().VM)
@@ -25,7 +25,7 @@
 	case *link.ConfigAck:
 		go m.onAck(ctx, a)
 	case *link.ConfigAsk:
-		go m.onAsk(ctx, c, a)
+		go m.onRequest(ctx, c, a)
 	case *link.ConfigAnswer:
 		go m.onAnswer(ctx, from, a)
 	default:
@@ -45,11 +45,11 @@
 	changes, err := decodeChanges(a.Changes)
 	u := &update{changes: changes}
 	usable := len(changes) > 0 || push.After == push.Revision
-	if err == nil && usable && m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.HandlePush(now, push) }) {
+	if err == nil && usable && m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.node.HandlePush(now, push) }) {
 		return
 	}
-	// Without usable changes the push still tells that the revision exists.
-	m.event(ctx, nil, func(now time.Time) []spread.Action {
+	// Without usable changes the push still says that the revision exists.
+	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
 		return m.node.ObserveRevision(now, from, push.Revision, push.Revision)
 	})
 }
@@ -68,27 +68,27 @@
 	for _, node := range a.Nodes {
 		nodes = append(nodes, spread.NodeID(node))
 	}
-	m.event(ctx, nil, func(now time.Time) []spread.Action {
+	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
 		return m.node.HandleAck(now, spread.NodeID(a.Root), document.Revision(a.Revision), nodes)
 	})
 }
 
-// Heard takes the highest revision that a peer told along with other traffic.
+// Heard handles the highest revision that a peer has sent along with other traffic.
 func (m *Manager) Heard(from string, highest uint64) {
 	state := m.state.Load()
 	if state == nil || document.Revision(highest) <= state.Revision() {
 		return
 	}
-	m.event(context.Background(), nil, func(now time.Time) []spread.Action {
+	m.handleEvent(context.Background(), nil, func(now time.Time) []spread.Action {
 		return m.node.ObserveRevision(now, spread.NodeID(from), document.Revision(highest), 0)
 	})
 }
 
-// partBytes is the size of one part of a whole state.
+// partBytes is the size of one part of a full state.
 const partBytes = 256 << 10
 
-// onAsk answers a peer with the changes it lacks, or with the whole state.
-func (m *Manager) onAsk(_ context.Context, c *link.Conn, a *link.ConfigAsk) {
+// onRequest answers a peer with the changes that it lacks, or with the full state.
+func (m *Manager) onRequest(_ context.Context, c *link.Conn, a *link.ConfigAsk) {
 	m.mu.Lock()
 	if m.node == nil {
 		m.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 	current := a.After == answer.Revision
 	if !current {
-		answer.Changes = m.since(document.Revision(a.After), state.Revision())
+		answer.Changes = m.encodeChangesSince(document.Revision(a.After), state.Revision())
 	}
 	m.mu.Unlock()
 	if current || answer.Changes != nil {
@@ -112,15 +112,15 @@
 		return
 	}
 	if a.After > answer.Revision {
-		// The asker is ahead; it needs to know only where this node stands.
+		// The peer is ahead; the answer only tells it the revision of this entry.
 		answer.After = answer.Revision
 		_ = c.Send(&answer)
 		return
 	}
-	sendWhole(c, &answer, state.Encode())
+	sendState(c, &answer, state.Encode())
 }
 
-func sendWhole(c *link.Conn, answer *link.ConfigAnswer, data []byte) {
+func sendState(c *link.Conn, answer *link.ConfigAnswer, data []byte) {
 	answer.After = 0
 	answer.Parts = (len(data) + partBytes - 1) / partBytes
 	for part := range answer.Parts {
@@ -132,14 +132,14 @@
 	}
 }
 
-// assembly collects the parts of a whole state.
+// assembly collects the parts of a full state.
 type assembly struct {
-	nonce uint64
-	parts [][]byte
-	got   int
+	nonce    uint64
+	parts    [][]byte
+	received int
 }
 
-// maxParts bounds a whole state: 35,000 organisations take about 10 MB.
+// maxParts bounds the parts of a full state: 35,000 organisations take about 10 MB.
 const maxParts = 512
 
 func (m *Manager) onAnswer(ctx context.Context, from spread.NodeID, a *link.ConfigAnswer) {
@@ -148,18 +148,18 @@
 	case a.Parts > 1 || a.After == 0 && len(a.Changes) > 0:
 		data := m.assemble(a)
 		if data == nil {
-			m.event(ctx, nil, func(now time.Time) []spread.Action { return m.node.HandlePartialAnswer(now, a.Nonce) })
+			m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.node.HandlePartialAnswer(now, a.Nonce) })
 			return
 		}
-		if m.hand(a.Nonce, data) {
+		if m.deliverStartState(a.Nonce, data) {
 			return
 		}
-		whole, err := documents.Decode(data)
+		full, err := documents.Decode(data)
 		if err != nil {
 			m.log.Warn().Err(err).Str("peer", string(from)).Msg("a peer's state could not be read")
 			return
 		}
-		u.whole = whole
+		u.full = full
 	default:
 		changes, err := decodeChanges(a.Changes)
 		if err != nil {
@@ -175,55 +175,57 @@
 		Revision: document.Revision(a.Revision),
 		Highest:  document.Revision(a.Highest),
 	}
-	m.event(ctx, u, func(now time.Time) []spread.Action { return m.node.HandleAnswer(now, answer) })
+	m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.node.HandleAnswer(now, answer) })
 }
 
-// assemble adds a part; it returns the whole data once all parts are there.
+// assemble adds a part, and returns the complete data once all parts have arrived.
 func (m *Manager) assemble(a *link.ConfigAnswer) []byte {
 	if a.Parts < 1 || a.Parts > maxParts || a.Part < 0 || a.Part >= a.Parts {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.awaits(a.Nonce) {
+	if !m.expects(a.Nonce) {
 		return nil
 	}
-	if m.parts == nil || m.parts.nonce != a.Nonce || len(m.parts.parts) != a.Parts {
-		m.parts = &assembly{nonce: a.Nonce, parts: make([][]byte, a.Parts)}
+	if m.stateAssembly == nil || m.stateAssembly.nonce != a.Nonce || len(m.stateAssembly.parts) != a.Parts {
+		m.stateAssembly = &assembly{nonce: a.Nonce, parts: make([][]byte, a.Parts)}
 	}
-	if m.parts.parts[a.Part] == nil {
-		m.parts.parts[a.Part] = a.Changes
-		m.parts.got++
+	if m.stateAssembly.parts[a.Part] == nil {
+		m.stateAssembly.parts[a.Part] = a.Changes
+		m.stateAssembly.received++
 	}
-	if a.Nonce == m.starting.nonce {
-		m.starting.passed()
+	if a.Nonce == m.startRequest.nonce {
+		m.startRequest.partReceived()
 	}
-	if m.parts.got < a.Parts {
+	if m.stateAssembly.received < a.Parts {
 		return nil
 	}
-	data := bytes.Join(m.parts.parts, nil)
-	m.parts = nil
+	data := bytes.Join(m.stateAssembly.parts, nil)
+	m.stateAssembly = nil
 	return data
 }
 
-// awaits reports whether a part belongs to the last question that was answered, or to a later one.
-// An answer that was given up may still arrive, between the parts of the next. It is called with mu
-// held.
-func (m *Manager) awaits(nonce uint64) bool {
-	if nonce&startNonce != 0 {
-		return nonce == m.starting.nonce
+// expects reports whether a part belongs to the request whose answer is being assembled or to a
+// later one. Parts of an answer that was given up may still arrive between those of the next. It
+// is called with mu held.
+func (m *Manager) expects(nonce uint64) bool {
+	if nonce&startNonceBit != 0 {
+		return nonce == m.startRequest.nonce
 	}
-	return m.parts == nil || m.parts.nonce&startNonce != 0 || nonce >= m.parts.nonce
+	return m.stateAssembly == nil || m.stateAssembly.nonce&startNonceBit != 0 || nonce >= m.stateAssembly.nonce
 }
 
-// askWhole asks one entry for its whole state. A pause in its answer is bounded, not the answer.
-func (m *Manager) askWhole(ctx context.Context, c *link.Conn) ([]byte, error) {
-	nonce := rand.Uint64() | startNonce
+// requestState requests the full state of one entry. The timeout bounds the time between two parts
+// of the answer, not the time of the complete answer, so that a large state can arrive over a slow
+// link.
+func (m *Manager) requestState(ctx context.Context, c *link.Conn) ([]byte, error) {
+	nonce := rand.Uint64() | startNonceBit
 	answer := make(chan []byte, 1)
 	timer := time.NewTimer(pollTimeout)
 	defer timer.Stop()
 	m.mu.Lock()
-	m.starting = startQuestion{nonce: nonce, answer: answer, passed: func() { timer.Reset(pollTimeout) }}
+	m.startRequest = startRequest{nonce: nonce, state: answer, partReceived: func() { timer.Reset(pollTimeout) }}
 	m.mu.Unlock()
 	if err := c.Send(&link.ConfigAsk{Nonce: nonce}); err != nil {
 		return nil, err
@@ -238,37 +240,38 @@
 	}
 }
 
-// startNonce marks the questions of a start, which core/spread does not know of.
-const startNonce = 1 << 63
+// startNonceBit marks the nonces of requests made at the start, before core/spread is running.
+const startNonceBit = 1 << 63
 
-// startQuestion is the one question that a start has open.
-type startQuestion struct {
-	nonce  uint64
-	answer chan []byte
-	// passed is called for each part of the answer.
-	passed func()
+// startRequest is the pending request of the start for a full state.
+type startRequest struct {
+	nonce uint64
+	state chan []byte
+	// partReceived is called for each part of the answer.
+	partReceived func()
 }
 
-// hand gives a whole state to a start that waits for it; false when none does.
-func (m *Manager) hand(nonce uint64, data []byte) bool {
+// deliverStartState passes a full state to the start that requested it, and reports whether the
+// nonce belongs to a request of a start.
+func (m *Manager) deliverStartState(nonce uint64, data []byte) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if nonce&startNonce == 0 {
+	if nonce&startNonceBit == 0 {
 		return false
 	}
-	if m.starting.nonce == nonce {
-		m.starting.nonce = 0
-		m.starting.answer <- data
+	if m.startRequest.nonce == nonce {
+		m.startRequest.nonce = 0
+		m.startRequest.state <- data
 	}
 	return true
 }
 
-// errNoPeer means that no live entry is known to ask for a state.
+// errNoPeer means that there is no known live entry from which to request a state.
 var errNoPeer = errors.New("config: no live entry to ask")
 
-// fromPeer asks live entries for their whole state while the platform can not give one.
-// It implements documents.Source.
-func (m *Manager) fromPeer(ctx context.Context) ([]byte, error) {
+// stateFromPeer requests the full state of live entries in turn, for a start while the platform
+// cannot provide one. It implements documents.Source.
+func (m *Manager) stateFromPeer(ctx context.Context) ([]byte, error) {
 	err := errNoPeer
 	for _, entry := range m.config.View.Entries() {
 		c, dialErr := m.config.View.Connect(ctx, entry.ID, entry.Link)
@@ -276,11 +279,11 @@
 			err = dialErr
 			continue
 		}
-		data, askErr := m.askWhole(ctx, c)
-		if askErr == nil {
+		data, requestErr := m.requestState(ctx, c)
+		if requestErr == nil {
 			return data, nil
 		}
-		err = askErr
+		err = requestErr
 	}
 	return nil, err
 }
--- a/entry/config/messages_test.go
+++ b/entry/config/messages_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// whole cuts data into parts of a byte each.
-func whole(nonce uint64, data string) []*link.ConfigAnswer {
+// splitState returns an answer that carries data in parts of one byte each.
+func splitState(nonce uint64, data string) []*link.ConfigAnswer {
 	var parts []*link.ConfigAnswer
 	for i := range len(data) {
 		parts = append(parts, &link.ConfigAnswer{Nonce: nonce, Part: i, Parts: len(data), Changes: []byte(data[i : i+1])})
@@ -29,10 +29,10 @@
 	return New(Config{Self: spread.Member{ID: spread.NodeID(vm), Zone: "z"}, Log: zerolog.Nop()})
 }
 
-// Guards against two answers that arrive at the same time undoing each other, part by part.
-func TestPartsOfAnEarlierAnswerDoNotUndoALaterOne(t *testing.T) {
+// Two answers whose parts arrive interleaved must not reset each other's assembly.
+func TestPartsOfAnEarlierAnswerDoNotResetALaterOne(t *testing.T) {
 	m := newManager("a")
-	earlier, later := whole(4, "old"), whole(5, "new")
+	earlier, later := splitState(4, "old"), splitState(5, "new")
 	require.Nil(t, m.assemble(earlier[0]))
 	for i := range 2 {
 		require.Nil(t, m.assemble(later[i]))
@@ -41,41 +41,44 @@
 	require.Equal(t, "new", string(m.assemble(later[2])))
 }
 
-// slow answers a question for the whole state in parts with a pause between them.
-type slow struct {
+// slowPeer answers a request for the full state in parts, with a pause before each.
+type slowPeer struct {
 	parts int
 	pause time.Duration
 }
 
-func (slow) OnOpen(*link.Conn)         {}
-func (slow) OnClose(*link.Conn, error) {}
-func (s slow) OnMessage(c *link.Conn, message link.Message) {
-	ask, ok := message.(*link.ConfigAsk)
+func (slowPeer) OnOpen(*link.Conn)         {}
+func (slowPeer) OnClose(*link.Conn, error) {}
+func (s slowPeer) OnMessage(c *link.Conn, message link.Message) {
+	request, ok := message.(*link.ConfigAsk)
 	if !ok {
 		return
 	}
 	go func() {
 		for i := range s.parts {
 			time.Sleep(s.pause)
-			_ = c.Send(&link.ConfigAnswer{Nonce: ask.Nonce, Part: i, Parts: s.parts, Changes: []byte("x")})
+			_ = c.Send(&link.ConfigAnswer{Nonce: request.Nonce, Part: i, Parts: s.parts, Changes: []byte("x")})
 		}
 	}()
 }
 
-// taker hands all messages to a Manager.
-type taker struct{ *Manager }
+// messageHandler passes all messages to a Manager.
+type messageHandler struct{ *Manager }
 
-func (taker) OnOpen(*link.Conn)                              {}
-func (taker) OnClose(*link.Conn, error)                      {}
-func (m taker) OnMessage(c *link.Conn, message link.Message) { m.Manager.OnMessage(c, message) }
+func (messageHandler) OnOpen(*link.Conn)         {}
+func (messageHandler) OnClose(*link.Conn, error) {}
+func (m messageHandler) OnMessage(c *link.Conn, message link.Message) {
+	m.Manager.OnMessage(c, message)
+}
 
-// Guards against a start that never gets a large state over a narrow link.
-func TestStartWaitsForAStateThatGoesOnComing(t *testing.T) {
+// A start must be able to receive a large state over a slow link: it gives up only if no part
+// arrives within pollTimeout.
+func TestStartWaitsWhilePartsKeepArriving(t *testing.T) {
 	m := newManager("a")
 	keys := link.NewKeys([]byte("key"), nil)
-	dial := func(peer slow) *link.Conn {
+	dial := func(peer slowPeer) *link.Conn {
 		nodes := []link.Config{
-			{Self: link.Identity{VM: "a"}, Handler: taker{m}}, {Self: link.Identity{VM: "b"}, Handler: peer},
+			{Self: link.Identity{VM: "a"}, Handler: messageHandler{m}}, {Self: link.Identity{VM: "b"}, Handler: peer},
 		}
 		var started []*link.Node
 		for _, config := range nodes {
@@ -89,34 +92,34 @@
 		require.NoError(t, err)
 		return c
 	}
-	data, err := m.askWhole(t.Context(), dial(slow{parts: 8, pause: pollTimeout / 6}))
+	data, err := m.requestState(t.Context(), dial(slowPeer{parts: 8, pause: pollTimeout / 6}))
 	require.NoError(t, err)
 	require.Equal(t, "xxxxxxxx", string(data))
 	began := time.Now()
-	_, err = m.askWhole(t.Context(), dial(slow{}))
+	_, err = m.requestState(t.Context(), dial(slowPeer{}))
 	require.Error(t, err)
-	require.Less(t, time.Since(began), 2*pollTimeout, "one that says nothing is given up")
+	require.Less(t, time.Since(began), 2*pollTimeout, "a peer that sends nothing is given up")
 }
 
-// compacted is a table that answers each scan late and has no log of changes.
-type compacted struct {
+// compactedTable is a table that answers each scan with a delay and has no log of changes.
+type compactedTable struct {
 	table.Store
-	late time.Duration
+	delay time.Duration
 }
 
-func (c compacted) Scan(ctx context.Context, name, prefix, after string, limit int, consistency table.Consistency) ([]table.Row, error) {
+func (c compactedTable) Scan(ctx context.Context, name, prefix, after string, limit int, consistency table.Consistency) ([]table.Row, error) {
 	if strings.HasPrefix(prefix, "change") {
 		return nil, nil
 	}
 	select {
-	case <-time.After(c.late):
+	case <-time.After(c.delay):
 		return c.Store.Scan(ctx, name, prefix, after, limit, consistency)
 	case <-ctx.Done():
 		return nil, table.ErrUnavailable
 	}
 }
 
-// Guards against an entry that never loads documents which take longer than the pause between two polls.
+// An entry must be able to load documents that take longer to read than pollTimeout.
 func TestLoadOfAllDocumentsIsNotCutOff(t *testing.T) {
 	platform := platform.New(1)
 	config := documents.Config{Table: platform.Table, Objects: platform.Objects, Token: documents.NewToken, Now: time.Now}
@@ -126,7 +129,7 @@
 	require.NoError(t, err)
 	m := newManager("a")
 	m.config.Apply = func(*documents.State) {}
-	config.Table = compacted{config.Table, pollTimeout * 2 / 5}
+	config.Table = compactedTable{config.Table, pollTimeout * 2 / 5}
 	m.config.Store = documents.New(config)
 	m.begin(documents.Started{State: documents.Empty()})
 	m.poll(t.Context(), spread.PollTable{})
--- a/entry/config/save.go
+++ b/entry/config/save.go
@@ -8,20 +8,21 @@
 	"acaciacleat.example/peers/documents"
 )
 
-// saveTimeout bounds the save of a state: 10 MB and, if need be, the table's rows.
+// saveTimeout bounds the save of a state: a write of 10 MB and possibly a read of the table's rows.
 const saveTimeout = time.Minute
 
-// saveIfDue puts the state into the object store when this entry wrote a revision that
-// documents.SaveEvery divides.
+// saveIfDue saves the state in the object store if this entry wrote a revision that is a multiple
+// of documents.SaveEvery.
 //
-// What goes wrong without it: the object store stays empty, and every start reads every
-// row of the documents. A restart of many entries then takes the table's reads for
-// seconds, and with the table down an entry without peers finds no state at all.
+// Without a saved state every start would read every row of the documents: a restart of many
+// entries would use up the table's reads for seconds, and while the table is unavailable an
+// entry without peers would find no state at all.
 func (m *Manager) saveIfDue(ctx context.Context, revision document.Revision) {
 	if revision%documents.SaveEvery != 0 {
 		return
 	}
-	// The operator's answer does not wait for it, and its end does not cut it short.
+	// The operator's answer does not wait for the save, and the end of the request does not cancel
+	// it.
 	go m.save(context.WithoutCancel(ctx), revision)
 }
 
