--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory keeps what an entry knows of routes and upstreams up to date from the
-// platform's feeds, and goes on with what is known while the platform is away.
+// Package directory keeps an entry's routes and upstreams up to date from the platform's
+// feeds, and keeps using the last known state while the platform is unavailable.
 package directory
 
 import (
@@ -16,29 +16,30 @@
 	"github.com/rs/zerolog"
 )
 
-// RoutesNews is what a source knows of the routes.
+// RoutesNews is the result of reading the routes from a source.
 type RoutesNews struct {
-	// Value is the newest encoded table, or nil where nothing changed.
+	// Value is the newest encoded table, or nil if nothing changed.
 	Value []byte
-	// Cursor is where to go on from.
+	// Cursor is the position from which the next read continues.
 	Cursor uint64
 }
 
-// UpstreamsNews is what a source knows of upstreams.
+// UpstreamsNews is the result of reading the upstreams from a source.
 type UpstreamsNews struct {
-	// Changes lists every upstream that there is where everything was read.
+	// Changes lists every registered upstream if everything was read, otherwise the changes
+	// since the last read.
 	Changes []dispatch.Change
-	// Faults are registrations that could not be decoded.
+	// Faults are the errors of registrations that could not be decoded.
 	Faults []error
 	Cursor uint64
 }
 
-// Source is where news come from. A call with after zero reads everything; another waits
-// for a change, at the longest for wait.
+// Source reads routes and upstreams. A call with after zero reads everything; any other call
+// waits up to wait for a change.
 type Source interface {
 	Routes(ctx context.Context, after uint64, wait time.Duration) (RoutesNews, error)
 	Upstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamsNews, error)
-	// Decode builds the table of routes from an encoded one, Version reads its version alone.
+	// Decode builds a table of routes from its encoding. Version reads only its version.
 	Decode(value []byte) (*routes.Table, error)
 	Version(value []byte) (uint64, error)
 }
@@ -46,60 +47,62 @@
 // Config configures a Keeper.
 type Config struct {
 	Source Source
-	// Wait is how long one call waits for a change.
+	// Wait is how long one read waits for a change.
 	Wait time.Duration
-	// Upstreams takes the changes of upstreams.
+	// Upstreams applies the changes of upstreams.
 	Upstreams Upstreams
-	// Changed, if not nil, is told when a table came into force that others may lack: far says that
-	// it was read from the source, so that other zones may.
-	Changed func(far bool)
-	// Role tells what this entry does for the others' knowledge of the feeds, and Tell passes
-	// on what it reads; both nil for an entry that has no others.
+	// Changed, if not nil, is called when a table that other entries may lack is applied.
+	// otherZones says that it was read from the source, so that entries of other zones may lack
+	// it too.
+	Changed func(otherZones bool)
+	// Role returns the role of this entry for the feeds, and Tell forwards the updates that it
+	// reads to other entries. Both are nil for an entry without other entries.
 	Role func() follow.Role
 	Tell func(news *link.News)
 	Log  zerolog.Logger
 }
 
-// Upstreams takes what is known of upstreams; dispatch.Fleet implements it.
+// Upstreams applies the state of upstreams. gateway.Upstreams implements it.
 type Upstreams interface {
-	// Apply takes changes; whole says that they list every upstream.
-	Apply(now time.Time, changes []dispatch.Change, whole bool)
-	// SourceLost tells that the source did not answer.
+	// Apply applies changes; complete says that they list every upstream.
+	Apply(now time.Time, changes []dispatch.Change, complete bool)
+	// SourceLost records that the source did not answer.
 	SourceLost(now time.Time)
 }
 
-// Keeper keeps the tables of one entry. Table may be called from any goroutine.
+// Keeper maintains the table of routes and the upstreams of one entry. Table may be called from
+// any goroutine.
 type Keeper struct {
 	config Config
 	table  atomic.Pointer[routes.Table]
 	value  atomic.Pointer[[]byte]
-	// listed says that the upstreams were read once.
-	listed    atomic.Bool
-	offers    chan offer
-	routes    *feed
-	upstreams *feed
-	// faults counts the entries that could not be decoded since faultsTold.
-	faults     int
-	faultsTold time.Time
+	// upstreamsRead says that the upstreams were read at least once.
+	upstreamsRead atomic.Bool
+	offers        chan offer
+	routes        *feed
+	upstreams     *feed
+	// faults counts the registrations that could not be decoded since faultsLogged.
+	faults       int
+	faultsLogged time.Time
 }
 
-// offer is an encoded table of routes with where it comes from.
+// offer is an encoded table of routes with its origin.
 type offer struct {
 	value []byte
 	from  origin
-	// since is when the whole table had arrived.
-	since time.Time
+	// receivedAt is when the complete table had arrived.
+	receivedAt time.Time
 }
 
-// origin tells where a table of routes comes from.
+// origin is the origin of a table of routes, as the log shows it.
 type origin string
 
 // The origins.
 const (
 	fromStore origin = "store"
-	// fromEntry is from an entry that follows the store, which tells all entries of its zone.
+	// fromEntry is a follower that forwards its updates to all entries of its zone.
 	fromEntry origin = "entry"
-	// fetched is from an entry that was asked.
+	// fetched is another entry from which this one requested the table.
 	fetched origin = "fetched"
 )
 
@@ -113,15 +116,15 @@
 	}
 	k := &Keeper{config: config, offers: make(chan offer, 8)}
 	k.routes = k.newFeed(link.FeedRoutes, k.readRoutes, k.applyRoutes)
-	k.routes.inForce, k.routes.outgoing = k.version, k.outgoingRoutes
+	k.routes.appliedVersion, k.routes.outgoing = k.version, k.outgoingRoutes
 	k.upstreams = k.newFeed(link.FeedUpstreams, k.readUpstreams, k.applyUpstreams)
 	return k
 }
 
-// Table returns the table in force, or nil while none is known.
+// Table returns the table in force, or nil if there is none yet.
 func (k *Keeper) Table() *routes.Table { return k.table.Load() }
 
-// version returns that of the table in force; zero while none is known.
+// version returns the version of the table in force, or zero if there is none yet.
 func (k *Keeper) version() uint64 {
 	if table := k.Table(); table != nil {
 		return table.Version()
@@ -137,14 +140,14 @@
 	return nil
 }
 
-// Ready reports whether routes and upstreams are known.
-func (k *Keeper) Ready() bool { return k.Table() != nil && k.listed.Load() }
+// Ready reports whether both routes and upstreams are known.
+func (k *Keeper) Ready() bool { return k.Table() != nil && k.upstreamsRead.Load() }
 
-// Offer takes an encoded table that another entry has in force. It never blocks, and reports false
-// where the queue is full.
+// Offer queues an encoded table that another entry has in force. It never blocks, and reports
+// false if the queue is full.
 func (k *Keeper) Offer(value []byte) bool { return k.offer(offer{value, fetched, time.Now()}) }
 
-// offer reports whether the table was taken up.
+// offer reports whether the table was queued.
 func (k *Keeper) offer(o offer) bool {
 	select {
 	case k.offers <- o:
@@ -164,18 +167,18 @@
 		case <-ctx.Done():
 			return
 		case o := <-k.offers:
-			k.take(o)
+			k.applyOffer(o)
 		}
 	}
 }
 
-// take puts a table in force if it is newer than the one that is. An older one may come
-// late from another entry or from a store's answer that was under way: it would undo what
-// callers have already seen.
-func (k *Keeper) take(o offer) {
+// applyOffer puts a table in force if it is newer than the current one. An older one may arrive
+// late from another entry or from a slow read of the store; applying it would revert a
+// configuration that callers have already seen.
+func (k *Keeper) applyOffer(o offer) {
 	version, err := k.config.Source.Version(o.value)
 	if err == nil && version <= k.version() {
-		return // Whoever is first brings a table; decoding a large one again takes long.
+		return // Several entries offer the same table; decoding a large one again is slow.
 	}
 	next, err := k.config.Source.Decode(o.value)
 	if err != nil {
@@ -188,33 +191,33 @@
 	k.value.Store(&o.value)
 	k.table.Store(next)
 	k.config.Log.Info().Uint64("version", next.Version()).Str("from", string(o.from)).
-		Int("routes", next.Len()).Int("bytes", len(o.value)).Int64("took_ms", time.Since(o.since).Milliseconds()).
+		Int("routes", next.Len()).Int("bytes", len(o.value)).Int64("took_ms", time.Since(o.receivedAt).Milliseconds()).
 		Msg("routes in force")
-	k.routes.wake() // It may have waited for this table.
+	k.routes.wake() // The feed may wait for this table.
 	if k.config.Changed != nil && o.from != fromEntry {
 		k.config.Changed(o.from == fromStore)
 	}
 }
 
-// Heard takes what another entry has read of a feed.
-func (k *Keeper) Heard(from string, news *link.News) {
-	switch news.Feed {
+// Heard handles a feed update that another entry has forwarded.
+func (k *Keeper) Heard(from string, update *link.News) {
+	switch update.Feed {
 	case link.FeedRoutes:
-		k.routes.heard(time.Now(), from, news)
+		k.routes.handleUpdate(time.Now(), from, update)
 	case link.FeedUpstreams:
-		k.upstreams.heard(time.Now(), from, news)
+		k.upstreams.handleUpdate(time.Now(), from, update)
 	default:
-		k.config.Log.Warn().Str("entry", from).Uint8("feed", uint8(news.Feed)).Msg("news of a feed that isn't known")
+		k.config.Log.Warn().Str("entry", from).Uint8("feed", uint8(update.Feed)).Msg("news of a feed that isn't known")
 	}
 }
 
-// Gone tells that the link to another entry has ended.
+// Gone records that the link to another entry has ended.
 func (k *Keeper) Gone(entry string) {
-	k.routes.gone(entry)
-	k.upstreams.gone(entry)
+	k.routes.dropFollower(entry)
+	k.upstreams.dropFollower(entry)
 }
 
-// Listening returns the number of feeds that others read for this entry.
+// Listening returns the number of feeds that other entries read for this one.
 func (k *Keeper) Listening() int {
 	n := 0
 	for _, f := range []*feed{k.routes, k.upstreams} {
@@ -225,7 +228,7 @@
 	return n
 }
 
-// ReadsFailed returns how many of this entry's own reads of a feed have failed.
+// ReadsFailed returns the number of this entry's own reads of a feed that have failed.
 func (k *Keeper) ReadsFailed(feed link.Feed) uint64 {
 	if feed == link.FeedRoutes {
 		return k.routes.readsFailed.Load()
@@ -233,21 +236,21 @@
 	return k.upstreams.readsFailed.Load()
 }
 
-// mostRoutes is the size in bytes up to which a table of routes is sent along with the news of
-// it. A larger one would go to all entries of a zone from each follower at once; they fetch it.
-const mostRoutes = 32 << 10
+// maxRoutesBytes is the size up to which a table of routes is part of the forwarded update. Each
+// follower would send a larger one to all entries of its zone at once, so they fetch it instead.
+const maxRoutesBytes = 32 << 10
 
-// outgoingRoutes returns news of the routes as they are passed on.
-func (k *Keeper) outgoingRoutes(news *link.News) *link.News {
-	told := changesOnly(news)
-	if len(told.Routes) > mostRoutes {
-		version, err := k.config.Source.Version(told.Routes)
+// outgoingRoutes returns an update of the routes in the form in which it is forwarded.
+func (k *Keeper) outgoingRoutes(update *link.News) *link.News {
+	outgoing := omitFullRead(update)
+	if len(outgoing.Routes) > maxRoutesBytes {
+		version, err := k.config.Source.Version(outgoing.Routes)
 		if err != nil {
 			k.config.Log.Warn().Err(err).Msg("the version of routes could not be read; listeners read them themselves")
 		}
-		told.OmitRoutes(version)
+		outgoing.OmitRoutes(version)
 	}
-	return told
+	return outgoing
 }
 
 func (k *Keeper) readRoutes(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error) {
@@ -255,45 +258,46 @@
 	return &link.News{To: got.Cursor, Routes: got.Value}, err
 }
 
-func (k *Keeper) applyRoutes(now time.Time, news *link.News, from origin) bool {
-	return len(news.Routes) == 0 || k.offer(offer{news.Routes, from, now})
+func (k *Keeper) applyRoutes(now time.Time, update *link.News, from origin) bool {
+	return len(update.Routes) == 0 || k.offer(offer{update.Routes, from, now})
 }
 
 func (k *Keeper) readUpstreams(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error) {
 	got, err := k.config.Source.Upstreams(ctx, uint64(after), wait)
 	if err == nil {
-		k.tellFaults(time.Now(), got.Faults)
+		k.logFaults(time.Now(), got.Faults)
 	} else if ctx.Err() == nil && !errors.Is(err, table.ErrHistoryGone) {
 		k.config.Upstreams.SourceLost(time.Now())
 	}
 	return &link.News{To: got.Cursor, Changes: got.Changes}, err
 }
 
-func (k *Keeper) applyUpstreams(now time.Time, news *link.News, from origin) bool {
-	if from == fromEntry && news.Returned {
-		// Registrations lapse while the store is away: what vanishes now is doubted here too.
+func (k *Keeper) applyUpstreams(now time.Time, update *link.News, from origin) bool {
+	if from == fromEntry && update.Returned {
+		// Registrations lapse while the store is unavailable, so a listener must distrust the
+		// removals that follow an outage too, not only the entry that observed it.
 		k.config.Upstreams.SourceLost(now)
 	}
-	k.config.Upstreams.Apply(now, news.Changes, from == fromStore && news.From == 0)
-	k.listed.Store(true)
+	k.config.Upstreams.Apply(now, update.Changes, from == fromStore && update.From == 0)
+	k.upstreamsRead.Store(true)
 	return true
 }
 
-// faultsEvery is the least time between two lines on entries that can't be decoded: whoever
-// leaves many, or the same again and again, must not fill the log.
-const faultsEvery = 5 * time.Second
+// faultLogInterval is the minimum time between two log lines about registrations that cannot be
+// decoded, so that many or repeated faulty registrations do not flood the log.
+const faultLogInterval = 5 * time.Second
 
-// tellFaults logs that entries of the registry could not be decoded, in one line with their
-// number since the last one. Only the goroutine that follows upstreams calls it.
-func (k *Keeper) tellFaults(now time.Time, faults []error) {
+// logFaults logs that registrations could not be decoded, in one line with their number since
+// the last such line. Only the goroutine that follows the upstreams calls it.
+func (k *Keeper) logFaults(now time.Time, faults []error) {
 	if len(faults) == 0 {
 		return
 	}
 	k.faults += len(faults)
-	if now.Sub(k.faultsTold) < faultsEvery {
+	if now.Sub(k.faultsLogged) < faultLogInterval {
 		return
 	}
 	k.config.Log.Error().Err(faults[0]).Int("entries", k.faults).
 		Msg("registrations that could not be decoded; they name no upstream to use")
-	k.faults, k.faultsTold = 0, now
+	k.faults, k.faultsLogged = 0, now
 }
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -19,23 +19,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// source answers calls from a script; the encoded table is just its version.
-type source struct {
+// scriptedSource answers reads with the values that a test sends; an encoded table is just its
+// version.
+type scriptedSource struct {
 	routes    chan answer
 	upstreams chan error
 
 	mu sync.Mutex
-	// asked are the places after which the routes were read.
-	asked []uint64
-	// decoded counts the tables that were decoded.
+	// readFrom are the positions after which the routes were read.
+	readFrom []uint64
+	// decoded counts the decoded tables.
 	decoded atomic.Int64
 }
 
-// calls returns the places after which the routes were read up to now.
-func (s *source) calls() []uint64 {
+// reads returns the positions after which the routes have been read so far.
+func (s *scriptedSource) reads() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.asked)
+	return slices.Clone(s.readFrom)
 }
 
 type answer struct {
@@ -44,11 +45,13 @@
 	err     error
 }
 
-func newSource() *source { return &source{routes: make(chan answer), upstreams: make(chan error)} }
+func newSource() *scriptedSource {
+	return &scriptedSource{routes: make(chan answer), upstreams: make(chan error)}
+}
 
-func (s *source) Routes(ctx context.Context, after uint64, wait time.Duration) (RoutesNews, error) {
+func (s *scriptedSource) Routes(ctx context.Context, after uint64, wait time.Duration) (RoutesNews, error) {
 	s.mu.Lock()
-	s.asked = append(s.asked, after)
+	s.readFrom = append(s.readFrom, after)
 	s.mu.Unlock()
 	select {
 	case a := <-s.routes:
@@ -63,7 +66,7 @@
 	}
 }
 
-func (s *source) Upstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamsNews, error) {
+func (s *scriptedSource) Upstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamsNews, error) {
 	select {
 	case err := <-s.upstreams:
 		return UpstreamsNews{Cursor: after + 1}, err
@@ -74,7 +77,7 @@
 	}
 }
 
-func (s *source) Decode(value []byte) (*routes.Table, error) {
+func (s *scriptedSource) Decode(value []byte) (*routes.Table, error) {
 	s.decoded.Add(1)
 	version, err := strconv.Atoi(string(bytes.TrimRight(value, " ")))
 	if err != nil {
@@ -83,28 +86,28 @@
 	return routes.Build(&routes.Document{Version: uint64(version)})
 }
 
-func (*source) Version(value []byte) (uint64, error) {
+func (*scriptedSource) Version(value []byte) (uint64, error) {
 	return strconv.ParseUint(string(bytes.TrimRight(value, " ")), 10, 64)
 }
 
-// upstreams counts what it is told.
-type upstreams struct {
-	applied int
-	lost    int
+// recordedUpstreams counts the calls of its methods.
+type recordedUpstreams struct {
+	applied     int
+	unavailable int
 }
 
-func (u *upstreams) Apply(time.Time, []dispatch.Change, bool) { u.applied++ }
-func (u *upstreams) SourceLost(time.Time)                     { u.lost++ }
+func (u *recordedUpstreams) Apply(time.Time, []dispatch.Change, bool) { u.applied++ }
+func (u *recordedUpstreams) SourceLost(time.Time)                     { u.unavailable++ }
 
-// run starts a Keeper in a bubble of virtual time.
-func run(t *testing.T, test func(t *testing.T, k *Keeper, s *source, u *upstreams)) {
+// run starts a Keeper in a synctest bubble, whose time is virtual.
+func run(t *testing.T, test func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams)) {
 	runWith(t, func(*Config) {}, test)
 }
 
-// runWith is run with a configuration that the test may change.
-func runWith(t *testing.T, configure func(c *Config), test func(t *testing.T, k *Keeper, s *source, u *upstreams)) {
+// runWith is like run, with a configuration that the test may change.
+func runWith(t *testing.T, configure func(c *Config), test func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams)) {
 	synctest.Test(t, func(t *testing.T) {
-		s, u := newSource(), &upstreams{}
+		s, u := newSource(), &recordedUpstreams{}
 		config := Config{Source: s, Wait: time.Second, Upstreams: u, Log: zerolog.Nop()}
 		configure(&config)
 		k := New(config)
@@ -121,7 +124,7 @@
 	})
 }
 
-func version(k *Keeper) uint64 {
+func appliedVersion(k *Keeper) uint64 {
 	synctest.Wait()
 	if table := k.Table(); table != nil {
 		return table.Version()
@@ -129,89 +132,87 @@
 	return 0
 }
 
-// Symptom: callers see a configuration that was replaced. Sequence: a version is in force;
-// an older one comes late, from the store or from another entry; a damaged one comes.
-// Cause: whatever came last was put in force.
-func TestVersionsOnlyRise(t *testing.T) {
-	run(t, func(t *testing.T, k *Keeper, s *source, _ *upstreams) {
-		require.Zero(t, version(k))
+// Callers must not see a replaced configuration again: an older table that arrives late, from
+// the store or from another entry, and a table that cannot be decoded are not put in force.
+func TestOlderVersionsAreNotApplied(t *testing.T) {
+	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
+		require.Zero(t, appliedVersion(k))
 		s.routes <- answer{version: 5, cursor: 10}
-		require.Equal(t, uint64(5), version(k))
+		require.Equal(t, uint64(5), appliedVersion(k))
 		k.Offer([]byte("4"))
-		require.Equal(t, uint64(5), version(k))
+		require.Equal(t, uint64(5), appliedVersion(k))
 		k.Offer([]byte("7"))
-		require.Equal(t, uint64(7), version(k))
+		require.Equal(t, uint64(7), appliedVersion(k))
 		s.routes <- answer{version: 6, cursor: 11}
-		require.Equal(t, uint64(7), version(k))
+		require.Equal(t, uint64(7), appliedVersion(k))
 		k.Offer([]byte("damaged"))
-		require.Equal(t, uint64(7), version(k))
+		require.Equal(t, uint64(7), appliedVersion(k))
 		require.Equal(t, "7", string(k.Value()))
 	})
 }
 
-// Symptom: after an outage, changes made meanwhile are never heard of. Sequence: the store
-// fails and comes back; or it has dropped its history. Cause: the feed went on from the
-// wrong place.
-func TestFeedGoesOnFromTheRightPlace(t *testing.T) {
-	run(t, func(t *testing.T, k *Keeper, s *source, _ *upstreams) {
+// Changes made during an outage must not be lost: after a failed read the feed continues from
+// the same position, and after the store has truncated its history from the beginning.
+func TestFeedResumesFromItsPosition(t *testing.T) {
+	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
 		s.routes <- answer{version: 1, cursor: 10}
 		s.routes <- answer{err: table.ErrUnavailable}
 		s.routes <- answer{err: table.ErrUnavailable}
 		s.routes <- answer{version: 2, cursor: 12}
 		s.routes <- answer{err: table.ErrHistoryGone}
 		s.routes <- answer{version: 3, cursor: 20}
-		require.Equal(t, uint64(3), version(k))
-		require.Equal(t, []uint64{0, 10, 10, 10, 12, 0}, s.calls()[:6])
+		require.Equal(t, uint64(3), appliedVersion(k))
+		require.Equal(t, []uint64{0, 10, 10, 10, 12, 0}, s.reads()[:6])
 	})
 }
 
-// Symptom: an outage of the store is fed by calls. Sequence: each call fails at once.
-// Cause: it was repeated without a pause.
-func TestFailedCallsPause(t *testing.T) {
-	run(t, func(t *testing.T, _ *Keeper, s *source, u *upstreams) {
+// Reads that fail at once must not be repeated without a pause: they would add load to a store
+// that is failing.
+func TestFailedReadsPause(t *testing.T) {
+	run(t, func(t *testing.T, _ *Keeper, s *scriptedSource, u *recordedUpstreams) {
 		began := time.Now()
 		for range 10 {
 			s.upstreams <- table.ErrUnavailable
 		}
-		require.GreaterOrEqual(t, time.Since(began), 6*lastPause)
+		require.GreaterOrEqual(t, time.Since(began), 6*maxRetryPause)
 		synctest.Wait()
-		require.Equal(t, 10, u.lost)
+		require.Equal(t, 10, u.unavailable)
 		s.upstreams <- nil
 		synctest.Wait()
 		require.Equal(t, 1, u.applied)
 	})
 }
 
-// Symptom: starts and storms of changes cost hundreds of calls of the store. Sequence: changes
-// come every 40 ms for 4 s. Cause: each was asked for by itself. The last one is in force well
-// within two seconds, and the first after a calm at once.
-func TestSeriesOfChangesIsReadInFewCalls(t *testing.T) {
-	run(t, func(t *testing.T, k *Keeper, s *source, _ *upstreams) {
+// A start or a burst of changes must not cost hundreds of reads of the store, one for each
+// change: here 4 s of continuous changes. The last change is in force well within two seconds, and
+// the first change after a quiet period at once.
+func TestBurstOfChangesIsReadInFewCalls(t *testing.T) {
+	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
 		began := time.Now()
 		for n := 1; time.Since(began) < 4*time.Second; n++ {
 			s.routes <- answer{version: n, cursor: uint64(n)}
 		}
 		synctest.Wait()
-		require.Less(t, len(s.calls()), 14)
+		require.Less(t, len(s.reads()), 14)
 		last := k.Table().Version()
-		time.Sleep(3 * time.Second) // No news: the series is over.
-		asked := time.Now()
+		time.Sleep(3 * time.Second) // Nothing changes: the burst has ended.
+		changed := time.Now()
 		s.routes <- answer{version: int(last) + 1, cursor: uint64(last) + 1}
-		require.Equal(t, last+1, version(k))
-		require.Less(t, time.Since(asked), lastSettle)
+		require.Equal(t, last+1, appliedVersion(k))
+		require.Less(t, time.Since(changed), maxBatchPause)
 	})
 }
 
-// Symptom: an entry that has just started answers 404 for routes that exist. Sequence: its
-// start; a request before routes or upstreams are known. Cause: it counted as ready.
+// An entry that has just started must not answer 404 for routes that exist: it is not ready
+// until both routes and upstreams are known.
 func TestReadyOnlyWithRoutesAndUpstreams(t *testing.T) {
-	run(t, func(t *testing.T, k *Keeper, s *source, _ *upstreams) {
+	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
 		require.False(t, k.Ready())
 		s.upstreams <- nil
-		require.Zero(t, version(k))
+		require.Zero(t, appliedVersion(k))
 		require.False(t, k.Ready())
 		s.routes <- answer{version: 1, cursor: 1}
-		require.Equal(t, uint64(1), version(k))
+		require.Equal(t, uint64(1), appliedVersion(k))
 		require.True(t, k.Ready())
 	})
 }
--- a/entry/directory/feed.go
+++ b/entry/directory/feed.go
@@ -14,44 +14,48 @@
 	"github.com/rs/zerolog"
 )
 
-// The pauses before a failed call is made again: short at first, since a configuration
-// must be in force within seconds, and bounded, so that an outage isn't fed.
+// The pauses between reads.
 const (
-	firstPause = 50 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
-	// settle is the pause after news: changes come in series (51 upstreams register within
-	// 2.5 s at a start), and each answered call is priced. In a series it doubles up to
-	// lastSettle, which is far under the two seconds in which a change must be in force.
-	settle     = 100 * time.Millisecond
-	lastSettle = 500 * time.Millisecond
+	// minRetryPause is the pause after a first failed read: short, since a configuration must be
+	// in force within seconds. It doubles up to maxRetryPause, so that reads repeated during an
+	// outage do not add to the store's load.
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
+	// minBatchPause is the pause after an update. Changes come in bursts (51 upstreams register
+	// within 2.5 s at a start) and each answered read is billed, so the pause doubles during a
+	// burst up to maxBatchPause, far below the two seconds in which a change must be in force.
+	minBatchPause = 100 * time.Millisecond
+	maxBatchPause = 500 * time.Millisecond
 )
 
-// feed is one of the source's feeds as an entry follows it, or hears of it.
+// feed is one of the source's feeds, which the entry reads itself or receives from followers.
 type feed struct {
 	name   link.Feed
 	config *Config
 	log    zerolog.Logger
-	// read reads what came after a place, or everything after zero.
+	// read reads the changes after a position, or everything if it is zero.
 	read func(ctx context.Context, after follow.Position, wait time.Duration) (*link.News, error)
-	// apply puts news in force; it reports false where they could not be taken up.
-	apply func(now time.Time, news *link.News, from origin) bool
-	// outgoing returns news as they are passed on, inForce the version of the content in force, which
-	// what was left out of them has; nil where nothing is left out.
-	outgoing func(news *link.News) *link.News
-	inForce  func() uint64
-	// woken has a value when a listener may have to read.
-	woken chan struct{}
-
-	// mu also orders the news: what is applied is applied in the order of its places.
+	// apply puts an update in force; it reports false if it could not be queued.
+	apply func(now time.Time, update *link.News, from origin) bool
+	// outgoing returns an update in the form in which it is forwarded. appliedVersion returns the
+	// content version in force, to compare with the version of content that an update omits; it
+	// is nil for a feed that never omits content.
+	outgoing       func(update *link.News) *link.News
+	appliedVersion func() uint64
+	// wakeups holds a value when a listener may have to read.
+	wakeups chan struct{}
+
+	// mu also serialises updates, so that they are applied in the order of their positions.
 	mu    sync.Mutex
 	state *follow.Feed
 
-	// listening says that others read for this entry.
+	// listening says that other entries read this feed for this entry.
 	listening atomic.Bool
-	// readsFailed counts the reads of the store that have failed.
+	// readsFailed counts the failed reads of the store.
 	readsFailed atomic.Uint64
-	// lost is since when the store has not answered; used by the following goroutine only.
-	lost time.Time
+	// failingSince is when reads of the store began to fail; zero while they succeed. Only the
+	// goroutine that runs follow uses it.
+	failingSince time.Time
 }
 
 func (k *Keeper) newFeed(name link.Feed, read func(context.Context, follow.Position, time.Duration) (*link.News, error),
@@ -59,53 +63,54 @@
 ) *feed {
 	return &feed{
 		name: name, config: &k.config, log: k.config.Log.With().Stringer("feed", name).Logger(),
-		read: read, apply: apply, outgoing: changesOnly, state: follow.NewFeed(), woken: make(chan struct{}, 1),
+		read: read, apply: apply, outgoing: omitFullRead, state: follow.NewFeed(), wakeups: make(chan struct{}, 1),
 	}
 }
 
-// follow reads the feed again and again while that is this entry's to do, and listens
-// otherwise. After a failure it goes on from the same place, or from the beginning where the
-// source has forgotten what came after it.
+// follow reads the feed continuously while this entry has to read it, and listens otherwise.
+// After a failure it continues from the same position, or from the beginning if the source no
+// longer has the changes after it.
 func (f *feed) follow(ctx context.Context) {
-	// A start is a series: upstreams register, and the entries that follow are not linked yet.
-	wait, settling := firstPause, lastSettle
+	// A start counts as a burst: upstreams register, and followers are not linked yet.
+	retryPause, batchPause := minRetryPause, maxBatchPause
 	paused := time.Duration(0)
 	for ctx.Err() == nil {
 		role := f.config.Role()
 		if f.listen(ctx, role) {
-			settling, paused = settle, 0
+			batchPause, paused = minBatchPause, 0
 			continue
 		}
-		news, err := f.readOnce(ctx, role, paused)
+		changed, err := f.readOnce(ctx, role, paused)
 		paused = 0
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			f.failed(role, err)
-			pause.For(ctx, wait)
-			wait = min(2*wait, lastPause)
+			f.handleReadError(role, err)
+			pause.For(ctx, retryPause)
+			retryPause = min(2*retryPause, maxRetryPause)
 			continue
 		}
-		wait = firstPause
-		if !news {
-			settling = settle
+		retryPause = minRetryPause
+		if !changed {
+			batchPause = minBatchPause
 			continue
 		}
-		paused = settling
+		paused = batchPause
 		pause.For(ctx, paused)
-		settling = min(2*settling, lastSettle)
+		batchPause = min(2*batchPause, maxBatchPause)
 	}
 }
 
-// listen waits while others read for this entry; it reports false where it has to read.
+// listen waits while other entries read the feed for this one; it reports false if this entry has
+// to read it.
 func (f *feed) listen(ctx context.Context, role follow.Role) bool {
 	now := time.Now()
 	f.mu.Lock()
-	f.settle()
+	f.recordApplied()
 	until, ok := f.state.CanListen(now, role)
 	f.mu.Unlock()
-	f.tellListening(ok, role)
+	f.logListening(ok, role)
 	if !ok {
 		return false
 	}
@@ -114,19 +119,20 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-f.woken:
+	case <-f.wakeups:
 	}
 	return true
 }
 
-// settle notes what has come into force on another way than the feed. It is called with mu held.
-func (f *feed) settle() {
-	if f.inForce != nil {
-		f.state.ContentApplied(f.inForce())
+// recordApplied records the content version in force, which may have arrived by another path than
+// the feed. It is called with mu held.
+func (f *feed) recordApplied() {
+	if f.appliedVersion != nil {
+		f.state.ContentApplied(f.appliedVersion())
 	}
 }
 
-func (f *feed) tellListening(listening bool, role follow.Role) {
+func (f *feed) logListening(listening bool, role follow.Role) {
 	if f.listening.Swap(listening) == listening {
 		return
 	}
@@ -137,52 +143,52 @@
 	}
 }
 
-// readOnce reads what is new, puts it in force and passes it on. It reports whether there
-// were news. paused is the time since the last read.
+// readOnce reads the feed once, puts the update in force and, as a follower, forwards it. It
+// reports whether anything changed. paused is the time since the last read.
 func (f *feed) readOnce(ctx context.Context, role follow.Role, paused time.Duration) (bool, error) {
 	wait := f.config.Wait
 	if role != follow.Standalone {
-		// The pause is a part of the time in which others hear nothing.
+		// The pause is part of the time in which listeners receive nothing.
 		wait = min(wait, follow.FollowerReadWait-paused)
 	}
 	f.mu.Lock()
-	f.settle()
+	f.recordApplied()
 	from := f.state.Position()
 	f.mu.Unlock()
 	began := time.Now()
-	news, err := f.read(ctx, from, wait)
+	update, err := f.read(ctx, from, wait)
 	if err != nil {
 		f.readsFailed.Add(1)
 		return false, errors.WithMessagef(err, "read from %d, waiting %d ms, for %d ms", from, wait.Milliseconds(), time.Since(began).Milliseconds())
 	}
-	news.Feed, news.From = f.name, uint64(from)
-	if !f.lost.IsZero() {
-		news.Returned = true
-		f.log.Info().Dur("away_ms", time.Since(f.lost)).Msg("store answers again")
-		f.lost = time.Time{}
+	update.Feed, update.From = f.name, uint64(from)
+	if !f.failingSince.IsZero() {
+		update.Returned = true
+		f.log.Info().Dur("away_ms", time.Since(f.failingSince)).Msg("store answers again")
+		f.failingSince = time.Time{}
 	}
 	f.mu.Lock()
-	if f.state.Read(follow.Position(news.To)) && !f.apply(time.Now(), news, fromStore) {
+	if f.state.Read(follow.Position(update.To)) && !f.apply(time.Now(), update, fromStore) {
 		f.state.Revert()
 	}
 	f.mu.Unlock()
 	if role == follow.Follower {
-		f.config.Tell(f.outgoing(news))
+		f.config.Tell(f.outgoing(update))
 	}
-	return news.To != news.From, nil
+	return update.To != update.From, nil
 }
 
-// changesOnly returns news as they are passed on. What was read from the beginning lists all there
-// is and can't tell others what has gone: they hear the place alone.
-func changesOnly(news *link.News) *link.News {
-	told := *news
-	if news.From == 0 {
-		told.From, told.Routes, told.Changes = news.To, nil, nil
+// omitFullRead returns an update in the form in which it is forwarded. A read from the beginning
+// lists the present state and cannot say what was removed, so only its position is forwarded.
+func omitFullRead(update *link.News) *link.News {
+	outgoing := *update
+	if update.From == 0 {
+		outgoing.From, outgoing.Routes, outgoing.Changes = update.To, nil, nil
 	}
-	return &told
+	return &outgoing
 }
 
-func (f *feed) failed(role follow.Role, err error) {
+func (f *feed) handleReadError(role follow.Role, err error) {
 	if errors.Is(err, table.ErrHistoryGone) {
 		f.mu.Lock()
 		f.log.Warn().Uint64("after", uint64(f.state.Position())).Msg("the store has dropped its history; reading all")
@@ -190,33 +196,33 @@
 		f.mu.Unlock()
 		return
 	}
-	if !f.lost.IsZero() {
+	if !f.failingSince.IsZero() {
 		return
 	}
 	f.log.Warn().Err(err).Msg("store lost; going on with what is known")
-	f.lost = time.Now()
+	f.failingSince = time.Now()
 	if role == follow.Follower {
 		f.config.Tell(&link.News{Feed: f.name, Lost: true})
 	}
 }
 
-// heard takes what a follower has read.
-func (f *feed) heard(now time.Time, follower string, news *link.News) {
+// handleUpdate handles an update that a follower has forwarded.
+func (f *feed) handleUpdate(now time.Time, follower string, update *link.News) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if news.Lost {
+	if update.Lost {
 		f.state.DropFollower(follower)
 		f.wake()
 		return
 	}
-	fresh := f.state.HandleUpdate(now, follower, follow.Position(news.From), follow.Position(news.To))
-	version := news.OmittedVersion()
+	fresh := f.state.HandleUpdate(now, follower, follow.Position(update.From), follow.Position(update.To))
+	version := update.OmittedVersion()
 	switch {
 	case !fresh:
-	case version > 0 && f.inForce != nil:
+	case version > 0 && f.appliedVersion != nil:
 		f.state.ExpectContent(now, version)
-		f.settle()
-	case news.Omitted || !f.apply(now, news, fromEntry):
+		f.recordApplied()
+	case update.Omitted || !f.apply(now, update, fromEntry):
 		f.state.Revert()
 	}
 	if f.state.MissedUpdate() || version > 0 {
@@ -224,17 +230,17 @@
 	}
 }
 
-func (f *feed) gone(entry string) {
+func (f *feed) dropFollower(entry string) {
 	f.mu.Lock()
 	f.state.DropFollower(entry)
 	f.mu.Unlock()
 	f.wake()
 }
 
-// wake makes a listener look whether it has to read.
+// wake makes a listener check whether it has to read.
 func (f *feed) wake() {
 	select {
-	case f.woken <- struct{}{}:
-	default: // It is to look already.
+	case f.wakeups <- struct{}{}:
+	default: // A check is already pending.
 	}
 }
--- a/entry/directory/feed_test.go
+++ b/entry/directory/feed_test.go
@@ -18,97 +18,97 @@
 	"github.com/stretchr/testify/require"
 )
 
-// told collects what a Keeper passes on, and plays its role.
-type told struct {
+// forwardRecorder collects the updates that a Keeper forwards, and holds the Keeper's role.
+type forwardRecorder struct {
 	role atomic.Uint32
 
-	mu   sync.Mutex
-	news []*link.News
+	mu      sync.Mutex
+	updates []*link.News
 }
 
-// all returns what was passed on up to now.
-func (t *told) all() []*link.News {
+// all returns the updates forwarded so far.
+func (f *forwardRecorder) all() []*link.News {
 	synctest.Wait()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.Clone(t.news)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.updates)
 }
 
-func (t *told) add(news *link.News) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.news = append(t.news, news)
+func (f *forwardRecorder) add(update *link.News) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.updates = append(f.updates, update)
 }
 
-// inRole starts a Keeper in a bubble of virtual time, in a role that the test may change. The
-// source answers the routes' first read with version 1 at place 10.
-func inRole(t *testing.T, role follow.Role, test func(t *testing.T, k *Keeper, s *source, u *upstreams, told *told)) {
-	told := &told{}
-	told.role.Store(uint32(role))
+// runInRole starts a Keeper in a synctest bubble, in a role that the test may change. The source
+// answers the first read of the routes with version 1 at position 10.
+func runInRole(t *testing.T, role follow.Role, test func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams, recorder *forwardRecorder)) {
+	recorder := &forwardRecorder{}
+	recorder.role.Store(uint32(role))
 	configure := func(c *Config) {
-		c.Role = func() follow.Role { return follow.Role(told.role.Load()) }
-		c.Tell = told.add
+		c.Role = func() follow.Role { return follow.Role(recorder.role.Load()) }
+		c.Tell = recorder.add
 	}
-	runWith(t, configure, func(t *testing.T, k *Keeper, s *source, u *upstreams) {
+	runWith(t, configure, func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams) {
 		s.upstreams <- nil
 		s.routes <- answer{version: 1, cursor: 10}
-		require.Equal(t, uint64(1), version(k))
-		test(t, k, s, u, told)
+		require.Equal(t, uint64(1), appliedVersion(k))
+		test(t, k, s, u, recorder)
 	})
 }
 
-// routesNews is what a follower tells of the routes.
-func routesNews(from, to uint64, version int) *link.News {
-	news := &link.News{Feed: link.FeedRoutes, From: from, To: to}
+// routesUpdate returns a follower's update of the routes.
+func routesUpdate(from, to uint64, version int) *link.News {
+	update := &link.News{Feed: link.FeedRoutes, From: from, To: to}
 	if version > 0 {
-		news.Routes = []byte(strconv.Itoa(version))
+		update.Routes = []byte(strconv.Itoa(version))
 	}
-	return news
+	return update
 }
 
-func TestFollowerPassesOnWhatItReads(t *testing.T) {
-	inRole(t, follow.Follower, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
-		time.Sleep(settle)
+func TestFollowerForwardsUpdates(t *testing.T) {
+	runInRole(t, follow.Follower, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
+		time.Sleep(minBatchPause)
 		s.routes <- answer{version: 2, cursor: 12}
-		require.Equal(t, uint64(2), version(k))
+		require.Equal(t, uint64(2), appliedVersion(k))
 		var routes []*link.News
-		for _, news := range told.all() {
-			if news.Feed == link.FeedRoutes {
-				routes = append(routes, news)
+		for _, update := range recorder.all() {
+			if update.Feed == link.FeedRoutes {
+				routes = append(routes, update)
 			}
 		}
 		require.Equal(t, []*link.News{
-			{Feed: link.FeedRoutes, From: 10, To: 10}, // What was read from the beginning is not passed on.
+			{Feed: link.FeedRoutes, From: 10, To: 10}, // The content of a read from the beginning is not forwarded.
 			{Feed: link.FeedRoutes, From: 10, To: 12, Routes: []byte("2")},
 		}, routes)
 	})
 }
 
-// Symptom: listeners read by themselves every other second. Cause: a calm feed says nothing for
-// longer than they rely on silence.
-func TestFollowerSpeaksWhileNothingChanges(t *testing.T) {
-	inRole(t, follow.Follower, func(t *testing.T, _ *Keeper, _ *source, _ *upstreams, told *told) {
-		before := len(told.all())
+// A follower forwards empty updates while nothing changes: without them listeners would read the
+// feed themselves each time FollowerTimeout has passed.
+func TestFollowerForwardsEmptyUpdates(t *testing.T) {
+	runInRole(t, follow.Follower, func(t *testing.T, _ *Keeper, _ *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
+		before := len(recorder.all())
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		feeds := 2
-		require.GreaterOrEqual(t, len(told.all())-before, feeds*int(10*time.Second/follow.FollowerTimeout))
+		require.GreaterOrEqual(t, len(recorder.all())-before, feeds*int(10*time.Second/follow.FollowerTimeout))
 	})
 }
 
-func TestFollowerTellsThatItHasLostTheStore(t *testing.T) {
-	inRole(t, follow.Follower, func(t *testing.T, _ *Keeper, s *source, _ *upstreams, told *told) {
-		time.Sleep(settle)
+func TestFollowerForwardsFailureAndRecoveryOfTheStore(t *testing.T) {
+	runInRole(t, follow.Follower, func(t *testing.T, _ *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
+		time.Sleep(minBatchPause)
 		s.routes <- answer{err: table.ErrUnavailable}
 		s.routes <- answer{err: table.ErrUnavailable}
 		s.routes <- answer{version: 2, cursor: 12}
 		synctest.Wait()
 		var lost, returned int
-		for _, news := range told.all() {
-			if news.Lost {
+		for _, update := range recorder.all() {
+			if update.Lost {
 				lost++
 			}
-			if news.Returned {
+			if update.Returned {
 				returned++
 			}
 		}
@@ -117,191 +117,193 @@
 	})
 }
 
-// listen lets a Keeper become a listener: a follower is heard of both feeds.
-func listen(k *Keeper, t *testing.T) {
+// startListening makes a Keeper listen: a follower sends updates of both feeds.
+func startListening(k *Keeper, t *testing.T) {
 	t.Helper()
-	k.Heard("a", routesNews(10, 10, 0))
+	k.Heard("a", routesUpdate(10, 10, 0))
 	k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 1})
-	time.Sleep(time.Second) // A read that was under way has ended.
-	k.Heard("a", routesNews(10, 10, 0))
+	time.Sleep(time.Second) // A read that was in progress has ended.
+	k.Heard("a", routesUpdate(10, 10, 0))
 	synctest.Wait()
 }
 
-func TestListenerReadsNothingAndHearsOfChanges(t *testing.T) {
-	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, u *upstreams, _ *told) {
-		listen(k, t)
-		calls := len(s.calls())
-		place := uint64(10)
+func TestListenerAppliesForwardedUpdatesWithoutReading(t *testing.T) {
+	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams, _ *forwardRecorder) {
+		startListening(k, t)
+		calls := len(s.reads())
+		position := uint64(10)
 		for n := 2; n < 12; n++ {
-			k.Heard("a", routesNews(place, place+5, n))
-			place += 5
+			k.Heard("a", routesUpdate(position, position+5, n))
+			position += 5
 			k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: uint64(n - 1), To: uint64(n), Changes: make([]dispatch.Change, 1)})
-			require.Equal(t, uint64(n), version(k))
+			require.Equal(t, uint64(n), appliedVersion(k))
 			time.Sleep(follow.FollowerReadWait)
 		}
-		require.Len(t, s.calls(), calls, "the store is not asked")
+		require.Len(t, s.reads(), calls, "the store is not read")
 		require.GreaterOrEqual(t, u.applied, 10)
 	})
 }
 
-// Symptom: an entry goes on by an old configuration. Sequence: its follower freezes; the
-// configuration changes. Cause: it relied on who said nothing.
-func TestListenerReadsWhenNobodyIsHeard(t *testing.T) {
-	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
-		listen(k, t)
-		silent := time.Now()
+// A listener must not keep an old configuration because its follower freezes before a change: it
+// reads the feed itself once the follower has been silent for FollowerTimeout.
+func TestListenerReadsWhenFollowersAreSilent(t *testing.T) {
+	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
+		startListening(k, t)
+		silentSince := time.Now()
 		s.routes <- answer{version: 7, cursor: 30}
-		require.Equal(t, uint64(7), version(k))
-		require.LessOrEqual(t, time.Since(silent), follow.FollowerTimeout)
-		require.Equal(t, uint64(10), s.calls()[len(s.calls())-1], "from where it stood")
+		require.Equal(t, uint64(7), appliedVersion(k))
+		require.LessOrEqual(t, time.Since(silentSince), follow.FollowerTimeout)
+		require.Equal(t, uint64(10), s.reads()[len(s.reads())-1], "from its position")
 	})
 }
 
-// Symptom, sequence and cause as above, where the follower loses the store or its link ends, or
-// tells of changes that are too large to be sent along: the entry reads at once.
-func TestListenerReadsAtOnceWhatItCantHear(t *testing.T) {
+// A listener must not keep an old configuration when the follower fails to read the store, its
+// link ends, an update was missed or its content is too large to be forwarded: it reads at once.
+func TestListenerReadsAtOnceWhenUpdatesAreMissing(t *testing.T) {
 	for name, event := range map[string]func(k *Keeper){
-		"the follower loses the store": func(k *Keeper) { k.Heard("a", &link.News{Feed: link.FeedRoutes, Lost: true}) },
-		"its link ends":                func(k *Keeper) { k.Gone("a") },
-		"the routes are too large":     func(k *Keeper) { k.Heard("a", &link.News{Feed: link.FeedRoutes, From: 10, To: 20, Omitted: true}) },
-		"a word was missed":            func(k *Keeper) { k.Heard("a", routesNews(15, 20, 0)) },
+		"the follower's read fails": func(k *Keeper) { k.Heard("a", &link.News{Feed: link.FeedRoutes, Lost: true}) },
+		"its link ends":             func(k *Keeper) { k.Gone("a") },
+		"the routes are too large":  func(k *Keeper) { k.Heard("a", &link.News{Feed: link.FeedRoutes, From: 10, To: 20, Omitted: true}) },
+		"an update was missed":      func(k *Keeper) { k.Heard("a", routesUpdate(15, 20, 0)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
-				listen(k, t)
+			runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
+				startListening(k, t)
 				began := time.Now()
 				event(k)
 				s.routes <- answer{version: 7, cursor: 30}
-				require.Equal(t, uint64(7), version(k))
+				require.Equal(t, uint64(7), appliedVersion(k))
 				require.Zero(t, time.Since(began))
-				require.Equal(t, uint64(10), s.calls()[len(s.calls())-1], "from where it stood")
+				require.Equal(t, uint64(10), s.reads()[len(s.reads())-1], "from its position")
 			})
 		})
 	}
 }
 
-// Symptom: requests are refused for want of upstreams when the store returns. Sequence: it was
-// away, registrations lapsed, and a listener hears of their removal from its follower. Cause: only
-// who had lost the store itself doubted what vanishes just then.
-func TestListenerDoubtsWhatVanishesAtTheStoresReturn(t *testing.T) {
-	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, _ *source, u *upstreams, _ *told) {
-		listen(k, t)
-		before := u.lost
+// Requests must not be refused for lack of upstreams when the store recovers: registrations lapse
+// during the outage, and a listener that receives their removal from its follower must distrust
+// it as the follower does.
+func TestListenerDistrustsRemovalsWhenTheStoreRecovers(t *testing.T) {
+	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, _ *scriptedSource, u *recordedUpstreams, _ *forwardRecorder) {
+		startListening(k, t)
+		before := u.unavailable
 		k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 9, Returned: true, Changes: make([]dispatch.Change, 1)})
-		require.Equal(t, before+1, u.lost)
+		require.Equal(t, before+1, u.unavailable)
 	})
 }
 
-// Symptom: an entry goes on by an old configuration until the next change. Sequence: tables come
-// faster than they are decoded; one is dropped. Cause: the feed went on behind it.
+// An entry must not keep an old configuration until the next change because tables arrive faster
+// than they are decoded and one is dropped: the feed is read again from before it.
 func TestDroppedRoutesAreReadAgain(t *testing.T) {
-	inRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
+	runInRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
 		synctest.Wait()
-		free := k.routes.apply
+		apply := k.routes.apply
 		k.routes.mu.Lock()
 		k.routes.apply = func(time.Time, *link.News, origin) bool { return false }
 		k.routes.mu.Unlock()
 		s.routes <- answer{version: 2, cursor: 12}
 		synctest.Wait()
 		k.routes.mu.Lock()
-		k.routes.apply = free
+		k.routes.apply = apply
 		k.routes.mu.Unlock()
-		require.Equal(t, uint64(1), version(k))
+		require.Equal(t, uint64(1), appliedVersion(k))
 		s.routes <- answer{version: 2, cursor: 12}
-		require.Equal(t, uint64(2), version(k))
-		require.Equal(t, []uint64{10, 10}, s.calls()[1:3])
+		require.Equal(t, uint64(2), appliedVersion(k))
+		require.Equal(t, []uint64{10, 10}, s.reads()[1:3])
 	})
 }
 
-func TestListenerFollowsWhenItIsChosen(t *testing.T) {
-	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
-		listen(k, t)
-		told.role.Store(uint32(follow.Follower))
+func TestListenerReadsWhenItBecomesFollower(t *testing.T) {
+	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
+		startListening(k, t)
+		recorder.role.Store(uint32(follow.Follower))
 		k.Gone("a")
 		s.routes <- answer{version: 3, cursor: 30}
-		require.Equal(t, uint64(3), version(k))
-		news := told.all()
-		require.Equal(t, []byte("3"), news[len(news)-1].Routes)
+		require.Equal(t, uint64(3), appliedVersion(k))
+		updates := recorder.all()
+		require.Equal(t, []byte("3"), updates[len(updates)-1].Routes)
 	})
 }
 
-// padded returns an encoded table that is too large to be sent along.
-func padded(version int) []byte {
-	return append([]byte(strconv.Itoa(version)), bytes.Repeat([]byte(" "), mostRoutes)...)
+// largeRoutes returns an encoded table that is too large to be forwarded.
+func largeRoutes(version int) []byte {
+	return append([]byte(strconv.Itoa(version)), bytes.Repeat([]byte(" "), maxRoutesBytes)...)
 }
 
-func TestOfLargeRoutesTheVersionIsSentAlong(t *testing.T) {
+func TestLargeRoutesAreForwardedAsVersionOnly(t *testing.T) {
 	k := New(Config{Source: newSource(), Log: zerolog.Nop()})
-	news := &link.News{Feed: link.FeedRoutes, From: 3, To: 4, Routes: padded(12)}
-	told := k.outgoingRoutes(news)
-	require.True(t, told.Omitted)
-	require.Equal(t, uint64(12), told.OmittedVersion())
-	require.Less(t, len(told.Routes), 10)
-	require.Equal(t, []uint64{3, 4}, []uint64{told.From, told.To})
-	require.Equal(t, padded(12), news.Routes, "the entry's own copy stays")
+	update := &link.News{Feed: link.FeedRoutes, From: 3, To: 4, Routes: largeRoutes(12)}
+	outgoing := k.outgoingRoutes(update)
+	require.True(t, outgoing.Omitted)
+	require.Equal(t, uint64(12), outgoing.OmittedVersion())
+	require.Less(t, len(outgoing.Routes), 10)
+	require.Equal(t, []uint64{3, 4}, []uint64{outgoing.From, outgoing.To})
+	require.Equal(t, largeRoutes(12), update.Routes, "the update itself is unchanged")
 
-	told = k.outgoingRoutes(&link.News{Feed: link.FeedRoutes, From: 3, To: 4, Routes: bytes.Repeat([]byte("x"), mostRoutes+1)})
-	require.Equal(t, &link.News{Feed: link.FeedRoutes, From: 3, To: 4, Omitted: true}, told, "without a version that can't be read")
+	outgoing = k.outgoingRoutes(&link.News{Feed: link.FeedRoutes, From: 3, To: 4, Routes: bytes.Repeat([]byte("x"), maxRoutesBytes+1)})
+	require.Equal(t, &link.News{Feed: link.FeedRoutes, From: 3, To: 4, Omitted: true}, outgoing, "without a version that cannot be read")
 }
 
-// omitted is what a follower tells of a table that is too large to be sent along.
-func omitted(from, to, version uint64) *link.News {
-	news := routesNews(from, to, 0)
-	news.OmitRoutes(version)
-	return news
+// omittedRoutes returns a follower's update about a table that is too large to be forwarded.
+func omittedRoutes(from, to, version uint64) *link.News {
+	update := routesUpdate(from, to, 0)
+	update.OmitRoutes(version)
+	return update
 }
 
-// Guards against all entries reading a large table from the store that few need to read.
-func TestListenerLeavesLargeRoutesToOthers(t *testing.T) {
-	inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
-		listen(k, t)
-		calls := len(s.calls())
-		k.Heard("a", omitted(10, 20, 7))
+// A large table must not be read from the store by every entry: listeners wait for other entries
+// to offer it.
+func TestListenerWaitsForLargeRoutes(t *testing.T) {
+	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
+		startListening(k, t)
+		calls := len(s.reads())
+		k.Heard("a", omittedRoutes(10, 20, 7))
 		time.Sleep(follow.ContentTimeout - time.Millisecond)
 		require.True(t, k.Offer([]byte("7")))
-		require.Equal(t, uint64(7), version(k))
-		k.Heard("a", routesNews(20, 30, 8))
-		require.Equal(t, uint64(8), version(k))
+		require.Equal(t, uint64(7), appliedVersion(k))
+		k.Heard("a", routesUpdate(20, 30, 8))
+		require.Equal(t, uint64(8), appliedVersion(k))
 		time.Sleep(follow.ContentTimeout)
 		synctest.Wait()
-		require.Len(t, s.calls(), calls)
+		require.Len(t, s.reads(), calls)
 	})
 }
 
-// Guards against a change that an entry never hears of, because it was to come from others.
-func TestListenerReadsLargeRoutesThatDoNotCome(t *testing.T) {
-	for name, then := range map[string]func(k *Keeper, told *told){
-		"and nothing else comes":   func(*Keeper, *told) {},
-		"and further news come":    func(k *Keeper, _ *told) { k.Heard("a", routesNews(20, 25, 0)) },
-		"and a newer one is told":  func(k *Keeper, _ *told) { k.Heard("a", omitted(20, 25, 9)) },
-		"and an older one comes":   func(k *Keeper, _ *told) { k.Offer([]byte("6")) },
-		"and followers are silent": func(k *Keeper, _ *told) { k.Gone("a") },
-		"and it is chosen to read": func(k *Keeper, told *told) { told.role.Store(uint32(follow.Follower)); k.Gone("a") },
+// A change must not be lost because other entries were expected to offer it and do not: the
+// listener reads the feed itself from before the change.
+func TestListenerReadsLargeRoutesThatDoNotArrive(t *testing.T) {
+	for name, then := range map[string]func(k *Keeper, recorder *forwardRecorder){
+		"and nothing else comes":   func(*Keeper, *forwardRecorder) {},
+		"and an update follows":    func(k *Keeper, _ *forwardRecorder) { k.Heard("a", routesUpdate(20, 25, 0)) },
+		"and a newer one is known": func(k *Keeper, _ *forwardRecorder) { k.Heard("a", omittedRoutes(20, 25, 9)) },
+		"and an older one comes":   func(k *Keeper, _ *forwardRecorder) { k.Offer([]byte("6")) },
+		"and followers are silent": func(k *Keeper, _ *forwardRecorder) { k.Gone("a") },
+		"and it becomes follower":  func(k *Keeper, recorder *forwardRecorder) { recorder.role.Store(uint32(follow.Follower)); k.Gone("a") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *source, _ *upstreams, told *told) {
-				listen(k, t)
-				k.Heard("a", omitted(10, 20, 7))
+			runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
+				startListening(k, t)
+				k.Heard("a", omittedRoutes(10, 20, 7))
 				began := time.Now()
-				then(k, told)
+				then(k, recorder)
 				s.routes <- answer{version: 9, cursor: 30}
-				require.Equal(t, uint64(9), version(k))
+				require.Equal(t, uint64(9), appliedVersion(k))
 				require.LessOrEqual(t, time.Since(began), follow.ContentTimeout)
-				require.Equal(t, uint64(10), s.calls()[len(s.calls())-1], "from before the change")
+				require.Equal(t, uint64(10), s.reads()[len(s.reads())-1], "from before the change")
 			})
 		})
 	}
 }
 
-// Guards against a large table being decoded as often as it is offered.
-func TestTableInForceIsNotDecodedAgain(t *testing.T) {
-	inRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *source, _ *upstreams, _ *told) {
+// A large table must not be decoded each time that it is offered.
+func TestAppliedTableIsNotDecodedAgain(t *testing.T) {
+	runInRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
 		k.Offer([]byte("5"))
-		require.Equal(t, uint64(5), version(k))
+		require.Equal(t, uint64(5), appliedVersion(k))
 		decoded := s.decoded.Load()
 		k.Offer([]byte("5"))
 		k.Offer([]byte("4"))
-		require.Equal(t, uint64(5), version(k))
+		require.Equal(t, uint64(5), appliedVersion(k))
 		require.Equal(t, decoded, s.decoded.Load())
 	})
 }
