--- a/entry/operator/documents.go
+++ b/entry/operator/documents.go
@@ -17,27 +17,28 @@
 	"github.com/pkg/errors"
 )
 
-// InForce knows which revisions of the documents are in force.
+// InForce provides the documents in force and tracks at which entries a revision is in force.
 type InForce interface {
-	// State returns the state that this entry goes by.
+	// State returns the state in force at this entry.
 	State() *documents.State
-	// Refresh puts the newest revision in force here.
+	// Refresh puts the newest revision in force at this entry.
 	Refresh(ctx context.Context) error
-	// Written spreads a revision that was stored through this entry.
+	// Written distributes a revision that was stored through this entry.
 	Written(ctx context.Context, revision document.Revision)
-	// Missing waits until every live entry goes by the revision or ctx ends, and names
-	// those that do not.
+	// Missing waits until every live entry has the revision in force or ctx ends, and returns
+	// the names of the entries that do not have it.
 	Missing(ctx context.Context, revision document.Revision) []string
 }
 
 const (
-	// putTimeout bounds a put; until it ends a lost answer of the table is settled.
+	// putTimeout bounds a put, including the reads that find out whether a write whose answer was
+	// lost has taken effect.
 	putTimeout = 10 * time.Second
-	// readTimeout bounds the look for a newer revision before a read is answered.
+	// readTimeout bounds the check for a newer revision before a read is answered.
 	readTimeout = 2 * time.Second
-	// inForceTimeout bounds the wait for all entries; changes are to be in force within 5 s.
-	inForceTimeout = 4 * time.Second
-	// historyLimit is the number of changes shown when the request names none.
+	// applyTimeout bounds the wait for all entries; a change must be in force within 5 s.
+	applyTimeout = 4 * time.Second
+	// historyLimit is the number of changes shown if the request does not set a limit.
 	historyLimit = 20
 )
 
@@ -50,9 +51,9 @@
 	h.mux.HandleFunc("GET "+one+api.SuffixHistory, h.documentHistory)
 }
 
-// newest returns the newest state that can be had. With the table down it is the one in
-// force here; a put based on it fails if it is an old one.
-func (h *Handler) newest(r *http.Request) *documents.State {
+// newestState returns the newest available state. While the table is unavailable this is the state
+// in force at this entry; a put based on it fails if it is outdated.
+func (h *Handler) newestState(r *http.Request) *documents.State {
 	ctx, cancel := context.WithTimeout(r.Context(), readTimeout)
 	defer cancel()
 	if err := h.config.InForce.Refresh(ctx); err != nil {
@@ -61,10 +62,11 @@
 	return h.config.InForce.State()
 }
 
-// find returns a service's document and the state it is from, or answers that there is none.
+// find returns a service's document and the state that contains it. If there is none, it writes
+// an error response and returns a nil document.
 func (h *Handler) find(w http.ResponseWriter, r *http.Request) (*document.Service, *documents.State) {
 	name := r.PathValue("service")
-	state := h.newest(r)
+	state := h.newestState(r)
 	service := state.Snapshot.Service(name)
 	if service == nil {
 		h.fail(w, result.New(result.UnknownService, result.NotRun, "no document of service %q", name))
@@ -73,7 +75,7 @@
 }
 
 func (h *Handler) listDocuments(w http.ResponseWriter, r *http.Request) {
-	state := h.newest(r)
+	state := h.newestState(r)
 	list := []api.Summary{}
 	state.Snapshot.Services(func(service *document.Service) {
 		summary := api.Summary{
@@ -109,7 +111,7 @@
 		Service: service.Name,
 		ETag:    state.ETag(service.Name),
 		InForce: state.Revision(),
-		Missing: append([]string{}, h.missing(r.Context(), state.Revision())...),
+		Missing: append([]string{}, h.missingEntries(r.Context(), state.Revision())...),
 	})
 }
 
@@ -147,8 +149,8 @@
 	if !ok {
 		return
 	}
-	// The operator's own connection may break; the put goes on, for its outcome must be
-	// known before this entry takes another.
+	// The put continues if the operator's connection breaks, because its outcome must be known
+	// before this entry accepts another one.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), putTimeout)
 	defer cancel()
 	revision, conflict, err := h.config.Store.Put(ctx, service, base)
@@ -178,7 +180,7 @@
 	return tags[0], nil
 }
 
-// readDocument returns the document of a put, or answers with all its faults.
+// readDocument returns the document of a put, or writes an error response with all its faults.
 func (h *Handler) readDocument(w http.ResponseWriter, r *http.Request) (*document.Service, bool) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxDocumentBytes))
 	if err != nil {
@@ -203,7 +205,7 @@
 		Outcome:  api.Accepted,
 		Revision: revision,
 		ETag:     documents.ETag(revision),
-		Missing:  h.missing(ctx, revision),
+		Missing:  h.missingEntries(ctx, revision),
 	}
 	status := http.StatusOK
 	if len(answer.Missing) > 0 {
@@ -215,14 +217,15 @@
 	h.writeJSON(w, status, answer)
 }
 
-// missing names the live entries that do not go by the revision within inForceTimeout.
-func (h *Handler) missing(ctx context.Context, revision document.Revision) []string {
-	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
+// missingEntries returns the names of the live entries that do not have the revision in force
+// within applyTimeout.
+func (h *Handler) missingEntries(ctx context.Context, revision document.Revision) []string {
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	return h.config.InForce.Missing(ctx, revision)
 }
 
-// failPut answers with what is proved about a put that failed.
+// failPut writes an error response that says what is certain about a failed put.
 func (h *Handler) failPut(w http.ResponseWriter, err error) {
 	var invalid *documents.InvalidError
 	failure := putFailure(err)
--- a/entry/operator/documents_test.go
+++ b/entry/operator/documents_test.go
@@ -20,38 +20,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// spread is an InForce, with a table behind it, whose answers a test sets.
-type spread struct {
-	missing []string
-	written document.Revision
+// stubDocuments is an InForce whose answers a test sets.
+type stubDocuments struct {
+	missing     []string
+	distributed document.Revision
 }
 
-func (s *spread) State() *documents.State                               { return documents.Empty() }
-func (s *spread) Refresh(context.Context) error                         { return nil }
-func (s *spread) Written(_ context.Context, revision document.Revision) { s.written = revision }
-func (s *spread) Missing(context.Context, document.Revision) []string   { return s.missing }
+func (s *stubDocuments) State() *documents.State       { return documents.Empty() }
+func (s *stubDocuments) Refresh(context.Context) error { return nil }
+func (s *stubDocuments) Written(_ context.Context, revision document.Revision) {
+	s.distributed = revision
+}
+func (s *stubDocuments) Missing(context.Context, document.Revision) []string { return s.missing }
 
-// failing is a table whose reads or commits fail.
-type failing struct {
+// failingTable is a table whose reads or commits fail with the given errors.
+type failingTable struct {
 	table.Store
 	reads, commits error
 }
 
-func (f *failing) Get(ctx context.Context, key table.Key, c table.Consistency) (table.Row, error) {
+func (f *failingTable) Get(ctx context.Context, key table.Key, c table.Consistency) (table.Row, error) {
 	if f.reads != nil {
 		return table.Row{}, f.reads
 	}
 	return f.Store.Get(ctx, key, c)
 }
 
-func (f *failing) Commit(ctx context.Context, tx table.Tx) ([]uint64, error) {
+func (f *failingTable) Commit(ctx context.Context, tx table.Tx) ([]uint64, error) {
 	if f.commits != nil {
 		return nil, f.commits
 	}
 	return f.Store.Commit(ctx, tx)
 }
 
-func put(t *testing.T, s *spread, f *failing, header ...string) (int, api.PutAnswer, api.Problem) {
+func put(t *testing.T, s *stubDocuments, f *failingTable, header ...string) (int, api.PutAnswer, api.Problem) {
 	t.Helper()
 	text := `{"name":"parts","kind":"plain","upstreamsCheckFencing":false,"organisations":[]}`
 	request := httptest.NewRequest(http.MethodPut, api.PathDocuments+"/parts", strings.NewReader(text))
@@ -74,25 +76,23 @@
 	return recorder.Code, answer, problem
 }
 
-// Symptom: an operator is told "accepted" while an entry serves the old document.
-// Sequence: the put is stored, and an entry doesn't acknowledge it.
-// Cause: an answer that goes by the table alone.
-func TestAcceptedOnlyWhenInForceEverywhere(t *testing.T) {
-	everywhere := &spread{}
-	status, answer, _ := put(t, everywhere, &failing{})
+// An operator must not be told "accepted" while an entry still serves the old document: a put that
+// is stored but that an entry does not acknowledge is answered with "recorded".
+func TestAcceptedOnlyWhenAllEntriesApplied(t *testing.T) {
+	applied := &stubDocuments{}
+	status, answer, _ := put(t, applied, &failingTable{})
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, api.PutAnswer{Outcome: api.Accepted, Revision: 1, ETag: `"1"`}, answer)
-	require.EqualValues(t, 1, everywhere.written)
+	require.EqualValues(t, 1, applied.distributed)
 
-	status, answer, _ = put(t, &spread{missing: []string{"entry-2"}}, &failing{})
+	status, answer, _ = put(t, &stubDocuments{missing: []string{"entry-2"}}, &failingTable{})
 	require.Equal(t, http.StatusAccepted, status)
 	require.Equal(t, api.PutAnswer{Outcome: api.Recorded, Revision: 1, ETag: `"1"`, Missing: []string{"entry-2"}}, answer)
 }
 
-// Symptom: an operator's script that counts the missing entries fails on null.
-// Sequence: the document is in force everywhere, and its status is read.
-// Cause: a list without elements encoded as null.
-func TestStatusHasAListWhenNothingIsMissing(t *testing.T) {
+// The list of missing entries must be encoded as an empty list, not as null, when the document is
+// in force everywhere: an operator's script that counts its elements would fail on null.
+func TestStatusHasEmptyListWhenNoEntryIsMissing(t *testing.T) {
 	store := documents.New(documents.Config{Table: platform.New(1).Table, Token: documents.NewToken, Now: time.Now})
 	service := &document.Service{Name: "parts", Kind: document.KindPlain}
 	document.SetDefaults(service)
@@ -100,41 +100,41 @@
 	require.NoError(t, err)
 	state, err := store.Load(t.Context())
 	require.NoError(t, err)
-	handler := New(Config{InForce: &stated{state: state}, Store: store, Log: zerolog.Nop()})
+	handler := New(Config{InForce: &stubDocumentsWithState{state: state}, Store: store, Log: zerolog.Nop()})
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, api.PathDocuments+"/parts/status", nil))
 	require.Contains(t, recorder.Body.String(), `"missing": []`)
 }
 
-// stated is a spread with a state of its own.
-type stated struct {
-	spread
+// stubDocumentsWithState is a stubDocuments with a given state.
+type stubDocumentsWithState struct {
+	stubDocuments
 	state *documents.State
 }
 
-func (s *stated) State() *documents.State { return s.state }
+func (s *stubDocumentsWithState) State() *documents.State { return s.state }
 
-func TestFailedPutSaysWhetherAnythingWasWritten(t *testing.T) {
+func TestFailedPutReportsWhetherAnythingWasWritten(t *testing.T) {
 	for name, c := range map[string]struct {
-		table     failing
+		table     failingTable
 		header    []string
 		code      result.Code
 		execution result.Execution
 	}{
-		"reads fail":      {failing{reads: table.ErrUnavailable}, nil, result.TableUnavailable, result.NotRun},
-		"commits refused": {failing{commits: table.ErrUnavailable}, nil, result.TableUnavailable, result.NotRun},
-		"answer lost":     {failing{commits: table.ErrUnknownOutcome}, nil, result.TableOutcome, result.Unknown},
-		"two bases":       {failing{}, []string{"If-Match", `"1"`, "If-None-Match", "*"}, result.BadParameter, result.NotRun},
-		"two tags":        {failing{}, []string{"If-Match", `"1"`, "If-Match", `"2"`}, result.BadParameter, result.NotRun},
-		"tag of no match": {failing{}, []string{"If-None-Match", `"1"`}, result.BadParameter, result.NotRun},
+		"reads fail":      {failingTable{reads: table.ErrUnavailable}, nil, result.TableUnavailable, result.NotRun},
+		"commits refused": {failingTable{commits: table.ErrUnavailable}, nil, result.TableUnavailable, result.NotRun},
+		"answer lost":     {failingTable{commits: table.ErrUnknownOutcome}, nil, result.TableOutcome, result.Unknown},
+		"two bases":       {failingTable{}, []string{"If-Match", `"1"`, "If-None-Match", "*"}, result.BadParameter, result.NotRun},
+		"two tags":        {failingTable{}, []string{"If-Match", `"1"`, "If-Match", `"2"`}, result.BadParameter, result.NotRun},
+		"tag of no match": {failingTable{}, []string{"If-None-Match", `"1"`}, result.BadParameter, result.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &spread{}
+			s := &stubDocuments{}
 			status, _, problem := put(t, s, &c.table, c.header...)
 			require.Equal(t, result.Lookup(c.code).HTTPStatus, status)
 			require.Equal(t, c.code, problem.ResultCode)
 			require.Equal(t, c.execution, problem.Execution)
-			require.Zero(t, s.written)
+			require.Zero(t, s.distributed)
 		})
 	}
 }
--- a/entry/operator/failures.go
+++ b/entry/operator/failures.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// putFailure returns the result code of a put's error and whether it proves that nothing
+// putFailure returns the result of a failed put, which says whether it is certain that nothing
 // was written.
 func putFailure(err error) *result.Error {
 	var invalid *documents.InvalidError
@@ -30,7 +30,7 @@
 
 func (h *Handler) fail(w http.ResponseWriter, err *result.Error) { h.failWith(w, err, &api.Problem{}) }
 
-// failWith answers with a problem whose own fields are set.
+// failWith writes an error response; problem carries the additional fields, if any.
 func (h *Handler) failWith(w http.ResponseWriter, err *result.Error, problem *api.Problem) {
 	problem.Problem = caller.NewProblem(err, "")
 	w.Header().Set("Content-Type", "application/problem+json")
--- a/entry/operator/operator.go
+++ b/entry/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator is the entry's HTTP face towards operators: documents, explanations,
+// Package operator implements the entry's HTTP interface for operators: documents, explanations,
 // health and metrics.
 package operator
 
@@ -23,13 +23,13 @@
 	Front   *front.Front
 	View    *fleet.View
 	Records *record.Ring
-	// Ready reports whether the balancer should send new requests.
+	// Ready reports whether the load balancer should send new requests.
 	Ready func() bool
-	// Store holds the service documents, InForce those that this entry goes by.
+	// Store holds the service documents, InForce those in force at this entry.
 	Store   *documents.Store
 	InForce InForce
 	Quota   *quota.Enforcer
-	// Placement is nil when this entry takes no part in placement.
+	// Placement is nil if this entry does not take part in placement.
 	Placement *placement.Manager
 	Log       zerolog.Logger
 }
@@ -67,7 +67,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// request tells what was decided about one request and why.
+// request answers with the recorded decisions about one request and their reasons.
 func (h *Handler) request(w http.ResponseWriter, r *http.Request) {
 	id, err := call.ParseID(r.PathValue("id"))
 	if err != nil {
@@ -82,7 +82,8 @@
 	h.writeJSON(w, http.StatusOK, found)
 }
 
-// placement tells who places a service's models, and what was done and why.
+// placement answers with the entry that places a service's models, and its decisions with their
+// reasons.
 func (h *Handler) placement(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("service")
 	snapshot := h.config.Front.Snapshot()
--- a/entry/operator/vars.go
+++ b/entry/operator/vars.go
@@ -7,8 +7,8 @@
 	"acaciacleat.example/peers/vars"
 )
 
-// vars serves the process's expvars together with this entry's own. In one process
-// several entries may run, so the entry's own are not published globally.
+// vars serves the expvars of the process together with those of this entry. Several entries may
+// run in one process, so an entry's variables are not published globally.
 func (h *Handler) vars(w http.ResponseWriter, _ *http.Request) {
 	front := h.config.Front
 	metrics := front.Metrics()
