--- a/entry/settings/gateway.go
+++ b/entry/settings/gateway.go
@@ -8,109 +8,110 @@
 	"acaciacleat.example/peers/settings"
 )
 
-// Gateway are the settings of an entry that calls upstreams itself and follows the routes
-// and upstreams in a platform's store.
+// Gateway are the settings of an entry that calls upstreams directly and follows the routes and
+// upstreams in the platform's store.
 type Gateway struct {
-	// VM tells where the entry runs.
+	// VM identifies the VM that the entry runs on.
 	VM settings.VM `json:"vm"`
 	// Callers is the address for callers. Required.
 	Callers Address `json:"callers"`
-	// Ready is the address that the balancer asks for /readyz. Required.
+	// Ready is the address where the load balancer polls /readyz. Required.
 	Ready Address `json:"ready"`
-	// Metrics is the address that serves /metrics as text. Required.
+	// Metrics is the address that serves /metrics in text format. Required.
 	Metrics Address `json:"metrics"`
 	// Link is the address for links between entries. Required.
 	Link Address `json:"link"`
 	// Store is the platform's store.
 	Store Store `json:"store"`
-	// Routing says how upstreams are chosen.
+	// Routing sets how upstreams are chosen.
 	Routing GatewayRouting `json:"routing"`
-	// Retries bounds the retries of all entries together.
+	// Retries limits the retries of all entries together.
 	Retries Retries `json:"retries"`
-	// Quarantine says when requests are held back under which upstreams crash.
+	// Quarantine sets when requests that crash upstreams are held back.
 	Quarantine Quarantine `json:"quarantine"`
-	// Limits bounds what requests may hold in memory.
+	// Limits bounds the memory that requests may use.
 	Limits GatewayLimits `json:"limits"`
-	// Drain bounds a planned stop.
+	// Drain bounds a graceful shutdown.
 	Drain GatewayDrain `json:"drain"`
-	// Log says what is logged, as JSON lines on the standard output.
+	// Log sets what is logged, as JSON lines on standard output.
 	Log settings.Log `json:"log"`
 }
 
-// Address is one address in clear.
+// Address is one address, served without TLS.
 type Address struct {
 	// Listen is the IP address and port; port 0 chooses a free one.
 	Listen string `json:"listen" validate:"ipport"`
 }
 
-// Store says where the platform's store is and how it is followed.
+// Store sets the address of the platform's store and the timeouts of its calls.
 type Store struct {
-	// Address is its IP address and port. Required.
+	// Address is the IP address and port of the store. Required.
 	Address string `json:"address" validate:"ipport"`
-	// TimeoutMs bounds a call that does not wait for a change. Default 1000.
+	// TimeoutMs is the timeout of a call that does not wait for a change. Default 1000.
 	TimeoutMs int `json:"timeoutMs" validate:"gte=50,lte=60000"`
-	// WaitMs is how long a call waits for a change. A connection that has gone silent shows
-	// only after it, so it must be under the time in which a change must be in force.
-	// Default 2400.
+	// WaitMs is how long a call waits for a change. A dead connection is noticed only after this
+	// time, so it must be shorter than the time in which a change must be in force. Default
+	// 2400.
 	WaitMs int `json:"waitMs" validate:"gte=50,lte=30000"`
 }
 
-// GatewayRouting says how upstreams are chosen.
+// GatewayRouting sets how upstreams are chosen.
 type GatewayRouting struct {
-	// Rule is predicted, or least-outstanding, which is kept for comparison. Default
-	// predicted.
+	// Rule is predicted, or least-outstanding for comparison. Default predicted.
 	Rule string `json:"rule" validate:"oneof=predicted least-outstanding"`
 }
 
-// Retries bounds the retries of all entries together: in any ten seconds they stay under
-// Ratio times the requests of a service and Slack beyond it.
+// Retries limits the retries of all entries together: in any ten seconds the number of retries for
+// a service stays below Ratio times the number of its requests plus Slack.
 type Retries struct {
-	// Ratio is the number of retries for each request. Default 0.1.
+	// Ratio is the number of retries per request. Default 0.1.
 	Ratio float64 `json:"ratio" validate:"gte=0,lte=1"`
-	// Slack is the number of retries beyond the ratio. Default 20.
+	// Slack is the number of additional retries. Default 20.
 	Slack float64 `json:"slack" validate:"gte=0,lte=100000"`
 }
 
-// Quarantine says when requests are held back under which upstreams crash, and for how long.
+// Quarantine sets when requests that crash upstreams are held back, and for how long.
 type Quarantine struct {
-	// Crashes is the number of upstreams that must have crashed under a request. Default 3.
+	// Crashes is the number of upstreams that must have crashed while serving a request before it
+	// is held back. Default 3.
 	Crashes int `json:"crashes" validate:"gte=2,lte=100"`
-	// HoldS is how long a request is held back the first time, in seconds. Each further time it
-	// is eight times as long. Default 3600.
+	// HoldS is how long a request is held back the first time, in seconds. Each further hold is
+	// eight times as long as the one before. Default 3600.
 	HoldS int `json:"holdS" validate:"gte=1,lte=2592000"`
 }
 
-// DefaultQuarantine has the decision's own defaults.
+// DefaultQuarantine holds the default settings of core/quarantine.
 var DefaultQuarantine = Quarantine{
 	Crashes: quarantine.DefaultSettings.MinCrashes,
 	HoldS:   int(quarantine.DefaultSettings.Hold.Seconds()),
 }
 
-// Ledger returns the settings of the decision.
+// Ledger returns the settings for core/quarantine.
 func (q Quarantine) Ledger() quarantine.Settings {
 	return quarantine.Settings{MinCrashes: q.Crashes, Hold: time.Duration(q.HoldS) * time.Second}
 }
 
-// GatewayLimits bounds what requests may hold in memory.
+// GatewayLimits bounds the memory that requests may use.
 type GatewayLimits struct {
-	// BodyBytes bounds one request's body where the routes don't. Default 4194304 (4 MiB).
+	// BodyBytes bounds the body of one request unless its route sets a bound. Default 4194304
+	// (4 MiB).
 	BodyBytes int `json:"bodyBytes" validate:"gte=1024,lte=1073741824"`
-	// MemoryMb is the memory that the process may use, in MiB; 0 means no bound. The
-	// collector of garbage works harder near it. Default 0.
+	// MemoryMb is the soft memory limit of the process, in MiB; 0 means none. The garbage
+	// collector runs more often as memory use approaches it. Default 0.
 	MemoryMb float64 `json:"memoryMb" validate:"gte=0"`
 }
 
-// GatewayDrain bounds a planned stop, which SIGTERM or SIGINT begins.
+// GatewayDrain bounds a graceful shutdown, which SIGTERM or SIGINT starts.
 type GatewayDrain struct {
-	// ReadyOffMs is the time between the answer "not ready" and the end of the listener
-	// for callers. Default 2500: a balancer that asks every second and needs two misses.
+	// ReadyOffMs is the time between the first answer "not ready" and the end of the listener for
+	// callers. Default 2500, for a load balancer that polls every second and needs two failures.
 	ReadyOffMs int `json:"readyOffMs" validate:"gte=0,lte=600000"`
-	// LimitS is the time in which requests in flight may finish, in seconds, ReadyOffMs
-	// included. Default 8.
+	// LimitS is the time in which requests in flight may finish, in seconds, including ReadyOffMs.
+	// Default 8.
 	LimitS float64 `json:"limitS" validate:"gte=0,lte=86400"`
 }
 
-// DefaultGateway returns the settings with every default and without what is required.
+// DefaultGateway returns the default settings; required settings are empty.
 func DefaultGateway() *Gateway {
 	return &Gateway{
 		Store:   Store{TimeoutMs: 1000, WaitMs: 2400},
@@ -124,18 +125,18 @@
 	}
 }
 
-// ParseGateway reads settings strictly and returns all faults at once; the settings are
-// nil when there is any.
+// ParseGateway parses settings strictly and returns all faults at once; the settings are nil if
+// there is any fault.
 func ParseGateway(data []byte) (*Gateway, []settings.Fault) {
 	s := DefaultGateway()
-	together := func(s *Gateway) []settings.Fault {
+	checkConsistency := func(s *Gateway) []settings.Fault {
 		return settings.AtMost("$.drain.readyOffMs", s.Drain.ReadyOffMs, "limitS in milliseconds", int(s.Drain.LimitS*1000))
 	}
-	if faults := settings.Parse(data, s, together); len(faults) > 0 {
+	if faults := settings.Parse(data, s, checkConsistency); len(faults) > 0 {
 		return nil, faults
 	}
 	return s, nil
 }
 
-// Limit returns the time of a planned stop.
+// Limit returns the time limit of a graceful shutdown.
 func (d GatewayDrain) Limit() time.Duration { return time.Duration(d.LimitS * float64(time.Second)) }
--- a/entry/settings/settings.go
+++ b/entry/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings holds the settings of an entry.
+// Package settings defines and parses the settings of an entry.
 package settings
 
 import (
@@ -6,31 +6,31 @@
 	"acaciacleat.example/peers/settings"
 )
 
-// Settings are the settings of one entry; see package peers/settings for the parts that
-// agents have too.
+// Settings are the settings of one entry. Package peers/settings defines the parts that agents
+// share.
 type Settings struct {
-	// VM tells where the entry runs.
+	// VM identifies the VM that the entry runs on.
 	VM settings.VM `json:"vm"`
 	// Callers is the address for callers. Required.
 	Callers Server `json:"callers"`
-	// Operators is the address for operators, which the balancer asks for /readyz. It
-	// asks for no key: make it reachable for operators alone. Required.
+	// Operators is the address for operators, where the load balancer polls /readyz. It does not
+	// require a key, so it must be reachable for operators only. Required.
 	Operators Server `json:"operators"`
 	// Link is the entry's end of links to agents.
 	Link settings.Link `json:"link"`
 	// Platform holds the base URLs of the platform's services.
 	Platform settings.Platform `json:"platform"`
-	// Routing says how upstreams are chosen.
+	// Routing sets how upstreams are chosen.
 	Routing Routing `json:"routing"`
-	// Quarantine says when requests are held back under which upstreams crash.
+	// Quarantine sets when requests that crash upstreams are held back.
 	Quarantine Quarantine `json:"quarantine"`
-	// Limits bounds what requests may hold in memory.
+	// Limits bounds the memory that requests may use.
 	Limits Limits `json:"limits"`
-	// Drain bounds a planned stop.
+	// Drain bounds a graceful shutdown.
 	Drain Drain `json:"drain"`
-	// Log says what is logged.
+	// Log sets what is logged.
 	Log settings.Log `json:"log"`
-	// Trace says where spans go.
+	// Trace sets where spans are exported.
 	Trace settings.Trace `json:"trace"`
 }
 
@@ -38,44 +38,44 @@
 type Server struct {
 	// Listen is the IP address and port; port 0 chooses a free one.
 	Listen string `json:"listen" validate:"ipport"`
-	// TLS names the certificate's files. Default: none, served in clear.
+	// TLS names the files of the certificate. Default: none, served without TLS.
 	TLS settings.TLS `json:"tls"`
 }
 
-// Routing says how upstreams are chosen.
+// Routing sets how upstreams are chosen.
 type Routing struct {
-	// Policy is combined, or one of the simpler ones kept for comparison: naive,
-	// least-loaded, power-of-two, prefix-only. Default combined.
+	// Policy is combined, or one of the simpler policies for comparison: naive, least-loaded,
+	// power-of-two, prefix-only. Default combined.
 	Policy string `json:"policy" validate:"oneof=naive least-loaded power-of-two prefix-only combined"`
 }
 
-// Limits bounds what requests may hold in memory.
+// Limits bounds the memory that requests may use.
 type Limits struct {
-	// BodyBytes bounds one request's body. A prompt of a million tokens has 4 to 7 MB.
+	// BodyBytes bounds the body of one request. A prompt of a million tokens has 4 to 7 MB.
 	// Default 16777216 (16 MiB).
 	BodyBytes int `json:"bodyBytes" validate:"gte=1024,lte=1073741824"`
 	// WholeAnswerBytes bounds an answer that is not streamed. Default 8388608 (8 MiB).
 	WholeAnswerBytes int `json:"wholeAnswerBytes" validate:"gte=1024,lte=1073741824"`
-	// BodiesBytes bounds the bodies of all requests at once. Default 536870912 (512 MiB).
+	// BodiesBytes bounds the bodies of all requests in flight together. Default 536870912 (512 MiB).
 	BodiesBytes int `json:"bodiesBytes" validate:"gte=1024"`
 }
 
-// Drain bounds a planned stop, which SIGTERM or SIGINT begins; a second signal ends the
+// Drain bounds a graceful shutdown, which SIGTERM or SIGINT starts; a second signal ends the
 // process at once.
 type Drain struct {
-	// ReadyOffMs is the time between the answer "not ready" at /readyz and the end of
-	// the listener for callers, during which requests are still taken: at least the time
-	// that the balancer needs to see it. Default 5000.
+	// ReadyOffMs is the time between the first answer "not ready" at /readyz and the end of the
+	// listener for callers. Requests are still accepted during it, so it must be at least the
+	// time that the load balancer needs to notice. Default 5000.
 	ReadyOffMs int `json:"readyOffMs" validate:"gte=0,lte=600000"`
-	// LimitMs is the time in which requests in flight may finish, ReadyOffMs included;
-	// those that have not are cut off. Default 600000 (10 minutes).
+	// LimitMs is the time in which requests in flight may finish, including ReadyOffMs;
+	// those that have not finished by then are cancelled. Default 600000 (10 minutes).
 	LimitMs int `json:"limitMs" validate:"gte=0,lte=86400000"`
 }
 
-// DefaultReadyOffMs suits a balancer that asks every second or two.
+// DefaultReadyOffMs suits a load balancer that polls /readyz every one or two seconds.
 const DefaultReadyOffMs = 5_000
 
-// Default returns the settings with every default and without what is required.
+// Default returns the default settings; required settings are empty.
 func Default() *Settings {
 	return &Settings{
 		Platform: settings.DefaultPlatform,
@@ -94,17 +94,17 @@
 	}
 }
 
-// Parse reads settings strictly and returns all faults at once; the settings are nil
-// when there is any.
+// Parse parses settings strictly and returns all faults at once; the settings are nil if there is
+// any fault.
 func Parse(data []byte) (*Settings, []settings.Fault) {
 	s := Default()
-	if faults := settings.Parse(data, s, together); len(faults) > 0 {
+	if faults := settings.Parse(data, s, checkConsistency); len(faults) > 0 {
 		return nil, faults
 	}
 	return s, nil
 }
 
-func together(s *Settings) []settings.Fault {
+func checkConsistency(s *Settings) []settings.Fault {
 	faults := s.Link.Check("$.link")
 	faults = append(faults, s.Callers.TLS.Check("$.callers.tls")...)
 	faults = append(faults, s.Operators.TLS.Check("$.operators.tls")...)
