--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -1,4 +1,5 @@
-// Package account tells from gateways' log lines where requests were lost: by kind and by reason.
+// Package account counts the requests in gateways' logs by kind and by the reason why they were
+// served late, refused or failed.
 package account
 
 import (
@@ -15,36 +16,36 @@
 	"github.com/pkg/errors"
 )
 
-// Reason says how a request ended, or what it was lost by. Refusals and failures that have no
-// constant here bear their result's name.
+// Reason is how a request ended. Refusals and failures that have no constant here are named after
+// their execution and result.
 type Reason string
 
-// The reasons of requests that were served.
+// The reasons of requests that were served or whose caller left.
 const (
-	Good Reason = "good"
-	// Paused streams began in time and paused for too long.
-	Paused Reason = "late: pause"
-	// Elsewhere is late after another upstream had been left.
-	Elsewhere Reason = "late: after another upstream"
-	// Foreseen is late as was expected when it was placed, Unforeseen though it was expected
-	// in time.
-	Foreseen   Reason = "late: foreseen"
-	Unforeseen Reason = "late: not foreseen"
-	// Gone callers have left before the end.
-	Gone Reason = "caller left"
+	InTime Reason = "good"
+	// LatePause is a stream that began in time and then paused for too long.
+	LatePause Reason = "late: pause"
+	// LateAfterRetry is a late request that was tried at another upstream before.
+	LateAfterRetry Reason = "late: after another upstream"
+	// LatePredicted is a late request that was predicted to be late when it was placed;
+	// LateUnpredicted is one that was predicted to be in time.
+	LatePredicted   Reason = "late: foreseen"
+	LateUnpredicted Reason = "late: not foreseen"
+	// CallerLeft is a request whose caller disconnected before the end.
+	CallerLeft Reason = "caller left"
 )
 
-// line is what is read of a request's line.
+// line holds the fields that are read from a request's log line.
 type line struct {
-	Message      string
-	Result       string
-	Execution    string
-	TookMs       int64 `json:"took_ms"`
-	AimMs        int64 `json:"aim_ms"`
-	PromptTokens int64 `json:"prompt_tokens"`
-	PauseMs      int64 `json:"pause_ms"`
-	GoodPauseMs  int64 `json:"good_pause_ms"`
-	Tries        []struct {
+	Message       string
+	Result        string
+	Execution     string
+	TookMs        int64 `json:"took_ms"`
+	TargetMs      int64 `json:"aim_ms"`
+	PromptTokens  int64 `json:"prompt_tokens"`
+	PauseMs       int64 `json:"pause_ms"`
+	TargetPauseMs int64 `json:"good_pause_ms"`
+	Tries         []struct {
 		ExpectedMs int64 `json:"expected_ms"`
 		FirstMs    int64 `json:"first_ms"`
 		HeldMs     int64 `json:"held_ms"`
@@ -52,50 +53,51 @@
 	Lines int64
 }
 
-// message is that of a request's line; omitted that of lines which tell how many were left out.
+// requestEndedMessage is the message of a request's log line, linesOmittedMessage that of a line
+// with the number of omitted ones.
 const (
-	message = "request ended"
-	omitted = "lines of requests that were served were left out"
+	requestEndedMessage = "request ended"
+	linesOmittedMessage = "lines of requests that were served were left out"
 )
 
-// kind groups requests that have the same aim.
+// kind groups requests to engines or plain services that have the same target latency.
 type kind struct {
-	aimMs  int64
-	engine bool
+	targetMs int64
+	engine   bool
 }
 
 func (k kind) String() string {
 	if k.engine {
-		return fmt.Sprintf("prompts, aim %d ms", k.aimMs)
+		return fmt.Sprintf("prompts, aim %d ms", k.targetMs)
 	}
-	return fmt.Sprintf("plain, aim %d ms", k.aimMs)
+	return fmt.Sprintf("plain, aim %d ms", k.targetMs)
 }
 
-// sum is what requests of one kind and reason come to.
-type sum struct {
+// total holds the totals of the requests of one kind and reason.
+type total struct {
 	count  int
 	tokens int64
 	heldMs int64
 }
 
-// Account counts lines.
+// Account counts requests by kind and reason.
 type Account struct {
-	sums map[kind]map[Reason]*sum
-	// omitted is how many lines of served requests the logs left out.
+	totals map[kind]map[Reason]*total
+	// omitted is the number of lines of served requests that the logs omit.
 	omitted int64
 }
 
 // New returns an empty Account.
-func New() *Account { return &Account{sums: make(map[kind]map[Reason]*sum)} }
+func New() *Account { return &Account{totals: make(map[kind]map[Reason]*total)} }
 
-// longestLine bounds a line of a log, in bytes.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// Read counts the lines of a log. What stands before a line's JSON object is passed over, so
-// that logs may be those of several processes, with the time and name of each in front.
+// Read counts the requests in a log. It ignores text before a line's JSON object, so that a log may
+// combine those of several processes, with a time and a name before each line.
 func (a *Account) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		begin := bytes.IndexByte(text, '{')
@@ -104,9 +106,9 @@
 			continue
 		}
 		switch l.Message {
-		case message:
+		case requestEndedMessage:
 			a.add(&l)
-		case omitted:
+		case linesOmittedMessage:
 			a.omitted += l.Lines
 		}
 	}
@@ -114,15 +116,15 @@
 }
 
 func (a *Account) add(l *line) {
-	k := kind{aimMs: l.AimMs, engine: l.PromptTokens > 0}
-	if a.sums[k] == nil {
-		a.sums[k] = make(map[Reason]*sum)
+	k := kind{targetMs: l.TargetMs, engine: l.PromptTokens > 0}
+	if a.totals[k] == nil {
+		a.totals[k] = make(map[Reason]*total)
 	}
 	reason := l.reason()
-	s := a.sums[k][reason]
+	s := a.totals[k][reason]
 	if s == nil {
-		s = &sum{}
-		a.sums[k][reason] = s
+		s = &total{}
+		a.totals[k][reason] = s
 	}
 	s.count++
 	s.tokens += l.PromptTokens
@@ -134,11 +136,11 @@
 func (l *line) reason() Reason {
 	switch {
 	case l.Result == "caller_gone":
-		return Gone
+		return CallerLeft
 	case l.Result != "":
 		return Reason(l.Execution + ": " + l.Result)
 	case len(l.Tries) == 0:
-		return Good
+		return InTime
 	}
 	last := l.Tries[len(l.Tries)-1]
 	took := l.TookMs
@@ -146,36 +148,36 @@
 		took = last.FirstMs
 	}
 	switch {
-	case l.AimMs > 0 && took > l.AimMs && len(l.Tries) > 1:
-		return Elsewhere
-	case l.AimMs > 0 && took > l.AimMs && last.ExpectedMs > l.AimMs:
-		return Foreseen
-	case l.AimMs > 0 && took > l.AimMs:
-		return Unforeseen
-	case l.GoodPauseMs > 0 && l.PauseMs > l.GoodPauseMs:
-		return Paused
+	case l.TargetMs > 0 && took > l.TargetMs && len(l.Tries) > 1:
+		return LateAfterRetry
+	case l.TargetMs > 0 && took > l.TargetMs && last.ExpectedMs > l.TargetMs:
+		return LatePredicted
+	case l.TargetMs > 0 && took > l.TargetMs:
+		return LateUnpredicted
+	case l.TargetPauseMs > 0 && l.PauseMs > l.TargetPauseMs:
+		return LatePause
 	default:
-		return Good
+		return InTime
 	}
 }
 
-// Write writes the account as a table: for each kind its reasons, the most frequent first.
+// Write writes a table with the reasons of each kind, the most frequent first.
 func (a *Account) Write(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "kind\treason\trequests\tshare\tprompt tokens\theld ms, mean")
-	kinds := slices.SortedFunc(maps.Keys(a.sums), func(x, y kind) int {
-		return cmp.Or(cmp.Compare(x.aimMs, y.aimMs), cmp.Compare(x.String(), y.String()))
+	kinds := slices.SortedFunc(maps.Keys(a.totals), func(x, y kind) int {
+		return cmp.Or(cmp.Compare(x.targetMs, y.targetMs), cmp.Compare(x.String(), y.String()))
 	})
 	for _, k := range kinds {
 		all := 0
-		for _, s := range a.sums[k] {
+		for _, s := range a.totals[k] {
 			all += s.count
 		}
-		reasons := slices.SortedFunc(maps.Keys(a.sums[k]), func(x, y Reason) int {
-			return cmp.Or(cmp.Compare(a.sums[k][y].count, a.sums[k][x].count), cmp.Compare(x, y))
+		reasons := slices.SortedFunc(maps.Keys(a.totals[k]), func(x, y Reason) int {
+			return cmp.Or(cmp.Compare(a.totals[k][y].count, a.totals[k][x].count), cmp.Compare(x, y))
 		})
 		for _, r := range reasons {
-			s := a.sums[k][r]
+			s := a.totals[k][r]
 			fmt.Fprintf(table, "%s\t%s\t%d\t%.3f\t%d\t%d\n", k, r, s.count, float64(s.count)/float64(all), s.tokens, s.heldMs/int64(s.count))
 		}
 	}
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -25,12 +25,12 @@
 	a := New()
 	require.NoError(t, a.Read(strings.NewReader(lines)))
 	short, heavy := kind{300, true}, kind{3000, true}
-	for _, reason := range []Reason{Good, Paused, Unforeseen, Foreseen, Elsewhere} {
-		require.Equal(t, &sum{count: 1, tokens: 5000}, a.sums[short][reason], reason)
+	for _, reason := range []Reason{InTime, LatePause, LateUnpredicted, LatePredicted, LateAfterRetry} {
+		require.Equal(t, &total{count: 1, tokens: 5000}, a.totals[short][reason], reason)
 	}
-	require.Equal(t, 1, a.sums[heavy]["not-run: cannot_start_in_time"].count)
-	require.Equal(t, int64(600), a.sums[heavy][Good].heldMs)
-	require.Equal(t, 1, a.sums[kind{150, false}][Gone].count)
+	require.Equal(t, 1, a.totals[heavy]["not-run: cannot_start_in_time"].count)
+	require.Equal(t, int64(600), a.totals[heavy][InTime].heldMs)
+	require.Equal(t, 1, a.totals[kind{150, false}][CallerLeft].count)
 	var out strings.Builder
 	require.NoError(t, a.Write(&out))
 	require.Regexp(t, `prompts, aim 300 ms +late: pause +1 +0.200 +5000`, out.String())
