--- a/entry/record/record.go
+++ b/entry/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what was decided about recent requests and why, in a ring of
-// bounded size, for operators who ask.
+// Package record keeps the decisions about recent requests and their reasons in a ring buffer of
+// fixed size, which operators can query.
 package record
 
 import (
@@ -10,10 +10,10 @@
 	"acaciacleat.example/core/result"
 )
 
-// maxSteps bounds the steps kept of one request.
+// maxSteps is the maximum number of steps recorded for one request.
 const maxSteps = 64
 
-// Step is one thing that happened to a request.
+// Step is one event in the processing of a request.
 type Step struct {
 	// AfterMs is the time since admission, in milliseconds.
 	AfterMs float64 `json:"after_ms"`
@@ -22,7 +22,7 @@
 	Detail  string  `json:"detail,omitempty"`
 }
 
-// Request is what is kept of one request.
+// Request is the record of one request.
 type Request struct {
 	ID           string           `json:"id"`
 	Received     time.Time        `json:"received"`
@@ -47,7 +47,7 @@
 	mu sync.Mutex
 }
 
-// Add records a step. It is safe for concurrent use.
+// Add records a step; steps beyond maxSteps are dropped. It is safe for concurrent use.
 func (r *Request) Add(name, agent, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 	r.Steps = append(r.Steps, Step{AfterMs: sinceMs(r.Received), Name: name, Agent: agent, Detail: detail})
 }
 
-// Update changes the request's other fields under its lock.
+// Update calls change with the request's lock held, to set fields other than the steps.
 func (r *Request) Update(change func(*Request)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 	return float64(time.Since(t).Microseconds()) / 1000
 }
 
-// Ring keeps the last requests. It is safe for concurrent use.
+// Ring is a ring buffer of the most recent requests. It is safe for concurrent use.
 type Ring struct {
 	mu   sync.Mutex
 	ring []*Request
@@ -92,12 +92,12 @@
 	ids  []call.ID
 }
 
-// NewRing returns a ring of size requests.
+// NewRing returns a Ring for size requests.
 func NewRing(size int) *Ring {
 	return &Ring{ring: make([]*Request, size), ids: make([]call.ID, size), byID: make(map[call.ID]*Request, size)}
 }
 
-// Begin adds a request, in place of the oldest one.
+// Begin adds a request, which replaces the oldest one once the ring is full.
 func (r *Ring) Begin(id call.ID) *Request {
 	request := &Request{ID: id.String(), Received: time.Now()}
 	r.mu.Lock()
@@ -112,7 +112,7 @@
 	return request
 }
 
-// Find returns a copy of a request, or nil when it is not in the ring.
+// Find returns a copy of a request, or nil if it is not in the ring.
 func (r *Ring) Find(id call.ID) *Request {
 	r.mu.Lock()
 	request := r.byID[id]
