--- a/entry/cmd/acaciacleat-entry/main.go
+++ b/entry/cmd/acaciacleat-entry/main.go
@@ -1,5 +1,5 @@
-// Command acaciacleat-entry takes callers' and operators' requests, and holds the
-// commands with which people work the system.
+// Command acaciacleat-entry serves the requests of callers and operators, and provides the
+// commands to operate and test the system.
 package main
 
 import (
