--- a/entry/command/account.go
+++ b/entry/command/account.go
@@ -14,7 +14,7 @@
 		&accountCommand{environment: env})
 }
 
-// accountCommand counts requests in logs.
+// accountCommand counts the requests in gateways' logs.
 type accountCommand struct {
 	*environment `no-flag:"true"`
 }
--- a/entry/command/command.go
+++ b/entry/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of acaciacleat-entry.
+// Package command implements the command line of acaciacleat-entry.
 package command
 
 import (
@@ -9,7 +9,7 @@
 	shared "acaciacleat.example/peers/settings"
 )
 
-// Main runs the command that args name and returns the process's exit code.
+// Main runs the command in args and returns the exit code of the process.
 func Main(args []string, stdout, stderr io.Writer) int {
 	program := commandline.New("acaciacleat-entry", stdout, stderr)
 	root := program.Root()
@@ -35,11 +35,11 @@
 	addQuarantine(root, env)
 	commandline.MustAdd(root, "explain", "Explain a request or a placement",
 		"Prints what was decided about a request and why: ask the entry that served it. With --service, where the service's models run and why.",
-		&explainCommand{remote: remote{environment: env}})
+		&explainCommand{operatorOptions: operatorOptions{environment: env}})
 	return program.Run(args)
 }
 
-// environment is where a command writes.
+// environment holds the outputs of a command.
 type environment struct {
 	stdout io.Writer
 	stderr io.Writer
--- a/entry/command/dev.go
+++ b/entry/command/dev.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// devDrainLimit bounds a stop: the stand-in engines answer all but the longest prompts in
-// this time, and a second signal ends the wait.
+// devDrainLimit bounds a graceful shutdown. The stand-in engines answer all but the longest prompts
+// in this time; a second signal ends the wait.
 const devDrainLimit = 30 * time.Second
 
 func (c *devCommand) runStandIns(signals <-chan os.Signal) error {
--- a/entry/command/document.go
+++ b/entry/command/document.go
@@ -16,17 +16,19 @@
 	"github.com/pkg/errors"
 )
 
-// remote holds the flags of commands that ask an entry.
-type remote struct {
+// operatorOptions holds the flags of commands that call an entry's address for operators.
+type operatorOptions struct {
 	*environment `no-flag:"true"`
 	Operator     string `long:"operator" value-name:"URL" env:"ACACIACLEAT_OPERATOR" default:"http://127.0.0.1:8081" description:"an entry's address for operators"`
 	CAFile       string `long:"ca-file" value-name:"FILE" description:"certificates to trust beside the system's, in PEM"`
 }
 
-func (r *remote) client() (*operator.Client, error) { return operator.NewClient(r.Operator, r.CAFile) }
+func (o *operatorOptions) client() (*operator.Client, error) {
+	return operator.NewClient(o.Operator, o.CAFile)
+}
 
-func (r *remote) printJSON(value any) error {
-	encoder := json.NewEncoder(r.stdout)
+func (o *operatorOptions) printJSON(value any) error {
+	encoder := json.NewEncoder(o.stdout)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
@@ -34,31 +36,31 @@
 func addDocument(root commandline.Group, env *environment) {
 	group := commandline.MustAdd(root, "document", "Work with service documents",
 		"Reads and changes the documents of services at an entry's address for operators.", &struct{}{})
-	r := remote{environment: env}
-	commandline.MustAdd(group, "list", "List the documents", "Lists the documents of all services.", &listCommand{remote: r})
-	commandline.MustAdd(group, "get", "Print a document", "Prints the document of a service.", &getCommand{remote: r})
+	options := operatorOptions{environment: env}
+	commandline.MustAdd(group, "list", "List the documents", "Lists the documents of all services.", &listCommand{operatorOptions: options})
+	commandline.MustAdd(group, "get", "Print a document", "Prints the document of a service.", &getCommand{operatorOptions: options})
 	commandline.MustAdd(group, "put", "Store a document",
 		"Shows the differences to the document that stands and stores the new one, unless another operator changed it meanwhile.",
-		&putCommand{remote: r})
-	commandline.MustAdd(group, "diff", "Compare a document", "Shows what put would change.", &diffCommand{remote: r})
+		&putCommand{operatorOptions: options})
+	commandline.MustAdd(group, "diff", "Compare a document", "Shows what put would change.", &diffCommand{operatorOptions: options})
 	commandline.MustAdd(group, "status", "Tell where a document is in force", "Tells where the document of a service is in force.",
-		&statusCommand{remote: r})
+		&statusCommand{operatorOptions: options})
 	commandline.MustAdd(group, "history", "Show a document's changes", "Shows the last changes of a document, newest first.",
-		&historyCommand{remote: r})
+		&historyCommand{operatorOptions: options})
 }
 
-// serviceArg is the one argument of commands about a service.
+// serviceArg is the argument of commands about a service.
 type serviceArg struct {
 	Service string `positional-arg-name:"SERVICE" required:"yes"`
 }
 
-// fileArg is the one argument of commands about a document's file.
+// fileArg is the argument of commands that read a document from a file.
 type fileArg struct {
 	File string `positional-arg-name:"FILE" required:"yes"`
 }
 
 // listCommand lists all documents.
-type listCommand struct{ remote }
+type listCommand struct{ operatorOptions }
 
 // Execute implements flags.Commander.
 func (c *listCommand) Execute([]string) error {
@@ -80,7 +82,7 @@
 
 // getCommand prints one document.
 type getCommand struct {
-	remote
+	operatorOptions
 	Args serviceArg `positional-args:"true"`
 }
 
@@ -101,9 +103,9 @@
 	return c.printJSON(service)
 }
 
-// statusCommand tells where a document is in force.
+// statusCommand prints at which entries a document is in force.
 type statusCommand struct {
-	remote
+	operatorOptions
 	Args serviceArg `positional-args:"true"`
 }
 
@@ -120,9 +122,9 @@
 	return c.printJSON(status)
 }
 
-// historyCommand shows the last changes of a document.
+// historyCommand prints the last changes of a document.
 type historyCommand struct {
-	remote
+	operatorOptions
 	Limit int        `long:"limit" default:"20" description:"number of changes"`
 	Args  serviceArg `positional-args:"true"`
 }
@@ -144,10 +146,10 @@
 	return nil
 }
 
-// explainCommand prints what was decided about a request, or about where a service's
-// models run.
+// explainCommand prints the decisions about a request, or about the placement of a service's
+// models.
 type explainCommand struct {
-	remote
+	operatorOptions
 	Service string `long:"service" description:"explain the placement of a service's models instead of a request"`
 	Args    struct {
 		RequestID string `positional-arg-name:"REQUEST-ID"`
@@ -163,19 +165,19 @@
 	if (c.Service == "") == (c.Args.RequestID == "") {
 		return commandline.Usage("explain takes either REQUEST-ID or --service NAME")
 	}
-	ask := client.Explain
+	explain := client.Explain
 	name := c.Args.RequestID
 	if c.Service != "" {
-		ask, name = client.ExplainService, c.Service
+		explain, name = client.ExplainService, c.Service
 	}
-	explanation, err := ask(context.Background(), name)
+	explanation, err := explain(context.Background(), name)
 	if err != nil {
 		return err
 	}
 	return c.printJSON(explanation)
 }
 
-// readDocument reads a document's file strictly; its error names all faults.
+// readDocument reads a document from a file and parses it strictly; the error lists all faults.
 func readDocument(file string) (*document.Service, error) {
 	return settings.ReadFile(file, document.Parse)
 }
--- a/entry/command/examples_test.go
+++ b/entry/command/examples_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// examples returns the files of one kind; there must be some.
+// examples returns the example files that match a pattern; at least one must match.
 func examples(t *testing.T, pattern string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", "..", "examples", pattern))
@@ -30,7 +30,7 @@
 	}
 }
 
-// The files with which the README runs separate processes.
+// Checks the files that the README uses to run separate processes.
 func TestLocalExamplePassesTheCheck(t *testing.T) {
 	files := append(examples(t, "local/entry.json"), examples(t, "local/assistant.json")...)
 	files = append(files, examples(t, "local/parts.json")...)
@@ -43,8 +43,9 @@
 	}
 }
 
-// A real key in an example would be in the repository for good.
-func TestExampleKeysAreTheOnesThatTheReadmeTells(t *testing.T) {
+// The keys in the examples must be the published ones: a real key would stay in the history of the
+// repository.
+func TestExampleKeysMatchTheReadme(t *testing.T) {
 	for _, file := range examples(t, "*/documents/*.json") {
 		text, err := os.ReadFile(file)
 		require.NoError(t, err)
--- a/entry/command/gateway.go
+++ b/entry/command/gateway.go
@@ -14,7 +14,7 @@
 	"acaciacleat.example/platform/standin"
 )
 
-// gatewayCommand runs an entry on the users' platform.
+// gatewayCommand runs an entry that calls upstreams itself on the users' platform.
 type gatewayCommand struct {
 	*environment `no-flag:"true"`
 	Settings     string `long:"settings" value-name:"FILE" required:"yes" description:"the gateway's settings"`
@@ -34,16 +34,16 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	around := node.Environment{Log: c.stdout, Signals: signals, Reload: reload}
+	env := node.Environment{Log: c.stdout, Signals: signals, Reload: reload}
 	if c.StandIns {
 		standins, err := c.startStandIns()
 		if err != nil {
 			return err
 		}
 		defer standins.Stop()
-		around.Started = c.greet
+		env.Started = c.printUsage
 	}
-	return node.Run(c.Settings, openPlatform, around)
+	return node.Run(c.Settings, openPlatform, env)
 }
 
 func (c *gatewayCommand) startStandIns() (*standin.Deployment, error) {
@@ -54,8 +54,8 @@
 	return standin.Start(s.Store.Address, standInEngines, standInPlains)
 }
 
-// greet tells how to call the gateway.
-func (c *gatewayCommand) greet(n *node.Node) {
+// printUsage prints how to call the gateway.
+func (c *gatewayCommand) printUsage(n *node.Node) {
 	fmt.Fprint(c.stderr, standin.UsageText(n.CallersAddr(), n.MetricsAddr()))
 }
 
--- a/entry/command/load.go
+++ b/entry/command/load.go
@@ -23,7 +23,7 @@
 	"golang.org/x/term"
 )
 
-// loadCommand sends load to entries and reports how they answered.
+// loadCommand sends load to entries and reports their answers.
 type loadCommand struct {
 	*environment
 	Mix         string        `long:"mix" required:"true" description:"JSON file that says which requests are sent"`
@@ -46,7 +46,7 @@
 	Dev devLoadOptions `group:"Deployments of its own"`
 }
 
-// devLoadOptions choose deployments that run in the same process.
+// devLoadOptions configure deployments that run in the same process.
 type devLoadOptions struct {
 	Dev       bool    `long:"dev" description:"run stand-ins, agents and entries in this process instead of calling targets"`
 	Shape     string  `long:"shape" default:"faixa-verde" description:"deployment's size" choice:"faixa-verde" choice:"omuti"`
@@ -61,14 +61,14 @@
 	Speed     float64 `long:"speed" default:"1" description:"how many times faster than usual the engines are; deadlines shrink as much"`
 }
 
-// policies are the names that --policy and --policies take.
+// policies are the valid values of --policy and --policies.
 var policies = []string{"naive", "least-loaded", "power-of-two", "prefix-only", "combined"}
 
 const (
-	// grace is how long after its deadline a request may still end by itself.
-	grace = 5 * time.Second
-	// drain bounds the wait for answers after an interrupt.
-	drain = 10 * time.Second
+	// timeoutGrace is how long after its deadline a request may still end without being cancelled.
+	timeoutGrace = 5 * time.Second
+	// drainTimeout bounds the wait for requests in flight after an interrupt.
+	drainTimeout = 10 * time.Second
 )
 
 // Execute implements flags.Commander.
@@ -79,23 +79,24 @@
 	}
 	plan := c.plan(m)
 	if plan.Warmup >= plan.Duration {
-		return usage("the warm-up of %v must be shorter than the duration of %v", plan.Warmup, plan.Duration)
+		return usageError("the warm-up of %v must be shorter than the duration of %v", plan.Warmup, plan.Duration)
 	}
 	if err := c.checkOutputs(); err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := newInterruptContext()
 	defer stop()
 	reports, err := c.run(ctx, plan)
-	// What was measured before a failure is still told.
-	if outErr := c.output(reports); err == nil {
-		err = outErr
+	// Reports of runs that ended before a failure are still written.
+	if outputErr := c.writeOutputs(reports); err == nil {
+		err = outputErr
 	}
 	return err
 }
 
-// interruptible returns a context that the first interrupt ends; the second one kills.
-func interruptible() (context.Context, context.CancelFunc) {
+// newInterruptContext returns a context that the first interrupt cancels; the second one kills the
+// process.
+func newInterruptContext() (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
 	return ctx, stop
@@ -121,7 +122,7 @@
 		return c.runDeployments(ctx, plan)
 	}
 	if len(c.Targets) == 0 || c.Rate <= 0 {
-		return nil, usage("give --target and --rate, or --dev: the capacity that a load is a share of is known of --dev's engines only")
+		return nil, usageError("give --target and --rate, or --dev: the capacity that a load is a share of is known of --dev's engines only")
 	}
 	plan.Load = 0
 	r, err := trial.Drive(ctx, plan, c.Label, c.Seed, c.Targets)
@@ -143,8 +144,8 @@
 		Client: load.Config{
 			MaxInFlight:    c.MaxInFlight,
 			DefaultTimeout: c.Timeout,
-			Grace:          grace,
-			Drain:          drain,
+			Grace:          timeoutGrace,
+			Drain:          drainTimeout,
 		},
 		Done: func(r *report.Report) {
 			_ = r.Print(c.stdout)
@@ -160,12 +161,13 @@
 	if c.Warmup >= 0 {
 		plan.Warmup = c.Warmup
 	}
-	c.showProgress(&plan)
+	c.configureProgress(&plan)
 	return plan
 }
 
-// showProgress draws a bar for each pass when standard error is a terminal.
-func (c *loadCommand) showProgress(plan *trial.Plan) {
+// configureProgress sets plan to draw a progress bar for each pass if standard error is a terminal,
+// and to print a line for each pass otherwise.
+func (c *loadCommand) configureProgress(plan *trial.Plan) {
 	file, ok := c.stderr.(*os.File)
 	if !ok || !term.IsTerminal(int(file.Fd())) {
 		plan.Begin = func(label string, requests int) { fmt.Fprintf(c.stderr, "%s: %d requests\n", label, requests) }
@@ -214,7 +216,7 @@
 		return d, err
 	}
 	if c.Dev.Speed <= 0 || c.Dev.Runs < 1 {
-		return d, usage("--speed must be above 0 and --runs 1 or more")
+		return d, usageError("--speed must be above 0 and --runs 1 or more")
 	}
 	for i := range c.Dev.Runs {
 		d.Seeds = append(d.Seeds, c.Seed+uint64(i))
@@ -224,42 +226,42 @@
 
 func (o *devLoadOptions) shape() trial.Shape {
 	shape := trial.Shapes[o.Shape]
-	replace(&shape.Engines, o.Engines)
-	replace(&shape.Plains, o.Plains)
-	replace(&shape.Entries, o.Entries)
-	replace(&shape.Objective, document.Objective(o.Objective))
+	override(&shape.Engines, o.Engines)
+	override(&shape.Plains, o.Plains)
+	override(&shape.Entries, o.Entries)
+	override(&shape.Objective, document.Objective(o.Objective))
 	if o.Zones != "" {
 		shape.Zones = strings.Split(o.Zones, ",")
 	}
 	return shape
 }
 
-// replace puts value in place unless it is zero.
-func replace[T comparable](place *T, value T) {
+// override sets target to value unless value is zero.
+func override[T comparable](target *T, value T) {
 	var zero T
 	if value != zero {
-		*place = value
+		*target = value
 	}
 }
 
-// checkPolicies refuses an unknown name: the dev deployment would take naive for it, and
-// the report would compare naive with itself under a wrong name.
+// checkPolicies rejects unknown names: the dev deployment would use naive instead, and the report
+// would compare naive with itself under a wrong name.
 func checkPolicies(names []string) error {
 	known := strings.Join(policies, ", ")
 	for _, name := range names {
 		if !strings.Contains(", "+known+",", ", "+name+",") {
-			return usage("policy %q is none of %s", name, known)
+			return usageError("policy %q is none of %s", name, known)
 		}
 	}
 	return nil
 }
 
-func usage(format string, args ...any) error {
+func usageError(format string, args ...any) error {
 	return &flags.Error{Type: flags.ErrInvalidChoice, Message: fmt.Sprintf(format, args...)}
 }
 
-// output writes what is asked for of all reports.
-func (c *loadCommand) output(reports []*report.Report) error {
+// writeOutputs writes the summaries of the reports and the requested files.
+func (c *loadCommand) writeOutputs(reports []*report.Report) error {
 	if len(reports) == 0 {
 		return nil
 	}
@@ -280,18 +282,18 @@
 	return c.plot(reports)
 }
 
-// plot draws the reports together with those of other runs, whose labels get the name of
-// their file: the same policy before and after a change stays apart.
+// plot draws the reports together with those of other runs. The labels of the latter contain the
+// name of their file, to distinguish runs of the same policy before and after a change.
 func (c *loadCommand) plot(reports []*report.Report) error {
-	others, err := c.others()
+	compared, err := c.readComparedReports()
 	if err != nil {
 		return err
 	}
-	return report.Plot(c.Plot, append(reports, others...))
+	return report.Plot(c.Plot, append(reports, compared...))
 }
 
-func (c *loadCommand) others() ([]*report.Report, error) {
-	var others []*report.Report
+func (c *loadCommand) readComparedReports() ([]*report.Report, error) {
+	var compared []*report.Report
 	for _, path := range c.Against {
 		file, err := report.Read(path)
 		if err != nil {
@@ -300,32 +302,33 @@
 		for _, r := range file.Reports {
 			r.Label = filepath.Base(path) + ": " + r.Label
 		}
-		others = append(others, file.Reports...)
+		compared = append(compared, file.Reports...)
 	}
-	return others, nil
+	return compared, nil
 }
 
-// checkOutputs finds before the run what would lose its reports after it: a file that
-// can't be written, a chart of an unknown kind, reports to draw that can't be read.
+// checkOutputs finds before the run the faults that would lose its reports after it: an output file
+// that cannot be written, a chart of an unknown format, reports to draw that cannot be read.
 func (c *loadCommand) checkOutputs() error {
 	if c.Plot != "" && filepath.Ext(c.Plot) != plotSuffix {
-		return usage("--plot %s: the name must end with %s", c.Plot, plotSuffix)
+		return usageError("--plot %s: the name must end with %s", c.Plot, plotSuffix)
 	}
 	if len(c.Against) > 0 && c.Plot == "" {
-		return usage("--against needs --plot")
+		return usageError("--against needs --plot")
 	}
 	for _, path := range []string{c.JSON, c.Plot} {
 		if err := checkWritable(path); err != nil {
 			return err
 		}
 	}
-	_, err := c.others()
+	_, err := c.readComparedReports()
 	return err
 }
 
 const plotSuffix = ".png"
 
-// checkWritable leaves what the file holds as it is; an empty path passes.
+// checkWritable checks that a file can be written, without changing its content. It ignores an
+// empty path.
 func checkWritable(path string) error {
 	if path == "" {
 		return nil
--- a/entry/command/load_test.go
+++ b/entry/command/load_test.go
@@ -46,7 +46,7 @@
 	require.FileExists(t, chart)
 }
 
-func TestLoadRefusesWhatItCannotDo(t *testing.T) {
+func TestLoadRejectsInvalidArguments(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "mix.json")
 	require.NoError(t, os.WriteFile(bad, []byte(`{"modell": "x", "classes": []}`), 0o600))
 	cases := []struct {
--- a/entry/command/page_test.go
+++ b/entry/command/page_test.go
@@ -17,10 +17,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// root is the workspace seen from this package.
+// root is the path from this package to the root of the workspace.
 var root = filepath.Join("..", "..")
 
-// rows returns the rows of the table under a heading of the operators' page, as cells.
+// rows returns the first two cells of each row of the table under a heading of the operators' page.
 func rows(t *testing.T, heading string) [][]string {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join(root, "docs", "OPERATORS.md"))
@@ -35,8 +35,8 @@
 	return all
 }
 
-// firsts returns the first cells in order.
-func firsts(rows [][]string) []string {
+// firstCells returns the first cell of each row, sorted.
+func firstCells(rows [][]string) []string {
 	var all []string
 	for _, row := range rows {
 		all = append(all, row[0])
@@ -45,22 +45,22 @@
 	return all
 }
 
-// fields calls yield for each JSON field below a value that has no fields itself.
-func fields(path string, value reflect.Value, yield func(path string, value reflect.Value)) {
+// walkFields calls yield for each JSON field in a value that has no fields itself.
+func walkFields(path string, value reflect.Value, yield func(path string, value reflect.Value)) {
 	switch value.Kind() {
 	case reflect.Struct:
 		for i := range value.NumField() {
 			name, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("json"), ",")
-			fields(strings.TrimPrefix(path+"."+name, "."), value.Field(i), yield)
+			walkFields(strings.TrimPrefix(path+"."+name, "."), value.Field(i), yield)
 		}
 	case reflect.Slice:
-		fields(path+"[]", reflect.Zero(value.Type().Elem()), yield)
+		walkFields(path+"[]", reflect.Zero(value.Type().Elem()), yield)
 	default:
 		yield(path, value)
 	}
 }
 
-// What an operator reads of a setting must be what the process takes.
+// The settings and defaults on the operators' page must be those of the process.
 func TestOperatorsPageHasEverySetting(t *testing.T) {
 	for heading, defaults := range map[string]any{
 		"Settings of an entry":  *settings.Default(),
@@ -69,7 +69,7 @@
 	} {
 		var want [][]string
 		got := rows(t, heading)
-		fields("", reflect.ValueOf(defaults), func(path string, value reflect.Value) {
+		walkFields("", reflect.ValueOf(defaults), func(path string, value reflect.Value) {
 			shown := fmt.Sprint(value)
 			if index := slices.IndexFunc(got, func(row []string) bool { return row[0] == path }); value.IsZero() && index >= 0 {
 				shown = got[index][1]
@@ -83,40 +83,41 @@
 
 func TestOperatorsPageHasEveryFieldOfDocuments(t *testing.T) {
 	var want []string
-	fields("", reflect.ValueOf(document.Service{}), func(path string, _ reflect.Value) { want = append(want, path) })
+	walkFields("", reflect.ValueOf(document.Service{}), func(path string, _ reflect.Value) { want = append(want, path) })
 	slices.Sort(want)
-	require.Equal(t, want, firsts(rows(t, "Fields of a document")))
+	require.Equal(t, want, firstCells(rows(t, "Fields of a document")))
 }
 
 func TestOperatorsPageHasEveryVariable(t *testing.T) {
-	want := found(t, filepath.Join(root, "entry", "operator", "vars.go"), `(?m)^\t\t"([a-z_]+)":\s+func\(\) any`)
-	require.Equal(t, want, firsts(rows(t, "Variables")))
+	want := findMatches(t, filepath.Join(root, "entry", "operator", "vars.go"), `(?m)^\t\t"([a-z_]+)":\s+func\(\) any`)
+	require.Equal(t, want, firstCells(rows(t, "Variables")))
 }
 
 func TestOperatorsPageHasEveryVariableOfAgents(t *testing.T) {
-	want := found(t, filepath.Join(root, "agent", "metrics", "metrics.go"), `(?m)^\t\t"([a-z_]+)":\s+func\(\) any`)
+	want := findMatches(t, filepath.Join(root, "agent", "metrics", "metrics.go"), `(?m)^\t\t"([a-z_]+)":\s+func\(\) any`)
 	require.NotEmpty(t, want)
-	require.Equal(t, want, firsts(rows(t, "Variables of an agent")))
+	require.Equal(t, want, firstCells(rows(t, "Variables of an agent")))
 }
 
-// A line at level warn or error calls somebody; it must tell them what to do.
+// Log lines at level warn or error alert an operator, so the operators' page must list each of them
+// with the action to take.
 func TestOperatorsPageHasEveryWarning(t *testing.T) {
 	var want []string
 	for _, module := range []string{"agent", "entry", "peers"} {
 		err := filepath.WalkDir(filepath.Join(root, module), func(path string, _ fs.DirEntry, err error) error {
 			if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
-				want = append(want, found(t, path, `(?:Warn|Error)\(\)\.[^{};]*?Msgf?\("([^"]+)"`)...)
+				want = append(want, findMatches(t, path, `(?:Warn|Error)\(\)\.[^{};]*?Msgf?\("([^"]+)"`)...)
 			}
 			return err
 		})
 		require.NoError(t, err)
 	}
 	slices.Sort(want)
-	require.Equal(t, slices.Compact(want), firsts(rows(t, "Log lines")))
+	require.Equal(t, slices.Compact(want), firstCells(rows(t, "Log lines")))
 }
 
-// found returns what the pattern's group matches in a file, in order.
-func found(t *testing.T, path, pattern string) []string {
+// findMatches returns the matches of the pattern's group in a file, sorted.
+func findMatches(t *testing.T, path, pattern string) []string {
 	t.Helper()
 	source, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -128,12 +129,12 @@
 	return all
 }
 
-// A page that says what a test proves must name one that is there.
+// Tests that pages refer to must exist.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	tests := make(map[string]bool)
 	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
 		if err == nil && strings.HasSuffix(path, "_test.go") {
-			for _, name := range found(t, path, `(?m)^func ((?:Test|Benchmark|Fuzz)\w+)\(`) {
+			for _, name := range findMatches(t, path, `(?m)^func ((?:Test|Benchmark|Fuzz)\w+)\(`) {
 				tests[name] = true
 			}
 		}
@@ -143,7 +144,7 @@
 	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
 	require.NoError(t, err)
 	for _, page := range pages {
-		for _, name := range found(t, page, "`((?:Test|Benchmark|Fuzz)[A-Z]\\w+)`") {
+		for _, name := range findMatches(t, page, "`((?:Test|Benchmark|Fuzz)[A-Z]\\w+)`") {
 			require.True(t, tests[name], "%s names %s", page, name)
 		}
 	}
--- a/entry/command/put.go
+++ b/entry/command/put.go
@@ -11,36 +11,36 @@
 	"github.com/pkg/errors"
 )
 
-// comparison is a document in a file beside the one that stands.
+// comparison compares a document in a file with the stored one.
 type comparison struct {
-	client *operator.Client
-	wanted *document.Service
-	// tag is the ETag of the document that stands; empty when there is none.
+	client  *operator.Client
+	desired *document.Service
+	// tag is the ETag of the stored document; empty if there is none.
 	tag  string
 	diff []document.Change
 }
 
-// compare reads a file and the document that stands, and prints the differences.
-func (r *remote) compare(file string) (*comparison, error) {
-	wanted, err := readDocument(file)
+// compare reads a document from a file and the stored one, and prints the differences.
+func (o *operatorOptions) compare(file string) (*comparison, error) {
+	desired, err := readDocument(file)
 	if err != nil {
 		return nil, err
 	}
-	client, err := r.client()
+	client, err := o.client()
 	if err != nil {
 		return nil, err
 	}
-	stands, tag, err := client.Get(context.Background(), wanted.Name)
+	stored, tag, err := client.Get(context.Background(), desired.Name)
 	if err != nil {
 		return nil, err
 	}
-	c := &comparison{client: client, wanted: wanted, tag: tag, diff: document.Diff(stands, wanted)}
+	c := &comparison{client: client, desired: desired, tag: tag, diff: document.Diff(stored, desired)}
 	if len(c.diff) == 0 {
-		fmt.Fprintf(r.stdout, "%s: no differences\n", wanted.Name)
+		fmt.Fprintf(o.stdout, "%s: no differences\n", desired.Name)
 		return c, nil
 	}
-	fmt.Fprintf(r.stdout, "%s: changes to the document that stands, ETag %s\n", wanted.Name, orNone(tag))
-	printDiff(r.stdout, c.diff)
+	fmt.Fprintf(o.stdout, "%s: changes to the document that stands, ETag %s\n", desired.Name, orNone(tag))
+	printDiff(o.stdout, c.diff)
 	return c, nil
 }
 
@@ -51,9 +51,9 @@
 	return tag
 }
 
-// diffCommand shows what put would change.
+// diffCommand prints the changes that put would make.
 type diffCommand struct {
-	remote
+	operatorOptions
 	Args fileArg `positional-args:"true"`
 }
 
@@ -65,7 +65,7 @@
 
 // putCommand stores a document.
 type putCommand struct {
-	remote
+	operatorOptions
 	IfMatch string  `long:"if-match" value-name:"ETAG" description:"ETag of the document that the file is based on; default: of the one that stands now"`
 	Args    fileArg `positional-args:"true"`
 }
@@ -80,19 +80,18 @@
 	if c.IfMatch != "" {
 		base = quoted(c.IfMatch)
 	}
-	answer, err := compared.client.Put(context.Background(), compared.wanted, base)
+	answer, err := compared.client.Put(context.Background(), compared.desired, base)
 	if err != nil {
 		return c.explainFailure(err)
 	}
-	fmt.Fprintf(c.stdout, "%s: %s, revision %d, ETag %s\n", compared.wanted.Name, answer.Outcome, answer.Revision, answer.ETag)
+	fmt.Fprintf(c.stdout, "%s: %s, revision %d, ETag %s\n", compared.desired.Name, answer.Outcome, answer.Revision, answer.ETag)
 	for _, missing := range answer.Missing {
 		fmt.Fprintf(c.stdout, "  %s\n", missing)
 	}
 	return nil
 }
 
-// quoted returns an ETag with its quotes, which the shell or the flags' parser may have
-// taken away.
+// quoted returns an ETag with its quotes, which the shell or the flag parser may have removed.
 func quoted(tag string) string {
 	if tag == operator.AnyTag || strings.HasPrefix(tag, `"`) {
 		return tag
@@ -100,7 +99,7 @@
 	return strconv.Quote(tag)
 }
 
-// explainFailure prints the faults or the differences that a refusal carries.
+// explainFailure prints the faults or the differences in a refusal. It returns err.
 func (c *putCommand) explainFailure(err error) error {
 	var problem *operator.Problem
 	if !errors.As(err, &problem) {
--- a/entry/command/quarantine.go
+++ b/entry/command/quarantine.go
@@ -19,32 +19,32 @@
 func addQuarantine(root commandline.Group, env *environment) {
 	group := commandline.MustAdd(root, "quarantine", "Work with requests that are held back",
 		"Shows and releases the requests that gateways hold back because upstreams crash under them.", &struct{}{})
-	r := stored{environment: env}
+	options := storeOptions{environment: env}
 	commandline.MustAdd(group, "list", "List the requests", "Lists the requests that upstreams have crashed under, and which are held back.",
-		&quarantineListCommand{stored: r})
+		&quarantineListCommand{storeOptions: options})
 	commandline.MustAdd(group, "release", "Release a request",
 		"Ends what is held against a request. Gateways take it up within 30 s; crashes after that count anew.",
-		&quarantineReleaseCommand{stored: r})
+		&quarantineReleaseCommand{storeOptions: options})
 }
 
-// storeTimeout bounds a call of the store by a command.
+// storeTimeout is the timeout of a command's call of the store.
 const storeTimeout = 5 * time.Second
 
-// stored holds the flags of commands that use the platform's store.
-type stored struct {
+// storeOptions holds the flags of commands that use the platform's store.
+type storeOptions struct {
 	*environment `no-flag:"true"`
 	Store        string `long:"store" value-name:"IP:PORT" required:"yes" description:"the platform's store"`
 }
 
-func (s *stored) open() (table.Feed, error) {
-	if at, err := netip.ParseAddrPort(s.Store); err != nil || at.Port() == 0 {
-		return nil, errors.Errorf("--store: %q is not an IP address and a port, such as 10.200.1.7:8223", s.Store)
+func (o *storeOptions) open() (table.Feed, error) {
+	if addr, err := netip.ParseAddrPort(o.Store); err != nil || addr.Port() == 0 {
+		return nil, errors.Errorf("--store: %q is not an IP address and a port, such as 10.200.1.7:8223", o.Store)
 	}
-	return openPlatform(settings.Store{Address: s.Store, TimeoutMs: int(storeTimeout.Milliseconds())}).Store, nil
+	return openPlatform(settings.Store{Address: o.Store, TimeoutMs: int(storeTimeout.Milliseconds())}).Store, nil
 }
 
-// quarantineListCommand lists the rows of the quarantine.
-type quarantineListCommand struct{ stored }
+// quarantineListCommand prints the rows of the quarantine.
+type quarantineListCommand struct{ storeOptions }
 
 // Execute implements flags.Commander.
 func (c *quarantineListCommand) Execute([]string) error {
@@ -81,7 +81,7 @@
 
 // quarantineReleaseCommand releases a request.
 type quarantineReleaseCommand struct {
-	stored
+	storeOptions
 	Args struct {
 		Fingerprint string `positional-arg-name:"FINGERPRINT" required:"yes" description:"as the list and the logs show it"`
 	} `positional-args:"true"`
--- a/entry/command/quarantine_test.go
+++ b/entry/command/quarantine_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// run runs a command line and returns what it writes.
+// run runs a command and returns its exit code and output.
 func run(args ...string) (code int, out, errs string) {
 	var stdout, stderr bytes.Buffer
 	code = Main(args, &stdout, &stderr)
@@ -48,7 +48,7 @@
 	require.Contains(t, out, "released 20")
 }
 
-func TestQuarantineNamesWhatIsWrong(t *testing.T) {
+func TestQuarantineReportsInvalidArguments(t *testing.T) {
 	standins, err := standin.Start("127.0.0.1:0", 0, 0)
 	require.NoError(t, err)
 	t.Cleanup(standins.Stop)
--- a/entry/command/serve.go
+++ b/entry/command/serve.go
@@ -21,5 +21,5 @@
 	}
 	signals, release := commandline.Signals()
 	defer release()
-	return serve.Run(s, serve.Surroundings{Log: c.stderr, Signals: signals})
+	return serve.Run(s, serve.Environment{Log: c.stderr, Signals: signals})
 }
--- a/entry/command/serve_test.go
+++ b/entry/command/serve_test.go
@@ -38,7 +38,7 @@
 	testLinkKey = "a key for this test alone, 32 bytes or more"
 )
 
-// fleet is a set of processes that run from settings files, and what stops them.
+// fleet is a set of processes that run from settings files, with the channels to stop them.
 type fleet struct {
 	t        *testing.T
 	dir      string
@@ -71,8 +71,8 @@
 	return fmt.Sprintf(`{"table":"%s/table","objects":"%s/objects","vms":"%s/vms","weights":"%s/weights"}`, base, base, base, base)
 }
 
-// process starts run with a way to stop it, and waits until it says that it started.
-func (f *fleet) process(run func(signals <-chan os.Signal) error, started <-chan struct{}) {
+// startProcess starts run with a channel of signals to stop it, and waits until it has started.
+func (f *fleet) startProcess(run func(signals <-chan os.Signal) error, started <-chan struct{}) {
 	signals, ended := make(chan os.Signal, 2), make(chan error, 1)
 	f.signals = append(f.signals, signals)
 	f.ended = append(f.ended, ended)
@@ -90,7 +90,7 @@
 	require.NoError(f.t, err)
 	started := make(chan struct{})
 	var addr string
-	f.process(func(signals <-chan os.Signal) error {
+	f.startProcess(func(signals <-chan os.Signal) error {
 		return agentserve.Run(s, agentserve.Environment{Log: io.Discard, Signals: signals, Started: func(a *agentprocess.Agent) {
 			addr = a.Addr()
 			close(started)
@@ -100,25 +100,25 @@
 }
 
 func (f *fleet) entry(id string) {
-	f.entryFrom(id, fmt.Sprintf(entryText, id, f.platform()))
+	f.entryWithSettings(id, fmt.Sprintf(entryText, id, f.platform()))
 }
 
-func (f *fleet) entryFrom(id, text string) {
+func (f *fleet) entryWithSettings(id, text string) {
 	s, err := shared.ReadFile(f.write(id+".json", text), settings.Parse)
 	require.NoError(f.t, err)
 	started := make(chan struct{})
-	f.process(func(signals <-chan os.Signal) error {
-		return serve.Run(s, serve.Surroundings{Log: io.Discard, Signals: signals, Started: func(e *process.Entry) {
+	f.startProcess(func(signals <-chan os.Signal) error {
+		return serve.Run(s, serve.Environment{Log: io.Discard, Signals: signals, Started: func(e *process.Entry) {
 			f.entries = append(f.entries, e)
 			close(started)
 		}})
 	}, started)
-	// An entry listens before it has read the documents, and refuses until then.
+	// An entry listens before it has read the documents, and refuses requests until then.
 	eventually(f.t, f.entries[len(f.entries)-1].Ready)
 }
 
-// tellPlatform puts the list of VMs as an operator of the stand-ins does.
-func (f *fleet) tellPlatform() {
+// publishVMs puts the list of VMs into the stand-in of the platform, as its operator would.
+func (f *fleet) publishVMs() {
 	list, err := json.Marshal(f.vms)
 	require.NoError(f.t, err)
 	request, err := http.NewRequest(http.MethodPut, f.standIns.PlatformURL+platform.PathVMs, bytes.NewReader(list))
@@ -143,7 +143,7 @@
 	f.ended = nil
 }
 
-// stopAll ends at once what still runs.
+// stopAll stops all processes that still run, without a graceful shutdown.
 func (f *fleet) stopAll() {
 	if f.ended != nil {
 		f.signal()
@@ -152,8 +152,8 @@
 	}
 }
 
-// operate runs one of the commands against the first entry.
-func (f *fleet) operate(args ...string) (code int, stdout, stderr string) {
+// runOperatorCommand runs a command against the first entry.
+func (f *fleet) runOperatorCommand(args ...string) (code int, stdout, stderr string) {
 	var out, errOut bytes.Buffer
 	args = append(args, "--operator", "http://"+f.entries[0].OperatorAddr())
 	code = Main(args, &out, &errOut)
@@ -172,7 +172,7 @@
 	return answer, string(data)
 }
 
-// readyz returns the status of the first entry's /readyz; 0 when it doesn't answer.
+// readyz returns the status of the first entry's /readyz, or 0 if it does not answer.
 func (f *fleet) readyz() int {
 	answer, err := http.Get("http://" + f.entries[0].OperatorAddr() + "/readyz")
 	if err != nil {
@@ -182,8 +182,8 @@
 	return answer.StatusCode
 }
 
-// eventually waits for what other goroutines bring about; the bound only ends a test that
-// has failed.
+// eventually waits for a condition that other goroutines fulfil; the timeout is generous and only
+// ends a failed test.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, time.Minute, 5*time.Millisecond)
@@ -204,9 +204,9 @@
 	f.agent("plain-1", "plain", dev.PlainService, "", upstream.URL)
 	f.entry("entry-1")
 	f.entry("entry-2")
-	f.tellPlatform()
+	f.publishVMs()
 	for _, file := range []string{modelDocument(f), plainDocument(f, "POST")} {
-		code, out, errOut := f.operate("document", "put", file)
+		code, out, errOut := f.runOperatorCommand("document", "put", file)
 		require.Zero(t, code, errOut)
 		require.Contains(t, out, "accepted")
 	}
@@ -220,7 +220,7 @@
 			return strings.HasSuffix(data, "data: [DONE]\n\n")
 		})
 	}
-	// A call is in flight when all processes are told to stop.
+	// A request is in flight when all processes are signalled to stop.
 	type reply struct {
 		status int
 		body   string
@@ -250,7 +250,7 @@
 	certFile := f.write("cert.pem", string(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: pair.Certificate[0]})))
 	keyFile := f.write("key.pem", string(pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: key})))
 	text := fmt.Sprintf(entryText, "entry-1", f.platform())
-	f.entryFrom("entry-1", strings.ReplaceAll(text, `{"listen":"127.0.0.1:0"}`, fmt.Sprintf(tlsText, certFile, keyFile)))
+	f.entryWithSettings("entry-1", strings.ReplaceAll(text, `{"listen":"127.0.0.1:0"}`, fmt.Sprintf(tlsText, certFile, keyFile)))
 
 	var out, errOut bytes.Buffer
 	list := []string{"document", "list", "--operator", "https://" + f.entries[0].OperatorAddr()}
@@ -263,19 +263,18 @@
 	require.NotEmpty(t, answer.Header.Get("X-Request-Id"))
 }
 
-// Symptom: requests fail during a planned stop although other entries are there.
-// Sequence: SIGTERM comes; until the balancer next asks for /readyz it sends requests here;
-// meanwhile an operator changes a document.
-// Cause: the entry refused them at once, or the new revision made it ready again.
-func TestDrainTakesRequestsUntilTheBalancerHasLooked(t *testing.T) {
+// Requests must not fail during a graceful shutdown although other entries are available: the load
+// balancer sends requests until it next polls /readyz, so a draining entry accepts them, and a
+// revision that comes into force meanwhile does not make it ready again.
+func TestDrainAcceptsRequestsUntilTheBalancerNotices(t *testing.T) {
 	f := newFleet(t)
 	text := fmt.Sprintf(entryText, "entry-1", f.platform())
-	f.entryFrom("entry-1", strings.Replace(text, `"readyOffMs":0`, `"readyOffMs":600000`, 1))
-	f.operate("document", "put", plainDocument(f, "POST"))
+	f.entryWithSettings("entry-1", strings.Replace(text, `"readyOffMs":0`, `"readyOffMs":600000`, 1))
+	f.runOperatorCommand("document", "put", plainDocument(f, "POST"))
 	require.Equal(t, http.StatusOK, f.readyz())
 	f.signal()
 	eventually(t, func() bool { return f.readyz() == http.StatusServiceUnavailable })
-	code, _, _ := f.operate("document", "put", plainDocument(f, "PUT"))
+	code, _, _ := f.runOperatorCommand("document", "put", plainDocument(f, "PUT"))
 	require.Zero(t, code)
 	require.Equal(t, http.StatusServiceUnavailable, f.readyz())
 	_, body := f.send(0, "/v1/services/parts/jobs", "{}")
--- a/entry/command/soak.go
+++ b/entry/command/soak.go
@@ -22,13 +22,13 @@
 		&soakReplayCommand{soakCommand: soakCommand{environment: env}})
 }
 
-// soakCommand is what both commands share.
+// soakCommand holds the flag that both commands share.
 type soakCommand struct {
 	*environment `no-flag:"true"`
 	Out          string `long:"out" value-name:"FOLDER" description:"where plan, logs and report are kept; without it, those of a run without violations are removed"`
 }
 
-// soakRunCommand plays plans drawn from seeds.
+// soakRunCommand runs plans generated from seeds.
 type soakRunCommand struct {
 	soakCommand
 	Seed    uint64        `long:"seed" value-name:"N" default:"1" description:"what the plan is drawn from"`
@@ -42,22 +42,22 @@
 	if c.Entries < 1 || c.Runs < 1 {
 		return errors.New("--entries and --runs must be 1 or more")
 	}
-	broken := 0
+	violations := 0
 	for i := range c.Runs {
 		plan, err := soak.NewPlan(c.Seed+uint64(i), c.For, c.Entries)
 		if err != nil {
 			return errors.Wrap(err, "--for")
 		}
-		n, err := c.play(plan)
+		n, err := c.runPlan(plan)
 		if err != nil {
 			return err
 		}
-		broken += n
+		violations += n
 	}
-	return verdict(broken)
+	return violationsError(violations)
 }
 
-// soakReplayCommand plays a kept plan.
+// soakReplayCommand runs a saved plan.
 type soakReplayCommand struct {
 	soakCommand
 	Args struct {
@@ -71,22 +71,22 @@
 	if err != nil {
 		return err
 	}
-	broken, err := c.play(plan)
+	violations, err := c.runPlan(plan)
 	if err != nil {
 		return err
 	}
-	return verdict(broken)
+	return violationsError(violations)
 }
 
-func verdict(broken int) error {
-	if broken > 0 {
-		return errors.Errorf("%d promises broken", broken)
+func violationsError(violations int) error {
+	if violations > 0 {
+		return errors.Errorf("%d promises broken", violations)
 	}
 	return nil
 }
 
-// play plays one plan and returns the number of violations.
-func (c *soakCommand) play(plan *soak.Plan) (int, error) {
+// runPlan runs one plan and returns the number of violations.
+func (c *soakCommand) runPlan(plan *soak.Plan) (int, error) {
 	signals, release := commandline.Signals()
 	defer release()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -100,7 +100,7 @@
 	}()
 	program, err := os.Executable()
 	if err != nil {
-		return 0, errors.Wrap(err, "find this program")
+		return 0, errors.Wrap(err, "locate the executable")
 	}
 	dir, err := os.MkdirTemp(c.Out, "soak-")
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	report.Write(c.stdout)
 	if len(report.Violations) > 0 {
-		return len(report.Violations), c.keep(dir)
+		return len(report.Violations), c.reportKeptFolder(dir)
 	}
 	if c.Out == "" {
 		return 0, errors.Wrap(os.RemoveAll(dir), "remove the run's folder")
@@ -123,8 +123,8 @@
 	return 0, nil
 }
 
-// keep says where what a run wrote is kept.
-func (c *soakCommand) keep(dir string) error {
+// reportKeptFolder prints the folder with the plan, logs and report of a run.
+func (c *soakCommand) reportKeptFolder(dir string) error {
 	_, err := c.stdout.Write([]byte("kept in " + dir + "\n"))
 	return errors.Wrap(err, "write the report")
 }
--- a/entry/serve/serve.go
+++ b/entry/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve runs an entry as a process of its own, from its settings.
+// Package serve runs an entry in a process of its own from its settings.
 package serve
 
 import (
@@ -21,19 +21,19 @@
 	"github.com/rs/zerolog"
 )
 
-// Surroundings is what a process is given besides its settings.
-type Surroundings struct {
-	// Log takes the log's lines.
+// Environment holds the inputs of a process besides its settings.
+type Environment struct {
+	// Log receives the log lines.
 	Log io.Writer
 	// Signals stop the process: the first gracefully, the second at once.
 	Signals <-chan os.Signal
-	// Started, if not nil, is told once the entry listens.
+	// Started, if not nil, is called when the entry listens.
 	Started func(*process.Entry)
 }
 
-// Run runs an entry until it is told to stop.
-func Run(s *settings.Settings, around Surroundings) error {
-	log := zerolog.New(around.Log).Level(s.Log.ZerologLevel()).With().Timestamp().Logger()
+// Run runs an entry until a signal stops it.
+func Run(s *settings.Settings, env Environment) error {
+	log := zerolog.New(env.Log).Level(s.Log.ZerologLevel()).With().Timestamp().Logger()
 	files, err := loadFiles(s)
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 		return err
 	}
 	defer tracer.Flush()
-	config := configOf(s, files, log)
+	config := newConfig(s, files, log)
 	config.Tracer = tracer
 	entry, err := process.Start(config)
 	if err != nil {
@@ -54,22 +54,22 @@
 	files.watch(ctx, log)
 	log.Info().Str("vm", s.VM.ID).Str("callers", entry.Addr()).Str("operators", entry.OperatorAddr()).
 		Str("link", entry.LinkAddr()).Msg("entry started")
-	if around.Started != nil {
-		around.Started(entry)
+	if env.Started != nil {
+		env.Started(entry)
 	}
-	commandline.DrainOnSignal(around.Signals, entry, shared.Milliseconds(s.Drain.LimitMs), log)
+	commandline.DrainOnSignal(env.Signals, entry, shared.Milliseconds(s.Drain.LimitMs), log)
 	return nil
 }
 
-// watched holds what comes from files that may change while the entry runs.
-type watched struct {
+// watchedFiles holds the keys and certificates whose files may change while the entry runs.
+type watchedFiles struct {
 	keys        *link.Keys
 	keyFiles    *reload.Files
 	callerTLS   *reload.Certificate
 	operatorTLS *reload.Certificate
 }
 
-func loadFiles(s *settings.Settings) (w watched, err error) {
+func loadFiles(s *settings.Settings) (w watchedFiles, err error) {
 	if w.keys, w.keyFiles, err = s.Link.WatchedKeys(); err != nil {
 		return w, err
 	}
@@ -80,7 +80,7 @@
 	return w, err
 }
 
-// certificate returns nil when no files are set.
+// certificate loads a certificate, or returns nil if no files are set.
 func certificate(files shared.TLS) (*reload.Certificate, error) {
 	if !files.Enabled() {
 		return nil, nil
@@ -88,7 +88,7 @@
 	return reload.NewCertificate(files.CertFile, files.KeyFile)
 }
 
-func (w watched) watch(ctx context.Context, log zerolog.Logger) {
+func (w watchedFiles) watch(ctx context.Context, log zerolog.Logger) {
 	go w.keyFiles.Watch(ctx, "link keys", log)
 	if w.callerTLS != nil {
 		go w.callerTLS.Watch(ctx, "callers' certificate", log)
@@ -98,7 +98,7 @@
 	}
 }
 
-func configOf(s *settings.Settings, files watched, log zerolog.Logger) process.Config {
+func newConfig(s *settings.Settings, files watchedFiles, log zerolog.Logger) process.Config {
 	options := s.Platform.HTTPOptions()
 	store := s.Platform.OpenTable()
 	return process.Config{
