--- a/entry/config/messages.go
+++ b/entry/config/messages.go
@@ -225,7 +225,7 @@
 	timer := time.NewTimer(pollTimeout)
 	defer timer.Stop()
 	m.mu.Lock()
-	m.startRequest = startRequest{nonce: nonce, state: answer, partReceived: func() { timer.Reset(pollTimeout) }}
+	m.startRequest = startRequest{nonce: nonce, answer: answer, partReceived: func() { timer.Reset(pollTimeout) }}
 	m.mu.Unlock()
 	if err := c.Send(&link.ConfigAsk{Nonce: nonce}); err != nil {
 		return nil, err
@@ -245,8 +245,8 @@
 
 // startRequest is the pending request of the start for a full state.
 type startRequest struct {
-	nonce uint64
-	state chan []byte
+	nonce  uint64
+	answer chan []byte
 	// partReceived is called for each part of the answer.
 	partReceived func()
 }
@@ -261,7 +261,7 @@
 	}
 	if m.startRequest.nonce == nonce {
 		m.startRequest.nonce = 0
-		m.startRequest.state <- data
+		m.startRequest.answer <- data
 	}
 	return true
 }
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -124,7 +124,7 @@
 	})
 }
 
-func appliedVersion(k *Keeper) uint64 {
+func version(k *Keeper) uint64 {
 	synctest.Wait()
 	if table := k.Table(); table != nil {
 		return table.Version()
@@ -136,17 +136,17 @@
 // the store or from another entry, and a table that cannot be decoded are not put in force.
 func TestOlderVersionsAreNotApplied(t *testing.T) {
 	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
-		require.Zero(t, appliedVersion(k))
+		require.Zero(t, version(k))
 		s.routes <- answer{version: 5, cursor: 10}
-		require.Equal(t, uint64(5), appliedVersion(k))
+		require.Equal(t, uint64(5), version(k))
 		k.Offer([]byte("4"))
-		require.Equal(t, uint64(5), appliedVersion(k))
+		require.Equal(t, uint64(5), version(k))
 		k.Offer([]byte("7"))
-		require.Equal(t, uint64(7), appliedVersion(k))
+		require.Equal(t, uint64(7), version(k))
 		s.routes <- answer{version: 6, cursor: 11}
-		require.Equal(t, uint64(7), appliedVersion(k))
+		require.Equal(t, uint64(7), version(k))
 		k.Offer([]byte("damaged"))
-		require.Equal(t, uint64(7), appliedVersion(k))
+		require.Equal(t, uint64(7), version(k))
 		require.Equal(t, "7", string(k.Value()))
 	})
 }
@@ -161,7 +161,7 @@
 		s.routes <- answer{version: 2, cursor: 12}
 		s.routes <- answer{err: table.ErrHistoryGone}
 		s.routes <- answer{version: 3, cursor: 20}
-		require.Equal(t, uint64(3), appliedVersion(k))
+		require.Equal(t, uint64(3), version(k))
 		require.Equal(t, []uint64{0, 10, 10, 10, 12, 0}, s.reads()[:6])
 	})
 }
@@ -183,9 +183,9 @@
 	})
 }
 
-// A start or a burst of changes must not cost hundreds of reads of the store, one for each
-// change: here 4 s of continuous changes. The last change is in force well within two seconds, and
-// the first change after a quiet period at once.
+// A start or a burst of changes, such as one every 40 ms for 4 s, must not cost hundreds of reads of
+// the store, one for each change. The last change is in force well within two seconds, and the
+// first change after a quiet period at once.
 func TestBurstOfChangesIsReadInFewCalls(t *testing.T) {
 	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
 		began := time.Now()
@@ -198,7 +198,7 @@
 		time.Sleep(3 * time.Second) // Nothing changes: the burst has ended.
 		changed := time.Now()
 		s.routes <- answer{version: int(last) + 1, cursor: uint64(last) + 1}
-		require.Equal(t, last+1, appliedVersion(k))
+		require.Equal(t, last+1, version(k))
 		require.Less(t, time.Since(changed), maxBatchPause)
 	})
 }
@@ -209,10 +209,10 @@
 	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
 		require.False(t, k.Ready())
 		s.upstreams <- nil
-		require.Zero(t, appliedVersion(k))
+		require.Zero(t, version(k))
 		require.False(t, k.Ready())
 		s.routes <- answer{version: 1, cursor: 1}
-		require.Equal(t, uint64(1), appliedVersion(k))
+		require.Equal(t, uint64(1), version(k))
 		require.True(t, k.Ready())
 	})
 }
--- a/entry/directory/feed_test.go
+++ b/entry/directory/feed_test.go
@@ -52,7 +52,7 @@
 	runWith(t, configure, func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams) {
 		s.upstreams <- nil
 		s.routes <- answer{version: 1, cursor: 10}
-		require.Equal(t, uint64(1), appliedVersion(k))
+		require.Equal(t, uint64(1), version(k))
 		test(t, k, s, u, recorder)
 	})
 }
@@ -70,7 +70,7 @@
 	runInRole(t, follow.Follower, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
 		time.Sleep(minBatchPause)
 		s.routes <- answer{version: 2, cursor: 12}
-		require.Equal(t, uint64(2), appliedVersion(k))
+		require.Equal(t, uint64(2), version(k))
 		var routes []*link.News
 		for _, update := range recorder.all() {
 			if update.Feed == link.FeedRoutes {
@@ -136,7 +136,7 @@
 			k.Heard("a", routesUpdate(position, position+5, n))
 			position += 5
 			k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: uint64(n - 1), To: uint64(n), Changes: make([]dispatch.Change, 1)})
-			require.Equal(t, uint64(n), appliedVersion(k))
+			require.Equal(t, uint64(n), version(k))
 			time.Sleep(follow.FollowerReadWait)
 		}
 		require.Len(t, s.reads(), calls, "the store is not read")
@@ -151,7 +151,7 @@
 		startListening(k, t)
 		silentSince := time.Now()
 		s.routes <- answer{version: 7, cursor: 30}
-		require.Equal(t, uint64(7), appliedVersion(k))
+		require.Equal(t, uint64(7), version(k))
 		require.LessOrEqual(t, time.Since(silentSince), follow.FollowerTimeout)
 		require.Equal(t, uint64(10), s.reads()[len(s.reads())-1], "from its position")
 	})
@@ -172,7 +172,7 @@
 				began := time.Now()
 				event(k)
 				s.routes <- answer{version: 7, cursor: 30}
-				require.Equal(t, uint64(7), appliedVersion(k))
+				require.Equal(t, uint64(7), version(k))
 				require.Zero(t, time.Since(began))
 				require.Equal(t, uint64(10), s.reads()[len(s.reads())-1], "from its position")
 			})
@@ -206,9 +206,9 @@
 		k.routes.mu.Lock()
 		k.routes.apply = apply
 		k.routes.mu.Unlock()
-		require.Equal(t, uint64(1), appliedVersion(k))
+		require.Equal(t, uint64(1), version(k))
 		s.routes <- answer{version: 2, cursor: 12}
-		require.Equal(t, uint64(2), appliedVersion(k))
+		require.Equal(t, uint64(2), version(k))
 		require.Equal(t, []uint64{10, 10}, s.reads()[1:3])
 	})
 }
@@ -219,7 +219,7 @@
 		recorder.role.Store(uint32(follow.Follower))
 		k.Gone("a")
 		s.routes <- answer{version: 3, cursor: 30}
-		require.Equal(t, uint64(3), appliedVersion(k))
+		require.Equal(t, uint64(3), version(k))
 		updates := recorder.all()
 		require.Equal(t, []byte("3"), updates[len(updates)-1].Routes)
 	})
@@ -260,9 +260,9 @@
 		k.Heard("a", omittedRoutes(10, 20, 7))
 		time.Sleep(follow.ContentTimeout - time.Millisecond)
 		require.True(t, k.Offer([]byte("7")))
-		require.Equal(t, uint64(7), appliedVersion(k))
+		require.Equal(t, uint64(7), version(k))
 		k.Heard("a", routesUpdate(20, 30, 8))
-		require.Equal(t, uint64(8), appliedVersion(k))
+		require.Equal(t, uint64(8), version(k))
 		time.Sleep(follow.ContentTimeout)
 		synctest.Wait()
 		require.Len(t, s.reads(), calls)
@@ -287,7 +287,7 @@
 				began := time.Now()
 				then(k, recorder)
 				s.routes <- answer{version: 9, cursor: 30}
-				require.Equal(t, uint64(9), appliedVersion(k))
+				require.Equal(t, uint64(9), version(k))
 				require.LessOrEqual(t, time.Since(began), follow.ContentTimeout)
 				require.Equal(t, uint64(10), s.reads()[len(s.reads())-1], "from before the change")
 			})
@@ -299,11 +299,11 @@
 func TestAppliedTableIsNotDecodedAgain(t *testing.T) {
 	runInRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
 		k.Offer([]byte("5"))
-		require.Equal(t, uint64(5), appliedVersion(k))
+		require.Equal(t, uint64(5), version(k))
 		decoded := s.decoded.Load()
 		k.Offer([]byte("5"))
 		k.Offer([]byte("4"))
-		require.Equal(t, uint64(5), appliedVersion(k))
+		require.Equal(t, uint64(5), version(k))
 		require.Equal(t, decoded, s.decoded.Load())
 	})
 }
