--- a/entry/operator/documents.go
+++ b/entry/operator/documents.go
@@ -31,8 +31,7 @@
 }
 
 const (
-	// putTimeout bounds a put, including the reads that find out whether a write whose answer was
-	// lost has taken effect.
+	// putTimeout bounds a put, including the attempts to resolve a commit whose answer was lost.
 	putTimeout = 10 * time.Second
 	// readTimeout bounds the check for a newer revision before a read is answered.
 	readTimeout = 2 * time.Second
