--- a/entry/config/actions.go
+++ b/entry/config/actions.go
@@ -127,7 +127,7 @@
 	if err != nil || conflict != nil {
 		return revision, conflict, err
 	}
-	m.Written(ctx, revision)
+	m.Distribute(ctx, revision)
 	return revision, nil, nil
 }
 
@@ -141,8 +141,9 @@
 	return nil
 }
 
-// Written distributes a revision that this entry wrote, and saves the state if a save is due.
-func (m *Manager) Written(ctx context.Context, revision document.Revision) {
+// Distribute puts a revision that this entry wrote in force, sends it to the other entries, and saves
+// the state if a save is due.
+func (m *Manager) Distribute(ctx context.Context, revision document.Revision) {
 	before := m.State().Revision()
 	if revision <= before {
 		return
@@ -166,10 +167,10 @@
 	})
 }
 
-// Missing waits until every live entry has the revision in force or ctx ends, and returns the
+// WaitApplied waits until every live entry has the revision in force or ctx ends, and returns the
 // names of the entries that do not have it. For a revision that another entry wrote it first
 // asks all of them.
-func (m *Manager) Missing(ctx context.Context, revision document.Revision) []string {
+func (m *Manager) WaitApplied(ctx context.Context, revision document.Revision) []string {
 	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
 		if m.node.Tracker(revision) != nil || m.node.Revision() < revision {
 			return nil
--- a/entry/config/messages.go
+++ b/entry/config/messages.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// Heard handles the highest revision that a peer has sent along with other traffic.
-func (m *Manager) Heard(from string, highest uint64) {
+// ObserveRevision handles the highest revision that a peer has sent along with other traffic.
+func (m *Manager) ObserveRevision(from string, highest uint64) {
 	state := m.state.Load()
 	if state == nil || document.Revision(highest) <= state.Revision() {
 		return
--- a/entry/dev/config_test.go
+++ b/entry/dev/config_test.go
@@ -41,7 +41,7 @@
 	revision, conflict, err := d.Entries[2].Config.Put(ctx, d.edited("new"), "*")
 	require.NoError(t, err)
 	require.Nil(t, conflict)
-	require.Empty(t, d.Entries[2].Config.Missing(ctx, revision))
+	require.Empty(t, d.Entries[2].Config.WaitApplied(ctx, revision))
 	for _, e := range d.Entries {
 		require.GreaterOrEqual(t, e.Config.State().Revision(), revision)
 		require.NotNil(t, e.Front.Snapshot().Principal(document.HashKey("new")))
@@ -68,7 +68,7 @@
 	ctx := bounded(t)
 	revision, _, err := d.Entries[0].Config.Put(ctx, d.edited("during"), "*")
 	require.NoError(t, err)
-	require.Empty(t, d.Entries[0].Config.Missing(ctx, revision))
+	require.Empty(t, d.Entries[0].Config.WaitApplied(ctx, revision))
 	for _, e := range d.Entries {
 		require.NotNil(t, e.Front.Snapshot().Principal(document.HashKey("during")))
 	}
@@ -123,7 +123,7 @@
 				n++
 				revision, _, err := d.Entries[n%entries].Config.Put(bounded(b), d.edited(fmt.Sprint("new-", n)), "*")
 				require.NoError(b, err)
-				require.Empty(b, d.Entries[n%entries].Config.Missing(bounded(b), revision))
+				require.Empty(b, d.Entries[n%entries].Config.WaitApplied(bounded(b), revision))
 			}
 		})
 	}
--- a/entry/dev/limits_test.go
+++ b/entry/dev/limits_test.go
@@ -33,7 +33,7 @@
 	row.Limits = document.Limits{RequestsPerSecond: limitedRate}
 	revision, _, err := d.Entries[0].Config.Put(bounded(t), service, "*")
 	require.NoError(t, err)
-	require.Empty(t, d.Entries[0].Config.Missing(bounded(t), revision))
+	require.Empty(t, d.Entries[0].Config.WaitApplied(bounded(t), revision))
 	eventually(t, "entries do not share limits", func() bool { return sharing(d.Entries, entries) })
 	return d
 }
--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -16,16 +16,16 @@
 	"github.com/rs/zerolog"
 )
 
-// RoutesNews is the result of reading the routes from a source.
-type RoutesNews struct {
+// RoutesUpdate is the result of reading the routes from a source.
+type RoutesUpdate struct {
 	// Value is the newest encoded table, or nil if nothing changed.
 	Value []byte
 	// Cursor is the position from which the next read continues.
 	Cursor uint64
 }
 
-// UpstreamsNews is the result of reading the upstreams from a source.
-type UpstreamsNews struct {
+// UpstreamsUpdate is the result of reading the upstreams from a source.
+type UpstreamsUpdate struct {
 	// Changes lists every registered upstream if everything was read, otherwise the changes
 	// since the last read.
 	Changes []dispatch.Change
@@ -37,8 +37,8 @@
 // Source reads routes and upstreams. A call with after zero reads everything; any other call
 // waits up to wait for a change.
 type Source interface {
-	Routes(ctx context.Context, after uint64, wait time.Duration) (RoutesNews, error)
-	Upstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamsNews, error)
+	Routes(ctx context.Context, after uint64, wait time.Duration) (RoutesUpdate, error)
+	Upstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamsUpdate, error)
 	// Decode builds a table of routes from its encoding. Version reads only its version.
 	Decode(value []byte) (*routes.Table, error)
 	Version(value []byte) (uint64, error)
@@ -51,23 +51,23 @@
 	Wait time.Duration
 	// Upstreams applies the changes of upstreams.
 	Upstreams Upstreams
-	// Changed, if not nil, is called when a table that other entries may lack is applied.
+	// OnRoutesApplied, if not nil, is called when a table that other entries may lack is applied.
 	// otherZones says that it was read from the source, so that entries of other zones may lack
 	// it too.
-	Changed func(otherZones bool)
-	// Role returns the role of this entry for the feeds, and Tell forwards the updates that it
+	OnRoutesApplied func(otherZones bool)
+	// Role returns the role of this entry for the feeds, and Forward sends the updates that it
 	// reads to other entries. Both are nil for an entry without other entries.
-	Role func() follow.Role
-	Tell func(news *link.News)
-	Log  zerolog.Logger
+	Role    func() follow.Role
+	Forward func(news *link.News)
+	Log     zerolog.Logger
 }
 
 // Upstreams applies the state of upstreams. gateway.Upstreams implements it.
 type Upstreams interface {
 	// Apply applies changes; complete says that they list every upstream.
 	Apply(now time.Time, changes []dispatch.Change, complete bool)
-	// SourceLost records that the source did not answer.
-	SourceLost(now time.Time)
+	// RegistryUnavailable records that the source did not answer.
+	RegistryUnavailable(now time.Time)
 }
 
 // Keeper maintains the table of routes and the upstreams of one entry. Table may be called from
@@ -111,8 +111,8 @@
 	if config.Role == nil {
 		config.Role = func() follow.Role { return follow.Standalone }
 	}
-	if config.Tell == nil {
-		config.Tell = func(*link.News) {}
+	if config.Forward == nil {
+		config.Forward = func(*link.News) {}
 	}
 	k := &Keeper{config: config, offers: make(chan offer, 8)}
 	k.routes = k.newFeed(link.FeedRoutes, k.readRoutes, k.applyRoutes)
@@ -194,13 +194,13 @@
 		Int("routes", next.Len()).Int("bytes", len(o.value)).Int64("took_ms", time.Since(o.receivedAt).Milliseconds()).
 		Msg("routes in force")
 	k.routes.wake() // The feed may wait for this table.
-	if k.config.Changed != nil && o.from != fromEntry {
-		k.config.Changed(o.from == fromStore)
+	if k.config.OnRoutesApplied != nil && o.from != fromEntry {
+		k.config.OnRoutesApplied(o.from == fromStore)
 	}
 }
 
-// Heard handles a feed update that another entry has forwarded.
-func (k *Keeper) Heard(from string, update *link.News) {
+// HandleUpdate handles a feed update that another entry has forwarded.
+func (k *Keeper) HandleUpdate(from string, update *link.News) {
 	switch update.Feed {
 	case link.FeedRoutes:
 		k.routes.handleUpdate(time.Now(), from, update)
@@ -211,8 +211,8 @@
 	}
 }
 
-// Gone records that the link to another entry has ended.
-func (k *Keeper) Gone(entry string) {
+// DropFollower records that the link to another entry has ended.
+func (k *Keeper) DropFollower(entry string) {
 	k.routes.dropFollower(entry)
 	k.upstreams.dropFollower(entry)
 }
@@ -267,7 +267,7 @@
 	if err == nil {
 		k.logFaults(time.Now(), got.Faults)
 	} else if ctx.Err() == nil && !errors.Is(err, table.ErrHistoryGone) {
-		k.config.Upstreams.SourceLost(time.Now())
+		k.config.Upstreams.RegistryUnavailable(time.Now())
 	}
 	return &link.News{To: got.Cursor, Changes: got.Changes}, err
 }
@@ -276,7 +276,7 @@
 	if from == fromEntry && update.Returned {
 		// Registrations lapse while the store is unavailable, so a listener must distrust the
 		// removals that follow an outage too, not only the entry that observed it.
-		k.config.Upstreams.SourceLost(now)
+		k.config.Upstreams.RegistryUnavailable(now)
 	}
 	k.config.Upstreams.Apply(now, update.Changes, from == fromStore && update.From == 0)
 	k.upstreamsRead.Store(true)
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -49,31 +49,31 @@
 	return &scriptedSource{routes: make(chan answer), upstreams: make(chan error)}
 }
 
-func (s *scriptedSource) Routes(ctx context.Context, after uint64, wait time.Duration) (RoutesNews, error) {
+func (s *scriptedSource) Routes(ctx context.Context, after uint64, wait time.Duration) (RoutesUpdate, error) {
 	s.mu.Lock()
 	s.readFrom = append(s.readFrom, after)
 	s.mu.Unlock()
 	select {
 	case a := <-s.routes:
 		if a.err != nil {
-			return RoutesNews{}, a.err
+			return RoutesUpdate{}, a.err
 		}
-		return RoutesNews{Value: []byte(strconv.Itoa(a.version)), Cursor: a.cursor}, nil
+		return RoutesUpdate{Value: []byte(strconv.Itoa(a.version)), Cursor: a.cursor}, nil
 	case <-time.After(wait):
-		return RoutesNews{Cursor: after}, nil
+		return RoutesUpdate{Cursor: after}, nil
 	case <-ctx.Done():
-		return RoutesNews{}, ctx.Err()
+		return RoutesUpdate{}, ctx.Err()
 	}
 }
 
-func (s *scriptedSource) Upstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamsNews, error) {
+func (s *scriptedSource) Upstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamsUpdate, error) {
 	select {
 	case err := <-s.upstreams:
-		return UpstreamsNews{Cursor: after + 1}, err
+		return UpstreamsUpdate{Cursor: after + 1}, err
 	case <-time.After(wait):
-		return UpstreamsNews{Cursor: after}, nil
+		return UpstreamsUpdate{Cursor: after}, nil
 	case <-ctx.Done():
-		return UpstreamsNews{}, ctx.Err()
+		return UpstreamsUpdate{}, ctx.Err()
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 func (u *recordedUpstreams) Apply(time.Time, []dispatch.Change, bool) { u.applied++ }
-func (u *recordedUpstreams) SourceLost(time.Time)                     { u.unavailable++ }
+func (u *recordedUpstreams) RegistryUnavailable(time.Time)            { u.unavailable++ }
 
 // run starts a Keeper in a synctest bubble, whose time is virtual.
 func run(t *testing.T, test func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams)) {
--- a/entry/directory/feed.go
+++ b/entry/directory/feed.go
@@ -173,7 +173,7 @@
 	}
 	f.mu.Unlock()
 	if role == follow.Follower {
-		f.config.Tell(f.outgoing(update))
+		f.config.Forward(f.outgoing(update))
 	}
 	return update.To != update.From, nil
 }
@@ -202,7 +202,7 @@
 	f.log.Warn().Err(err).Msg("store lost; going on with what is known")
 	f.failingSince = time.Now()
 	if role == follow.Follower {
-		f.config.Tell(&link.News{Feed: f.name, Lost: true})
+		f.config.Forward(&link.News{Feed: f.name, Lost: true})
 	}
 }
 
--- a/entry/directory/feed_test.go
+++ b/entry/directory/feed_test.go
@@ -47,7 +47,7 @@
 	recorder.role.Store(uint32(role))
 	configure := func(c *Config) {
 		c.Role = func() follow.Role { return follow.Role(recorder.role.Load()) }
-		c.Tell = recorder.add
+		c.Forward = recorder.add
 	}
 	runWith(t, configure, func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams) {
 		s.upstreams <- nil
@@ -120,10 +120,10 @@
 // startListening makes a Keeper listen: a follower sends updates of both feeds.
 func startListening(k *Keeper, t *testing.T) {
 	t.Helper()
-	k.Heard("a", routesUpdate(10, 10, 0))
-	k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 1})
+	k.HandleUpdate("a", routesUpdate(10, 10, 0))
+	k.HandleUpdate("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 1})
 	time.Sleep(time.Second) // A read that was in progress has ended.
-	k.Heard("a", routesUpdate(10, 10, 0))
+	k.HandleUpdate("a", routesUpdate(10, 10, 0))
 	synctest.Wait()
 }
 
@@ -133,9 +133,9 @@
 		calls := len(s.reads())
 		position := uint64(10)
 		for n := 2; n < 12; n++ {
-			k.Heard("a", routesUpdate(position, position+5, n))
+			k.HandleUpdate("a", routesUpdate(position, position+5, n))
 			position += 5
-			k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: uint64(n - 1), To: uint64(n), Changes: make([]dispatch.Change, 1)})
+			k.HandleUpdate("a", &link.News{Feed: link.FeedUpstreams, From: uint64(n - 1), To: uint64(n), Changes: make([]dispatch.Change, 1)})
 			require.Equal(t, uint64(n), version(k))
 			time.Sleep(follow.FollowerReadWait)
 		}
@@ -161,10 +161,12 @@
 // link ends, an update was missed or its content is too large to be forwarded: it reads at once.
 func TestListenerReadsAtOnceWhenUpdatesAreMissing(t *testing.T) {
 	for name, event := range map[string]func(k *Keeper){
-		"the follower's read fails": func(k *Keeper) { k.Heard("a", &link.News{Feed: link.FeedRoutes, Lost: true}) },
-		"its link ends":             func(k *Keeper) { k.Gone("a") },
-		"the routes are too large":  func(k *Keeper) { k.Heard("a", &link.News{Feed: link.FeedRoutes, From: 10, To: 20, Omitted: true}) },
-		"an update was missed":      func(k *Keeper) { k.Heard("a", routesUpdate(15, 20, 0)) },
+		"the follower's read fails": func(k *Keeper) { k.HandleUpdate("a", &link.News{Feed: link.FeedRoutes, Lost: true}) },
+		"its link ends":             func(k *Keeper) { k.DropFollower("a") },
+		"the routes are too large": func(k *Keeper) {
+			k.HandleUpdate("a", &link.News{Feed: link.FeedRoutes, From: 10, To: 20, Omitted: true})
+		},
+		"an update was missed": func(k *Keeper) { k.HandleUpdate("a", routesUpdate(15, 20, 0)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
@@ -187,7 +189,7 @@
 	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, _ *scriptedSource, u *recordedUpstreams, _ *forwardRecorder) {
 		startListening(k, t)
 		before := u.unavailable
-		k.Heard("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 9, Returned: true, Changes: make([]dispatch.Change, 1)})
+		k.HandleUpdate("a", &link.News{Feed: link.FeedUpstreams, From: 1, To: 9, Returned: true, Changes: make([]dispatch.Change, 1)})
 		require.Equal(t, before+1, u.unavailable)
 	})
 }
@@ -217,7 +219,7 @@
 	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
 		startListening(k, t)
 		recorder.role.Store(uint32(follow.Follower))
-		k.Gone("a")
+		k.DropFollower("a")
 		s.routes <- answer{version: 3, cursor: 30}
 		require.Equal(t, uint64(3), version(k))
 		updates := recorder.all()
@@ -257,11 +259,11 @@
 	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
 		startListening(k, t)
 		calls := len(s.reads())
-		k.Heard("a", omittedRoutes(10, 20, 7))
+		k.HandleUpdate("a", omittedRoutes(10, 20, 7))
 		time.Sleep(follow.ContentTimeout - time.Millisecond)
 		require.True(t, k.Offer([]byte("7")))
 		require.Equal(t, uint64(7), version(k))
-		k.Heard("a", routesUpdate(20, 30, 8))
+		k.HandleUpdate("a", routesUpdate(20, 30, 8))
 		require.Equal(t, uint64(8), version(k))
 		time.Sleep(follow.ContentTimeout)
 		synctest.Wait()
@@ -274,16 +276,19 @@
 func TestListenerReadsLargeRoutesThatDoNotArrive(t *testing.T) {
 	for name, then := range map[string]func(k *Keeper, recorder *forwardRecorder){
 		"and nothing else comes":   func(*Keeper, *forwardRecorder) {},
-		"and an update follows":    func(k *Keeper, _ *forwardRecorder) { k.Heard("a", routesUpdate(20, 25, 0)) },
-		"and a newer one is known": func(k *Keeper, _ *forwardRecorder) { k.Heard("a", omittedRoutes(20, 25, 9)) },
+		"and an update follows":    func(k *Keeper, _ *forwardRecorder) { k.HandleUpdate("a", routesUpdate(20, 25, 0)) },
+		"and a newer one is known": func(k *Keeper, _ *forwardRecorder) { k.HandleUpdate("a", omittedRoutes(20, 25, 9)) },
 		"and an older one comes":   func(k *Keeper, _ *forwardRecorder) { k.Offer([]byte("6")) },
-		"and followers are silent": func(k *Keeper, _ *forwardRecorder) { k.Gone("a") },
-		"and it becomes follower":  func(k *Keeper, recorder *forwardRecorder) { recorder.role.Store(uint32(follow.Follower)); k.Gone("a") },
+		"and followers are silent": func(k *Keeper, _ *forwardRecorder) { k.DropFollower("a") },
+		"and it becomes follower": func(k *Keeper, recorder *forwardRecorder) {
+			recorder.role.Store(uint32(follow.Follower))
+			k.DropFollower("a")
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
 				startListening(k, t)
-				k.Heard("a", omittedRoutes(10, 20, 7))
+				k.HandleUpdate("a", omittedRoutes(10, 20, 7))
 				began := time.Now()
 				then(k, recorder)
 				s.routes <- answer{version: 9, cursor: 30}
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -98,7 +98,7 @@
 	n := &Node{Fleet: fleet, drain: s.Drain, log: log}
 	n.Quarantine = quarantine.New(quarantine.Config{
 		VM:       s.VM.ID,
-		Settings: s.Quarantine.Ledger(),
+		Settings: s.Quarantine.LedgerSettings(),
 		Store:    backend.Store,
 		Table:    backend.Quarantine,
 		Unlinked: func() bool { return n.Peers.Unlinked() && n.Peers.Role() != follow.Listener },
@@ -112,8 +112,8 @@
 		Fleet:        fleet,
 		Routes:       n.routes,
 		Offer:        func(value []byte) bool { return n.Keeper.Offer(value) },
-		OnFeedUpdate: func(vm string, news *link.News) { n.Keeper.Heard(vm, news) },
-		OnLinkLost:   func(vm string) { n.Keeper.Gone(vm) },
+		OnFeedUpdate: func(vm string, news *link.News) { n.Keeper.HandleUpdate(vm, news) },
+		OnLinkLost:   func(vm string) { n.Keeper.DropFollower(vm) },
 		OnEntryCount: budgets.SetEntries,
 		Log:          log,
 
@@ -122,13 +122,13 @@
 	clients, metrics := gateway.NewClients(), gateway.NewMetrics()
 	crashes := gateway.NewCrashDetector(clients, fleet, metrics, n.Quarantine, log)
 	n.Keeper = directory.New(directory.Config{
-		Source:    backend.Source,
-		Wait:      shared.Milliseconds(s.Store.WaitMs),
-		Upstreams: gateway.Upstreams{Fleet: fleet, Clients: clients, Crashes: crashes, Log: log},
-		Changed:   n.Peers.AnnounceRoutes,
-		Role:      n.Peers.Role,
-		Tell:      n.Peers.ForwardFeedUpdate,
-		Log:       log,
+		Source:          backend.Source,
+		Wait:            shared.Milliseconds(s.Store.WaitMs),
+		Upstreams:       gateway.Upstreams{Fleet: fleet, Clients: clients, Crashes: crashes, Log: log},
+		OnRoutesApplied: n.Peers.AnnounceRoutes,
+		Role:            n.Peers.Role,
+		Forward:         n.Peers.ForwardFeedUpdate,
+		Log:             log,
 	})
 	n.Gateway = gateway.New(gateway.Config{
 		Directory:    n.Keeper,
--- a/entry/gateway/upstreams.go
+++ b/entry/gateway/upstreams.go
@@ -29,4 +29,4 @@
 }
 
 // RegistryUnavailable implements directory.Upstreams.
-func (u Upstreams) SourceLost(now time.Time) { u.Fleet.RegistryUnavailable(now) }
+func (u Upstreams) RegistryUnavailable(now time.Time) { u.Fleet.RegistryUnavailable(now) }
--- a/entry/operator/documents.go
+++ b/entry/operator/documents.go
@@ -17,17 +17,17 @@
 	"github.com/pkg/errors"
 )
 
-// InForce provides the documents in force and tracks at which entries a revision is in force.
-type InForce interface {
+// ActiveDocuments provides the documents in force and tracks at which entries a revision is in force.
+type ActiveDocuments interface {
 	// State returns the state in force at this entry.
 	State() *documents.State
 	// Refresh puts the newest revision in force at this entry.
 	Refresh(ctx context.Context) error
-	// Written distributes a revision that was stored through this entry.
-	Written(ctx context.Context, revision document.Revision)
-	// Missing waits until every live entry has the revision in force or ctx ends, and returns
+	// Distribute sends a revision that was stored through this entry to the other entries.
+	Distribute(ctx context.Context, revision document.Revision)
+	// WaitApplied waits until every live entry has the revision in force or ctx ends, and returns
 	// the names of the entries that do not have it.
-	Missing(ctx context.Context, revision document.Revision) []string
+	WaitApplied(ctx context.Context, revision document.Revision) []string
 }
 
 const (
@@ -55,10 +55,10 @@
 func (h *Handler) newestState(r *http.Request) *documents.State {
 	ctx, cancel := context.WithTimeout(r.Context(), readTimeout)
 	defer cancel()
-	if err := h.config.InForce.Refresh(ctx); err != nil {
+	if err := h.config.Documents.Refresh(ctx); err != nil {
 		h.config.Log.Warn().Err(err).Msg("documents are shown as they are in force here; the table could not be read")
 	}
-	return h.config.InForce.State()
+	return h.config.Documents.State()
 }
 
 // find returns a service's document and the state that contains it. If there is none, it writes
@@ -199,7 +199,7 @@
 }
 
 func (h *Handler) answerPut(ctx context.Context, w http.ResponseWriter, service string, revision document.Revision) {
-	h.config.InForce.Written(ctx, revision)
+	h.config.Documents.Distribute(ctx, revision)
 	answer := api.PutAnswer{
 		Outcome:  api.Accepted,
 		Revision: revision,
@@ -221,7 +221,7 @@
 func (h *Handler) missingEntries(ctx context.Context, revision document.Revision) []string {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	return h.config.InForce.Missing(ctx, revision)
+	return h.config.Documents.WaitApplied(ctx, revision)
 }
 
 // failPut writes an error response that says what is certain about a failed put.
--- a/entry/operator/documents_test.go
+++ b/entry/operator/documents_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stubDocuments is an InForce whose answers a test sets.
+// stubDocuments is an ActiveDocuments whose answers a test sets.
 type stubDocuments struct {
 	missing     []string
 	distributed document.Revision
@@ -28,10 +28,10 @@
 
 func (s *stubDocuments) State() *documents.State       { return documents.Empty() }
 func (s *stubDocuments) Refresh(context.Context) error { return nil }
-func (s *stubDocuments) Written(_ context.Context, revision document.Revision) {
+func (s *stubDocuments) Distribute(_ context.Context, revision document.Revision) {
 	s.distributed = revision
 }
-func (s *stubDocuments) Missing(context.Context, document.Revision) []string { return s.missing }
+func (s *stubDocuments) WaitApplied(context.Context, document.Revision) []string { return s.missing }
 
 // failingTable is a table whose reads or commits fail with the given errors.
 type failingTable struct {
@@ -68,7 +68,7 @@
 		Now:     time.Now,
 		Backoff: func() backoff.BackOff { return &backoff.StopBackOff{} },
 	})
-	New(Config{InForce: s, Store: store, Log: zerolog.Nop()}).ServeHTTP(recorder, request)
+	New(Config{Documents: s, Store: store, Log: zerolog.Nop()}).ServeHTTP(recorder, request)
 	var answer api.PutAnswer
 	var problem api.Problem
 	require.NoError(t, json.Unmarshal(recorder.Body.Bytes(), &answer))
@@ -100,7 +100,7 @@
 	require.NoError(t, err)
 	state, err := store.Load(t.Context())
 	require.NoError(t, err)
-	handler := New(Config{InForce: &stubDocumentsWithState{state: state}, Store: store, Log: zerolog.Nop()})
+	handler := New(Config{Documents: &stubDocumentsWithState{state: state}, Store: store, Log: zerolog.Nop()})
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, api.PathDocuments+"/parts/status", nil))
 	require.Contains(t, recorder.Body.String(), `"missing": []`)
--- a/entry/operator/operator.go
+++ b/entry/operator/operator.go
@@ -25,10 +25,10 @@
 	Records *record.Ring
 	// Ready reports whether the load balancer should send new requests.
 	Ready func() bool
-	// Store holds the service documents, InForce those in force at this entry.
-	Store   *documents.Store
-	InForce InForce
-	Quota   *quota.Enforcer
+	// Store stores the service documents; Documents provides those in force at this entry.
+	Store     *documents.Store
+	Documents ActiveDocuments
+	Quota     *quota.Enforcer
 	// Placement is nil if this entry does not take part in placement.
 	Placement *placement.Manager
 	Log       zerolog.Logger
--- a/entry/process/process.go
+++ b/entry/process/process.go
@@ -121,7 +121,7 @@
 	registry.SetQuarantine(e.Quarantine)
 	registry.SetView(view)
 	registry.SetOtherHandler(e.onMessage)
-	registry.SetRevisionObserver(manager.Heard)
+	registry.SetRevisionObserver(manager.ObserveRevision)
 	node, err := config.startLinks(registry)
 	if err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 		Records:   records,
 		Ready:     e.Ready,
 		Store:     config.Documents,
-		InForce:   manager,
+		Documents: manager,
 		Quota:     e.Quota,
 		Placement: e.Placement,
 		Log:       log,
--- a/entry/settings/gateway.go
+++ b/entry/settings/gateway.go
@@ -86,8 +86,8 @@
 	HoldS:   int(quarantine.DefaultSettings.Hold.Seconds()),
 }
 
-// Ledger returns the settings for core/quarantine.
-func (q Quarantine) Ledger() quarantine.Settings {
+// LedgerSettings returns the settings for core/quarantine.
+func (q Quarantine) LedgerSettings() quarantine.Settings {
 	return quarantine.Settings{MinCrashes: q.Crashes, Hold: time.Duration(q.HoldS) * time.Second}
 }
 
@@ -96,8 +96,8 @@
 	// BodyBytes bounds the body of one request unless its route sets a bound. Default 4194304
 	// (4 MiB).
 	BodyBytes int `json:"bodyBytes" validate:"gte=1024,lte=1073741824"`
-	// MemoryMb is the soft memory limit of the process, in MiB; 0 means none. The garbage
-	// collector runs more often as memory use approaches it. Default 0.
+	// MemoryMb is the memory that the process may use, in MiB; 0 means no limit. The garbage
+	// collector runs more often as memory use approaches the limit. Default 0.
 	MemoryMb float64 `json:"memoryMb" validate:"gte=0"`
 }
 
