--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -16,10 +16,10 @@
 				for range 3 * n {
 					f.Choose(start, short(), spec)
 				}
-				f.plan(start, request, spec)
+				f.makePlan(start, request, spec)
 				b.ReportAllocs()
 				for b.Loop() {
-					f.plan(start, request, spec)
+					f.makePlan(start, request, spec)
 				}
 			})
 		}
--- a/core/dispatch/costs.go
+++ b/core/dispatch/costs.go
@@ -42,8 +42,8 @@
 const valuePerSecond = 0.2
 
 // impact is the loss of the streams and prompts on an engine if it prefills a part of a long
-// prompt. Engines prefill the newest part first: without this cost, prompts that need a third
-// of a second took four in bursts, until the arrivals ended.
+// prompt. Engines prefill the newest part first: without this cost, the prompts of a burst
+// delay each other until the arrivals end.
 func (s *search) impact(u *upstreamState, part time.Duration) float64 {
 	sum := s.streamCost(u, part)
 	for _, l := range u.loads {
--- a/core/dispatch/event.go
+++ b/core/dispatch/event.go
@@ -8,8 +8,9 @@
 // EventKind says what happened to a request.
 type EventKind uint8
 
-// The kinds of event.
 const (
+	// Placed, FirstEvent and Ended report the placement of a request, the first event of its
+	// answer and its end.
 	Placed EventKind = iota + 1
 	FirstEvent
 	Ended
@@ -81,10 +82,10 @@
 	if f.settings.Rule == LeastOutstanding {
 		return
 	}
-	if len(f.pending) >= maxPendingEvents {
-		f.pending = f.pending[1:]
+	if len(f.pendingEvents) >= maxPendingEvents {
+		f.pendingEvents = f.pendingEvents[1:]
 	}
-	f.pending = append(f.pending, e)
+	f.pendingEvents = append(f.pendingEvents, e)
 	f.signalPending()
 }
 
@@ -103,8 +104,8 @@
 func (f *Fleet) TakeEvents() []Event {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	events := f.pending
-	f.pending = nil
+	events := f.pendingEvents
+	f.pendingEvents = nil
 	return events
 }
 
--- a/core/dispatch/evidence_test.go
+++ b/core/dispatch/evidence_test.go
@@ -122,7 +122,8 @@
 	require.Equal(t, NoUpstream, verdict)
 }
 
-// Sets are probed only after losses of engines: without losses, no round trips are added.
+// Choices of several engines are probed only after engines have gone down: otherwise, no round
+// trips are added.
 func TestSetsAreProbedOnlyAfterLosses(t *testing.T) {
 	f := newFleet(60, Predicted)
 	choice, id := choose(t, f, start, heavy(260_000))
--- a/core/dispatch/fleet.go
+++ b/core/dispatch/fleet.go
@@ -27,7 +27,6 @@
 // Rule names a way to choose upstreams.
 type Rule string
 
-// The rules.
 const (
 	// LeastOutstanding takes the upstream with the fewest requests; it is the baseline.
 	LeastOutstanding Rule = "least-outstanding"
@@ -35,7 +34,7 @@
 	Predicted Rule = "predicted"
 )
 
-// Settings of a Fleet.
+// Settings holds the settings of a Fleet.
 type Settings struct {
 	Rule Rule
 	// Zone is the entry's availability zone.
@@ -48,23 +47,25 @@
 type Fleet struct {
 	settings Settings
 
-	mu            sync.Mutex
-	upstreams     map[string]*upstreamState
-	tags          map[Tag]*upstreamState
-	services      map[string][]*upstreamState
-	placements    map[PlacementID]*placement
-	waiters       map[PlacementID]*waiter
-	byTarget      []*waiter
-	onTime        []*waiter
-	queueChanged  chan struct{}
-	lastNumber    uint64
-	registry      registry
-	pending       []Event
-	pendingSignal chan struct{}
-	search        search
-	evidence      *evidence.Tracker
-	// remoteSingles counts the requests that other entries placed on a single engine.
-	// prefillDemand sums the prefill time, in seconds, of queueable prompts of all entries.
+	mu         sync.Mutex
+	upstreams  map[string]*upstreamState
+	tags       map[Tag]*upstreamState
+	services   map[string][]*upstreamState
+	placements map[PlacementID]*placement
+	waiters    map[PlacementID]*waiter
+	// byTarget and onTime are buffers of queueAheadOf.
+	byTarget            []*waiter
+	onTime              []*waiter
+	queueChanged        chan struct{}
+	lastPlacementNumber uint64
+	registry            registry
+	pendingEvents       []Event
+	pendingSignal       chan struct{}
+	search              search
+	evidence            *evidence.Tracker
+	// remoteSingles is the decaying number of requests that other entries placed on a single
+	// engine. prefillDemand is the decaying sum of the prefill times, in seconds, of queueable
+	// prompts of all entries.
 	remoteSingles decay.Sum
 	prefillDemand decay.Sum
 }
@@ -72,10 +73,10 @@
 // upstreamState is an upstream with its tracked state.
 type upstreamState struct {
 	Upstream
-	// name is the incarnation, and revision is that of its latest registration.
-	name     string
-	revision uint64
-	tag      Tag
+	// incarnation is the name of the incarnation; revision is that of its latest registration.
+	incarnation string
+	revision    uint64
+	tag         Tag
 	// position is the index among the upstreams of the service, sorted by ID. It is the same at
 	// all entries.
 	position int
@@ -100,7 +101,8 @@
 	health evidence.Record
 	// fullUntil is the time until which its memory counts as full.
 	fullUntil time.Time
-	// supersededBy is the upstream that has registered the same address since; nil for none.
+	// supersededBy is the upstream with the latest registration of the same address, if that is
+	// later than its own; otherwise nil.
 	supersededBy *upstreamState
 	// lapsesAt is when the upstream is removed unless it is registered again; zero if it isn't
 	// lapsing.
@@ -179,7 +181,7 @@
 
 // findIncarnation returns the state of an incarnation, or nil if it has ended.
 func (f *Fleet) findIncarnation(upstream Upstream) *upstreamState {
-	if u := f.upstreams[upstream.ID]; u != nil && u.name == upstream.Incarnation() {
+	if u := f.upstreams[upstream.ID]; u != nil && u.incarnation == upstream.Incarnation() {
 		return u
 	}
 	return nil
@@ -198,11 +200,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u := f.upstreams[upstream.ID]
-	return u == nil || u.name == upstream.Incarnation() && u.Draining
+	return u == nil || u.incarnation == upstream.Incarnation() && u.Draining
 }
 
-// Replaced reports whether another incarnation has registered the address of the given one
-// since.
+// Replaced reports whether a later registration, by another incarnation that is not draining,
+// has the address of the given one.
 func (f *Fleet) Replaced(upstream Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,15 +213,16 @@
 		revision = u.revision
 	}
 	for _, u := range f.upstreams {
-		if u.Address == upstream.Address && u.name != upstream.Incarnation() && u.revision > revision && !u.Draining {
+		if u.Address == upstream.Address && u.incarnation != upstream.Incarnation() && u.revision > revision && !u.Draining {
 			return true
 		}
 	}
 	return false
 }
 
-// ApplyChanges applies changes of registrations. If whole is set, the changes list every
-// upstream there is. It returns the incarnations that ended because their upstream restarted.
+// ApplyChanges applies changes of registrations. If complete is set, the changes list
+// every upstream there is. It returns the incarnations that ended because their upstream
+// restarted.
 func (f *Fleet) ApplyChanges(now time.Time, changes []Change, complete bool) (ended []Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -229,7 +232,8 @@
 		listed[change.ID] = true
 		switch {
 		case change.Unreadable:
-			// An unreadable registration is in the registry, so no outage explains it.
+			// The registry did answer, so the upstream is removed without the grace period that
+			// remove grants after an outage.
 			delete(f.upstreams, change.ID)
 		case change.Removed:
 			f.remove(now, change.ID)
@@ -283,8 +287,8 @@
 	}
 	f.upstreams[upstream.ID] = u
 	u.Upstream, u.revision = upstream, change.Revision
-	u.name = upstream.Incarnation()
-	u.tag = TagOf(u.name)
+	u.incarnation = upstream.Incarnation()
+	u.tag = TagOf(u.incarnation)
 	u.lapsesAt = time.Time{}
 	return previous, restarted
 }
@@ -330,7 +334,7 @@
 	}
 }
 
-// findSuperseded finds the upstreams whose address was registered by another one since.
+// findSuperseded finds the upstreams whose address has a later registration by another one.
 func (f *Fleet) findSuperseded() {
 	newest := make(map[string]*upstreamState, len(f.upstreams))
 	for _, u := range f.upstreams {
@@ -346,11 +350,12 @@
 	}
 }
 
-// superseded reports whether another upstream has registered the same address since. It ignores
-// a newer registration that was proved wrong, which may come from a faulty writer.
+// superseded reports whether a later registration by another upstream has the same address. It
+// ignores a later registration whose upstream was proved down: a faulty writer may have made it.
 //
 // When an upstream restarts under another ID, its old registration remains until it lapses. A
-// set with both would name one address twice, and engines refuse such a prompt as malformed.
+// prompt split over both registrations would name one address twice, and engines refuse such a
+// prompt as malformed.
 func (u *upstreamState) superseded() bool {
 	return u.supersededBy != nil && !u.supersededBy.health.ProvedDown()
 }
@@ -387,23 +392,22 @@
 	if u.Draining || !u.lapsesAt.IsZero() && !now.Before(u.lapsesAt) {
 		return false
 	}
-	return !slices.Contains(request.Exclude, u.name)
+	return !slices.Contains(request.Exclude, u.incarnation)
 }
 
 // Verdict says whether a request was placed.
 type Verdict uint8
 
-// The verdicts.
 const (
 	// Place means that the request was placed.
 	Place Verdict = iota
 	// NoUpstream means that no upstream takes requests.
 	NoUpstream
-	// Overloaded means that the request would cost others more than it is worth. The caller
-	// should retry later.
+	// Overloaded means that the request is refused because engines are too busy to serve it in
+	// time. The caller should retry later.
 	Overloaded
 	// Queue means that the request waits in the queue: call Choose again, under the returned
-	// ID, when the Retry says so.
+	// ID, as Choice.Retry says.
 	Queue
 )
 
@@ -411,7 +415,7 @@
 func (f *Fleet) Choose(now time.Time, request *Request, spec *enginemodel.Spec) (choice Choice, id PlacementID, verdict Verdict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.plan(now, request, spec)
+	p, ok := f.makePlan(now, request, spec)
 	switch {
 	case !ok:
 		f.withdraw(request.QueueID)
@@ -432,17 +436,17 @@
 	})
 	pl := f.commit(now, request, p)
 	choice = p.choice(pl.id)
-	choice.Probe = f.lossProbability(now, &p) > probeThreshold
+	choice.Probe = f.downProbability(now, &p) > probeThreshold
 	return choice, pl.id, Place
 }
 
-// plan decides without recording the placement. Its slices are valid until the next call.
-func (f *Fleet) plan(now time.Time, request *Request, spec *enginemodel.Spec) (plan, bool) {
+// makePlan decides without recording the placement. Its slices are valid until the next call.
+func (f *Fleet) makePlan(now time.Time, request *Request, spec *enginemodel.Spec) (plan, bool) {
 	f.search.candidates = f.candidates(now, request, f.search.candidates[:0])
 	candidates := f.search.candidates
 	f.search.pinned = nil
 	if request.PinnedTo != "" {
-		i := slices.IndexFunc(candidates, func(u *upstreamState) bool { return u.name == request.PinnedTo })
+		i := slices.IndexFunc(candidates, func(u *upstreamState) bool { return u.incarnation == request.PinnedTo })
 		if i < 0 {
 			return plan{}, false
 		}
@@ -460,8 +464,8 @@
 	}
 }
 
-// leastOutstanding returns the upstream with the fewest requests per slot. Upstreams in the
-// entry's own zone are preferred among equals.
+// leastOutstanding returns the upstream with the fewest requests per slot, after adding
+// zonePenalty for upstreams in other zones and a penalty for recent failures.
 //
 // Each entry starts its search at a different upstream. If all started at the same one, they
 // would all choose it among equal upstreams before they learn of each other, and it would refuse
--- a/core/dispatch/memory_test.go
+++ b/core/dispatch/memory_test.go
@@ -66,8 +66,8 @@
 	f := newFleet(4, Predicted)
 	for _, u := range f.services["model"] {
 		for range spec.Slots {
-			f.lastNumber++
-			f.place(start, &placement{id: PlacementID{Origin: 1, Number: f.lastNumber}, promptTokens: 500, gapTarget: time.Second, streaming: true}, plan{primary: u})
+			f.lastPlacementNumber++
+			f.place(start, &placement{id: PlacementID{Origin: 1, Number: f.lastPlacementNumber}, promptTokens: 500, gapTarget: time.Second, streaming: true}, plan{primary: u})
 		}
 	}
 	request := heavy(600_000)
@@ -97,7 +97,7 @@
 }
 
 // Guards against late requests in a burst. Engines have a second of backlog each when a prompt
-// of 900,000 tokens arrives; its 70 s of prefill are worth more to the other requests.
+// of 900,000 tokens arrives; its 70 s of prefill would make several others late.
 func TestLongestPromptsAreRefusedFirstUnderLoad(t *testing.T) {
 	f := newFleet(14, Predicted)
 	for range 14 {
--- a/core/dispatch/order_test.go
+++ b/core/dispatch/order_test.go
@@ -29,14 +29,15 @@
 	require.Equal(t, 380*time.Millisecond, single.loads[0].prefillDone, "a whole prompt comes after all parts")
 }
 
-// Guards against the same delays: the cost of a prompt must include the prompts that it delays.
+// Guards against a burst whose prompts delay each other: the cost of a prompt must include the
+// prompts that it delays.
 func TestBurstOfLongPromptsIsReadInTime(t *testing.T) {
-	p := newSimulation(newFleet(14, Predicted))
+	s := newSimulation(newFleet(14, Predicted))
 	for i := range 12 {
-		p.add(time.Duration(i)*150*time.Millisecond, heavy(150_000))
+		s.add(time.Duration(i)*150*time.Millisecond, heavy(150_000))
 	}
-	p.run(t, 10*time.Second)
-	for _, r := range p.requests {
+	s.run(t, 10*time.Second)
+	for _, r := range s.requests {
 		require.NotZero(t, r.firstEvent, "read")
 		require.Less(t, r.firstEvent-r.at, 4*time.Second)
 	}
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -10,7 +10,6 @@
 // Outcome is how a request ended at an upstream.
 type Outcome uint8
 
-// The outcomes.
 const (
 	// Served requests were answered.
 	Served Outcome = iota
@@ -32,7 +31,7 @@
 // slot is free.
 const shedPause = 60 * time.Millisecond
 
-// recordOutcome records the outcome of a request that was sent at asked. Outcomes are what
+// recordOutcome records the outcome of a request that was sent at sentAt. Outcomes are what
 // callers see; health checks can be wrong either way, for all callers or for some, and take a
 // slot.
 func (f *Fleet) recordOutcome(now time.Time, u *upstreamState, outcome Outcome, sentAt time.Time) {
@@ -52,7 +51,7 @@
 	}
 }
 
-// Observe records the outcome of a call other than a request to an upstream, sent at asked.
+// Observe records the outcome of a call other than a request to an upstream, sent at sentAt.
 func (f *Fleet) Observe(now time.Time, upstream Upstream, outcome Outcome, sentAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,11 +69,11 @@
 }
 
 func (u *upstreamState) subject() evidence.Subject {
-	return evidence.Subject{Tag: uint32(u.tag), Name: u.name}
+	return evidence.Subject{Tag: uint32(u.tag), Name: u.incarnation}
 }
 
 // RecordFault records that an upstream made another one refuse a prompt that both were to
-// prefill, sent at asked. A fault of an ended incarnation does not count against the next.
+// prefill, sent at sentAt. A fault of an ended incarnation does not count against the next.
 //
 // Without it, the engine that refused would count as full, and every further set would include
 // the faulty one again until the registry removes it, which during a registry outage does not
@@ -111,14 +110,14 @@
 // its round trip.
 const probeThreshold = 0.05
 
-// lossProbability returns the probability that one of a plan's engines is down without anyone
+// downProbability returns the probability that one of a plan's engines is down without anyone
 // knowing it yet. Engines that go down together are found one after the other.
-func (f *Fleet) lossProbability(now time.Time, p *plan) float64 {
+func (f *Fleet) downProbability(now time.Time, p *plan) float64 {
 	if len(p.helpers) == 0 {
 		return 0
 	}
 	known := len(f.services[p.primary.Service])
-	each := min(f.evidence.Losses(now)/float64(known), 1)
+	each := min(f.evidence.RecentlyDown(now)/float64(known), 1)
 	return 1 - math.Pow(1-each, float64(len(p.helpers)))
 }
 
--- a/core/dispatch/placement.go
+++ b/core/dispatch/placement.go
@@ -62,7 +62,7 @@
 	partTime  time.Duration
 	urgency   int
 	rationale Explanation
-	// refused is set if the request is not worth the time that it takes from others.
+	// refused is set if engines are too busy to serve the request in time.
 	refused bool
 	// retryAfter is how long the request should wait in the queue; zero to place it now.
 	// headOfQueue is set if no waiting request goes before it.
@@ -131,8 +131,8 @@
 	if request.QueueID != (PlacementID{}) {
 		return request.QueueID
 	}
-	f.lastNumber++
-	return PlacementID{Origin: f.settings.Origin, Number: f.lastNumber}
+	f.lastPlacementNumber++
+	return PlacementID{Origin: f.settings.Origin, Number: f.lastPlacementNumber}
 }
 
 // place adds the loads of a placement to its upstreams.
@@ -162,7 +162,7 @@
 	}
 }
 
-// FirstEvent records the first event of a placed request: its prefill is complete.
+// RecordFirstEvent records the first event of a placed request: its prefill is complete.
 func (f *Fleet) RecordFirstEvent(now time.Time, id PlacementID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/core/dispatch/predicted.go
+++ b/core/dispatch/predicted.go
@@ -130,9 +130,9 @@
 		best = s.bestSet(best)
 	}
 	load := s.meanBacklog()
-	decision := s.admission(&best, s.firstEvent(&best))
+	decision := s.admit(&best, s.firstEvent(&best))
 	best.retryAfter, best.headOfQueue = decision.retryAfter, decision.headOfQueue
-	best.refused = decision.reject || !request.Committed && (s.outlastsCaller(decision.firstEvent) || s.queuesPastTarget(&best, decision.firstEvent))
+	best.refused = decision.refused || !request.Committed && (s.outlastsCaller(decision.firstEvent) || s.queuesPastTarget(&best, decision.firstEvent))
 	best.urgency = urgency(request)
 	best.rationale = Explanation{ExpectedLoss: s.leastCost, FirstEvent: decision.firstEvent, Read: s.prefillTime, MeanBacklog: load}
 	if best.refused {
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// Long prompts wait in a queue. Engines prefill the newest part first, so a set sent while
-// others are in progress delays all of them and is itself delayed by later ones: in bursts, a
-// prompt that needs a third of a second took four. A prompt held at its entry until engines are
-// free delays nothing, and can still go to the engines that become free first.
+// waiter is a request in the queue.
+//
+// Long prompts wait in a queue, because engines prefill the newest part first. A prompt sent to
+// several engines while they prefill others delays those, and is itself delayed by later ones:
+// in a burst, a prompt with a third of a second of prefill took four seconds. A prompt held at
+// its entry until engines are free delays nothing, and can still go to the engines that become
+// free first.
 //
 // All entries know the queues of the others and order them alike, see queueAheadOf.
-
-// waiter is a request in the queue.
 type waiter struct {
 	id PlacementID
-	// priority is set by the operator; lower values go first.
+	// priority is set by the operator. If a request must be deferred, the highest value is
+	// deferred first.
 	priority int
 	// prefillTime is that of its whole prompt on one engine.
 	prefillTime time.Duration
@@ -44,18 +46,17 @@
 	// count is their number, and prefillTime the sum of their prefill times.
 	count       int
 	prefillTime time.Duration
-	// late is set if the request can't meet its target, or only by making a shorter one miss
-	// its own.
+	// late is set if the request is one of those that queueAheadOf defers.
 	late bool
 }
 
 // queueAheadOf returns what is ahead of a request in the queue, given the engines' backlog and
-// the number of engines that prefill at a time.
+// the number of engines that prefill in parallel.
 //
-// If all can meet their targets, they go in the order of their targets. Where one would miss
-// it, one of the requests up to it is deferred: the longest of the lowest priority, which keeps
-// the number of late requests least (Moore, 1968). Deferred requests follow the others,
-// shortest first.
+// If all requests can meet their targets, they go in the order of their targets. Where one would
+// miss its target, one of the requests up to it is deferred: the longest of those with the
+// highest priority value. Among requests of equal priority this keeps the number of late ones
+// least (Moore, 1968). Deferred requests follow the others, shortest first.
 func (f *Fleet) queueAheadOf(now time.Time, own *waiter, backlog time.Duration, engines int) queueAhead {
 	f.byTarget = append(f.byTarget[:0], own)
 	for id, w := range f.waiters {
@@ -115,7 +116,7 @@
 		return request.QueueID
 	}
 	w := &waiter{}
-	*w = f.search.self
+	*w = f.search.self // Set for this request by makePlan.
 	w.id, w.expiresAt = f.placementID(request), now.Add(request.TimeToDeadline+expiryMargin)
 	f.waiters[w.id] = w
 	f.publish(w.waitingEvent(now))
@@ -125,11 +126,11 @@
 // retryFor returns when a waiting request should call Choose again. Only the head of the queue
 // is woken by each change; waking all of a long queue would waste processor time.
 func (f *Fleet) retryFor(p plan) Retry {
-	t := Retry{After: p.retryAfter}
+	retry := Retry{After: p.retryAfter}
 	if p.headOfQueue {
-		t.Changed = f.queueChanged
+		retry.Changed = f.queueChanged
 	}
-	return t
+	return retry
 }
 
 // Withdraw removes an abandoned request from the queue.
@@ -168,8 +169,9 @@
 	// queueThreshold is the prefill time on one engine from which a prompt waits in the queue.
 	// A shorter one, split over several engines, delays others by a few hundredths of a second.
 	queueThreshold = time.Second
-	// sendLead is how long before its engines become free a prompt is sent: the network delay
-	// to them.
+	// sendLead is the network delay to the engines. An engine counts as idle this long before
+	// it becomes free, so that the next part arrives as it does. It is also the least time
+	// until a waiting prompt is considered again.
 	sendLead = 4 * time.Millisecond
 	// maxRetryAfter bounds the time until a waiting prompt is considered again.
 	maxRetryAfter = 100 * time.Millisecond
@@ -180,7 +182,7 @@
 	own := &s.self
 	*own = waiter{id: s.request.QueueID, priority: s.request.Priority, prefillTime: s.prefillTime, target: s.now.Add(s.request.FirstEventTarget)}
 	if own.id == (PlacementID{}) {
-		own.id = PlacementID{Origin: s.fleet.settings.Origin, Number: s.fleet.lastNumber + 1}
+		own.id = PlacementID{Origin: s.fleet.settings.Origin, Number: s.fleet.lastPlacementNumber + 1}
 	}
 	return own
 }
@@ -200,19 +202,20 @@
 	headOfQueue bool
 	// firstEvent is when its first event is expected.
 	firstEvent time.Duration
-	// reject is set if it can't meet its target while engines have other prompts to prefill.
-	// The caller should retry later.
-	reject bool
+	// refused is set if the request is late (see queueAhead) and requests are ahead of it, no
+	// engine can take it now, or fewer than half of the usable engines are idle. The caller
+	// should retry later.
+	refused bool
 }
 
-func (t admission) asHead() admission {
-	t.headOfQueue = true
-	return t
+func (a admission) asHead() admission {
+	a.headOfQueue = true
+	return a
 }
 
-// admission decides whether the request takes the plan, with its first event expected after
+// admit decides whether the request takes the plan, with its first event expected after
 // firstEvent, or waits in the queue.
-func (s *search) admission(best *plan, firstEvent time.Duration) admission {
+func (s *search) admit(best *plan, firstEvent time.Duration) admission {
 	if !s.queueable() {
 		return admission{firstEvent: firstEvent}
 	}
@@ -220,12 +223,12 @@
 	finish = max(finish, (s.partBacklog+s.queueAhead.prefillTime+s.prefillTime)/time.Duration(len(s.candidates)))
 	wait := admission{retryAfter: min(max(start, s.queueAhead.prefillTime/time.Duration(len(s.candidates)), sendLead), maxRetryAfter), firstEvent: finish}
 	othersCost := max(s.leastCost-s.comparisonCost(firstEvent), 0)
-	if s.bypassesHead(best) {
+	if s.bypassesHead(best) { // The requests ahead no longer count.
 		s.queueAhead.count = 0
 	}
 	switch {
 	case s.queueAhead.late && (s.queueAhead.count > 0 || best.primary == nil || s.idle*2 < s.usable):
-		return admission{firstEvent: finish, reject: true}
+		return admission{firstEvent: finish, refused: true}
 	case s.queueAhead.count > 0:
 		return wait
 	case best.primary == nil:
@@ -239,14 +242,16 @@
 	}
 }
 
-// headTimeout is how long engines stay idle before the waiting requests bypass the head of the
-// queue: several times the propagation delay between entries, and a small part of the targets
-// of waiting requests.
+// headTimeout is how long at least half of the usable engines are idle before the waiting
+// requests bypass the head of the queue: several times the propagation delay between entries, and
+// a small part of the targets of waiting requests.
 const headTimeout = 150 * time.Millisecond
 
-// bypassesHead reports whether engines have been idle too long while others are ahead of the
-// request. Otherwise an entry that is frozen or partitioned would keep its queue position until
-// its request expires, and no long prompt would be prefilled meanwhile.
+// bypassesHead reports whether the request may be placed in spite of the requests ahead of it,
+// because only these have kept it from being placed for headTimeout, while at least half of the
+// usable engines were idle. It records in blockedSince when that began. Without it, a request of
+// an entry that is frozen or partitioned would stay at the head of the queue until it expires,
+// and no long prompt would be prefilled meanwhile.
 func (s *search) bypassesHead(best *plan) bool {
 	own := s.fleet.waiters[s.request.QueueID]
 	if own == nil || s.queueAhead.count == 0 || best.primary == nil || s.idle*2 < s.usable {
@@ -261,12 +266,13 @@
 	return s.now.Sub(own.blockedSince) > headTimeout
 }
 
-// negligibleCost is the request value below which waiting is not worthwhile.
+// negligibleCost is the cost, in request value, up to which a prompt is placed at once instead of
+// waiting, however much time it has left.
 const negligibleCost = 0.5
 
-// acceptableCost is the request value that a request which can still meet its target may cost
-// now, its own loss included. It rises as the time left shrinks, up to the loss from being
-// late.
+// acceptableCost is the highest cost, in request value and with its own expected loss, at which a
+// request that can still be in time is placed now. It rises as the time left shrinks, up to
+// negligibleCost plus the loss from being late.
 func (s *search) acceptableCost() float64 {
 	need := s.prefillTime / time.Duration(largestSet(len(s.candidates)))
 	timePressure := min(need.Seconds()/max(s.request.FirstEventTarget.Seconds(), need.Seconds()), 1)
@@ -317,7 +323,7 @@
 // earliestSet returns the start and end of the prefill on the set that finishes first, if the
 // prompt waits until its engines are idle.
 func (s *search) earliestSet() (start, finish time.Duration) {
-	s.freeTimes = s.freeTimes[:0]
+	s.freeTimes = s.freeTimes[:0] // NewFleet gives it the capacity of the largest set.
 	for _, u := range s.candidates {
 		s.freeTimes = insertLeast(s.freeTimes, u.partBacklog, cap(s.freeTimes), cmp.Compare)
 	}
@@ -333,8 +339,8 @@
 	return start, finish
 }
 
-// clearTime returns the time until the engines have prefilled all that is placed or waiting
-// now.
+// clearTime returns the time until the engines have prefilled all placed parts of long prompts
+// and all waiting prompts.
 func (s *search) clearTime() time.Duration {
 	sum := s.partBacklog
 	for _, w := range s.fleet.waiters {
--- a/core/dispatch/queue_test.go
+++ b/core/dispatch/queue_test.go
@@ -32,9 +32,9 @@
 
 func newSimulation(f *Fleet) *simulation { return &simulation{fleet: f} }
 
-func (p *simulation) add(at time.Duration, request *Request) *simulatedRequest {
+func (s *simulation) add(at time.Duration, request *Request) *simulatedRequest {
 	r := &simulatedRequest{at: at, request: request}
-	p.requests = append(p.requests, r)
+	s.requests = append(s.requests, r)
 	return r
 }
 
@@ -42,36 +42,36 @@
 const simulationStep = 5 * time.Millisecond
 
 // run simulates the given time from start.
-func (p *simulation) run(t *testing.T, duration time.Duration) {
+func (s *simulation) run(t *testing.T, duration time.Duration) {
 	t.Helper()
 	for at := time.Duration(0); at < duration; at += simulationStep {
 		now := start.Add(at)
-		for _, r := range p.requests {
+		for _, r := range s.requests {
 			switch {
 			case at < r.at || r.refused || r.firstEvent > 0:
 			case r.placed > 0:
 				if at >= r.placed+r.choice.Explanation.FirstEvent {
 					r.firstEvent = at
-					p.fleet.RecordFirstEvent(now, r.id)
-					p.fleet.RecordEnd(now, r.id, Served)
+					s.fleet.RecordFirstEvent(now, r.id)
+					s.fleet.RecordEnd(now, r.id, Served)
 				}
 			default:
-				p.choose(t, now, at, r)
+				s.choose(t, now, at, r)
 			}
 		}
 	}
 }
 
-func (p *simulation) choose(t *testing.T, now time.Time, at time.Duration, r *simulatedRequest) {
+func (s *simulation) choose(t *testing.T, now time.Time, at time.Duration, r *simulatedRequest) {
 	t.Helper()
 	request := *r.request
 	request.FirstEventTarget -= at - r.at
 	request.TimeToDeadline -= at - r.at
 	request.QueueID = r.queueID
-	choice, id, verdict := p.fleet.Choose(now, &request, spec)
+	choice, id, verdict := s.fleet.Choose(now, &request, spec)
 	switch verdict {
 	case Place:
-		r.choice, r.id, r.placed = choice, id, max(at, 1)
+		r.choice, r.id, r.placed = choice, id, max(at, 1) // Zero means not placed.
 	case Queue:
 		require.Positive(t, choice.Retry.After)
 		r.queueID = id
@@ -82,28 +82,28 @@
 	}
 }
 
-// Guards against delays of prompts that are already sent: one that needs half a second took
-// four when further prompts were sent at once, because engines prefill the newest part first.
+// Guards against later prompts delaying those already sent, because engines prefill the newest
+// part first.
 func TestLaterPartsDoNotDelaySentPrompts(t *testing.T) {
-	p := newSimulation(newFleet(8, Predicted))
+	s := newSimulation(newFleet(8, Predicted))
 	for i := range 8 {
-		p.add(time.Duration(i)*40*time.Millisecond, heavy(150_000))
+		s.add(time.Duration(i)*40*time.Millisecond, heavy(150_000))
 	}
-	p.run(t, 10*time.Second)
-	for _, r := range p.requests {
+	s.run(t, 10*time.Second)
+	for _, r := range s.requests {
 		require.NotZero(t, r.firstEvent)
 		expected := r.placed + r.choice.Explanation.FirstEvent
 		require.InDelta(t, expected.Seconds(), r.firstEvent.Seconds(), 2*simulationStep.Seconds(), "first events come as predicted")
 	}
-	require.Greater(t, p.requests[7].placed, p.requests[7].at+100*time.Millisecond, "the last one waited")
+	require.Greater(t, s.requests[7].placed, s.requests[7].at+100*time.Millisecond, "the last one waited")
 }
 
 // Guards against refusing prompts while engines are idle, only because they will miss their
 // target.
 func TestIdleEnginesAcceptPromptsThatWillBeLate(t *testing.T) {
-	p := newSimulation(newFleet(14, Predicted))
-	late := p.add(0, heavy(700_000))
-	p.run(t, 12*time.Second)
+	s := newSimulation(newFleet(14, Predicted))
+	late := s.add(0, heavy(700_000))
+	s.run(t, 12*time.Second)
 	require.False(t, late.refused)
 	require.Greater(t, late.firstEvent, 3*time.Second)
 }
@@ -111,15 +111,15 @@
 // Guards against a burst that makes all prompts late: if engines can't prefill all in time, the
 // longest is refused, as it takes the time of several others.
 func TestLongestPromptsAreRefusedInABurst(t *testing.T) {
-	p := newSimulation(newFleet(8, Predicted))
-	longest := p.add(150*time.Millisecond, heavy(600_000))
+	s := newSimulation(newFleet(8, Predicted))
+	longest := s.add(150*time.Millisecond, heavy(600_000))
 	for i := range 20 {
-		p.add(time.Duration(i)*100*time.Millisecond, heavy(140_000))
+		s.add(time.Duration(i)*100*time.Millisecond, heavy(140_000))
 	}
-	p.run(t, 15*time.Second)
+	s.run(t, 15*time.Second)
 	require.True(t, longest.refused)
 	inTime := 0
-	for _, r := range p.requests {
+	for _, r := range s.requests {
 		if r.firstEvent > 0 && r.firstEvent-r.at < 4*time.Second {
 			inTime++
 		}
@@ -164,7 +164,8 @@
 			f.ApplyEvents(start, 2, other.TakeEvents())
 		},
 		"entry lost": func(f, _ *Fleet, _ PlacementID) { f.RemoveOrigin(start, 2) },
-		"time over":  func(f, _ *Fleet, _ PlacementID) { f.RemoveExpired(start.Add(17 * time.Second)) },
+		// The time is after the request's deadline and expiryMargin.
+		"time over": func(f, _ *Fleet, _ PlacementID) { f.RemoveExpired(start.Add(17 * time.Second)) },
 	}
 	for name, end := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -207,8 +208,8 @@
 	require.Less(t, placed, 2*headTimeout)
 }
 
-// A request is placed under the ID under which it waited, so that entries that know of its wait
-// learn that it is over.
+// Guards against other entries keeping a request in their queues because it was placed under
+// another ID than the one under which it waited.
 func TestPlacementKeepsItsQueueID(t *testing.T) {
 	f, other := newFleet(4, Predicted), newFleet(4, Predicted)
 	_, first := choose(t, f, start, heavy(160_000))
@@ -256,8 +257,8 @@
 	require.Zero(t, choice.Explanation.ClearTime)
 }
 
-// Among requests of equal priority, the number of deferred ones is the least possible, compared
-// with all subsets, and no request counts as both in time and late.
+// Among requests of equal priority, the number of those in time equals the largest number that
+// any subset allows.
 func TestQueueOrderMaximisesRequestsInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFleet(Settings{Origin: 1})
@@ -307,7 +308,8 @@
 }
 
 // Guards against a surge that makes all short prompts late: when the slots of all engines are
-// taken, further prompts are refused instead of waiting in the engines' queues.
+// taken, further prompts are refused instead of waiting in the engines' queues. A committed
+// request is placed all the same.
 func TestShortPromptsAreRefusedWhenNoSlotFreesInTime(t *testing.T) {
 	const interval, decodeTime = 20 * time.Millisecond, 1700 * time.Millisecond
 	f := newFleet(2, Predicted)
--- a/core/dispatch/restart_test.go
+++ b/core/dispatch/restart_test.go
@@ -22,8 +22,8 @@
 	f.ApplyChanges(start, incarnation(2, 1000), false)
 	old := f.upstreams["u-0001"]
 	for range 4 {
-		pl := &placement{id: PlacementID{Origin: 1, Number: f.lastNumber + 1}, promptTokens: 200_000}
-		f.lastNumber++
+		pl := &placement{id: PlacementID{Origin: 1, Number: f.lastPlacementNumber + 1}, promptTokens: 200_000}
+		f.lastPlacementNumber++
 		f.place(start, pl, plan{primary: old, partTime: time.Second})
 	}
 	f.MarkFull(start, old.Upstream)
--- a/core/dispatch/sets.go
+++ b/core/dispatch/sets.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// bestSet returns the cheapest set of engines if it is cheaper than the single engine.
+// bestSet returns the cheapest set of engines if it is cheaper than the single engine. The engines
+// of a set each prefill one part of the prompt.
 func (s *search) bestSet(best plan) plan {
 	s.buildShortlist()
 	count := 0
--- a/core/dispatch/upstream.go
+++ b/core/dispatch/upstream.go
@@ -47,7 +47,8 @@
 	// caller abandons a stream that has not begun; zero for none.
 	TimeToDeadline time.Duration
 	Patience       time.Duration
-	// Priority is the priority among waiting requests of one service; 0 goes first.
+	// Priority is set by the operator. If a waiting request must be deferred, the highest value
+	// is deferred first.
 	Priority int
 	// QueueID is the ID under which the request has waited in the queue; zero if it has not.
 	QueueID PlacementID
@@ -67,8 +68,8 @@
 	Upstream Upstream
 	// Helpers prefill parts of the prompt for Upstream.
 	Helpers []Helper
-	// Probe is set after recent losses of upstreams, if one of this set is likely enough to be
-	// down: probe them before sending the request.
+	// Probe is set if upstreams have recently gone down and one of this choice is likely enough
+	// to be down too: probe them before sending the request.
 	Probe bool
 	// Urgency is the priority of the request at the upstream; 0 goes first.
 	Urgency int
--- a/core/evidence/evidence.go
+++ b/core/evidence/evidence.go
@@ -8,8 +8,8 @@
 // Evidence has two strengths. A suspicion (Silent) may be caused by the network: a partitioned
 // entry sees all upstreams behind the partition go silent. Proof can't: no partition makes an
 // upstream's host refuse a connection or another incarnation answer in its place. So proof
-// counts from a single entry and a suspicion from two, and the accusations of one entry count
-// for a limited share of the upstreams only.
+// counts from a single entry and a suspicion from two, and the reports of one entry count for a
+// limited share of the upstreams only.
 package evidence
 
 import (
@@ -20,7 +20,6 @@
 // Kind says what an entry has observed of an incarnation, the strongest last.
 type Kind uint8
 
-// The kinds of evidence.
 const (
 	// Answered means that it answered a request.
 	Answered Kind = iota + 1
@@ -95,12 +94,12 @@
 	answeredSentAt time.Time
 	// suspects are the latest suspicions of other entries.
 	suspects [suspicionQuorum]suspicion
-	// accuser is the only other entry that has sent proof against it, zero for none or if the
-	// proof was confirmed. firstProofAt and lastProofAt are the times of the first and the last
-	// proof.
-	accuser      uint64
-	firstProofAt time.Time
-	lastProofAt  time.Time
+	// unconfirmedReporter is the only other entry that has sent proof against it, zero for none
+	// or if the proof was confirmed. firstProofAt and lastProofAt are the times of the first and
+	// the last proof.
+	unconfirmedReporter uint64
+	firstProofAt        time.Time
+	lastProofAt         time.Time
 }
 
 type suspicion struct {
@@ -129,8 +128,8 @@
 	return penaltyPerFailure * float64(n)
 }
 
-// ProvedDown reports whether the incarnation was proved to be down and nothing has answered
-// since.
+// ProvedDown reports whether the incarnation was proved to be down and has not answered after
+// the proof.
 func (r *Record) ProvedDown() bool { return r.kind.proof() }
 
 // propagationDelay is how long after another entry's proof requests may still arrive that were
@@ -168,7 +167,7 @@
 // hasEvidence reports whether there is any evidence against the incarnation.
 func (r *Record) hasEvidence() bool { return r.failures > 0 || r.shared }
 
-// outweighs reports whether an answer to a request sent at asked outweighs the evidence. A
+// outweighs reports whether an answer to a request sent at sentAt outweighs the evidence. A
 // draining upstream still answers requests that it accepted before, but takes no new ones.
 func (r *Record) outweighs(sentAt time.Time) bool {
 	return !r.kind.proof() || sentAt.After(r.evidenceAt)
--- a/core/evidence/reporter.go
+++ b/core/evidence/reporter.go
@@ -14,12 +14,12 @@
 	// upstream.
 	suspicionTTL = time.Second
 	// maxSuspectShare and maxProofShare bound the share of a service's upstreams that one entry
-	// can exclude by suspicions and by proof. An entry that accuses more is most likely
+	// can exclude by suspicions and by proof. An entry that reports more is most likely
 	// partitioned itself.
 	maxSuspectShare = 0.25
 	maxProofShare   = 0.5
-	// accusationTTL is how long an accusation counts towards these shares.
-	accusationTTL = 2 * time.Second
+	// reportTTL is how long a suspicion or proof counts towards these shares.
+	reportTTL = 2 * time.Second
 	// contradictionWindow is the time within which an answer contradicts a proof. A restart
 	// under the same ID takes longer.
 	contradictionWindow = 1500 * time.Millisecond
@@ -32,9 +32,9 @@
 	maxReporters = 2000
 )
 
-// reporter is another entry with its recent accusations.
+// reporter is another entry with the upstreams that it has recently reported as down.
 type reporter struct {
-	accused      map[uint32]time.Time
+	reported     map[uint32]time.Time
 	contradicted decay.Sum
 	lastReport   time.Time
 }
@@ -43,7 +43,7 @@
 	rep := t.reporters[origin]
 	if rep == nil {
 		t.evictReporters(now)
-		rep = &reporter{accused: make(map[uint32]time.Time)}
+		rep = &reporter{reported: make(map[uint32]time.Time)}
 		t.reporters[origin] = rep
 	}
 	rep.lastReport = now
@@ -67,24 +67,24 @@
 
 func (rep *reporter) contradict(now time.Time) { rep.contradicted.Add(now, 1, contradictionDecay) }
 
-// mayAccuse reports whether the entry may accuse one more of the known upstreams.
-func (rep *reporter) mayAccuse(now time.Time, tag uint32, kind Kind, known int) bool {
+// mayReport reports whether the entry may report one more of the known upstreams as down.
+func (rep *reporter) mayReport(now time.Time, tag uint32, kind Kind, known int) bool {
 	if rep.contradicted.Value(now, contradictionDecay) > maxContradictions {
 		return false
 	}
-	for other, at := range rep.accused {
-		if now.Sub(at) > accusationTTL {
-			delete(rep.accused, other)
+	for other, at := range rep.reported {
+		if now.Sub(at) > reportTTL {
+			delete(rep.reported, other)
 		}
 	}
 	share := maxSuspectShare
 	if kind.proof() {
 		share = maxProofShare
 	}
-	if _, repeated := rep.accused[tag]; !repeated && len(rep.accused) >= max(int(share*float64(known)), 1) {
+	if _, repeated := rep.reported[tag]; !repeated && len(rep.reported) >= max(int(share*float64(known)), 1) {
 		return false
 	}
-	rep.accused[tag] = now
+	rep.reported[tag] = now
 	return true
 }
 
@@ -120,7 +120,7 @@
 		t.CountDropped(Overruled, 1)
 		return
 	}
-	if !t.reporter(now, origin).mayAccuse(now, report.Tag, report.Kind, known) {
+	if !t.reporter(now, origin).mayReport(now, report.Tag, report.Kind, known) {
 		t.CountDropped(Distrusted, 1)
 		return
 	}
@@ -142,18 +142,18 @@
 	}
 	excluded := r.Excluded(now) && r.kind.proof()
 	switch {
-	case r.accuser == origin:
+	case r.unconfirmedReporter == origin:
 		r.lastProofAt = now // Repeated proof counts once; then this entry tries the incarnation itself.
-	case excluded && r.accuser == 0:
+	case excluded && r.unconfirmedReporter == 0:
 		return
-	case r.accuser != 0:
+	case r.unconfirmedReporter != 0:
 		// Confirmed. The jitter makes entries retry at different times; the first one reports
 		// its result to the others.
 		duration := r.exclusionTime(kind)
-		r.accuser = 0
+		r.unconfirmedReporter = 0
 		t.exclude(now, at, subject, r, kind, origin, duration+t.jitter(duration))
 	default:
-		r.accuser, r.lastProofAt = origin, now
+		r.unconfirmedReporter, r.lastProofAt = origin, now
 		t.exclude(now, at, subject, r, kind, origin, unconfirmedTime+t.jitter(unconfirmedTime))
 	}
 }
--- a/core/evidence/tracker.go
+++ b/core/evidence/tracker.go
@@ -10,7 +10,6 @@
 // DropReason says why a report of another entry was dropped.
 type DropReason uint8
 
-// The reasons.
 const (
 	// Malformed reports have an unknown kind, or an age that is negative or too high.
 	Malformed DropReason = iota
@@ -20,7 +19,8 @@
 	Unknown
 	// Overruled reports are older than an answer that this entry has received.
 	Overruled
-	// Distrusted reports come from an entry that accuses too many upstreams, or wrongly.
+	// Distrusted reports come from an entry that reports too many upstreams as down, or whose
+	// reports were contradicted.
 	Distrusted
 	reasonCount
 )
@@ -42,8 +42,8 @@
 const (
 	// MaxReports bounds the reports in one message.
 	MaxReports = 64
-	// maxReportAge bounds the age of a report that is applied: an incarnation that did not
-	// answer long ago may answer by now.
+	// maxReportAge bounds the age of a report that is applied: after that time the incarnation
+	// may be answering again.
 	maxReportAge = 5 * time.Second
 	// reportsPerSecond bounds the reports that one entry sends.
 	reportsPerSecond = 100
@@ -54,13 +54,13 @@
 // Tracker records evidence on incarnations from this entry and others, and queues the reports
 // to send. It is not safe for concurrent use.
 type Tracker struct {
-	random     *rand.Rand
-	reporters  map[uint64]*reporter
-	reports    []pendingReport
-	reportRate decay.Sum
-	losses     decay.Sum
-	verdicts   []Verdict
-	dropped    [reasonCount]uint64
+	random       *rand.Rand
+	reporters    map[uint64]*reporter
+	reports      []pendingReport
+	reportRate   decay.Sum
+	recentlyDown decay.Sum
+	verdicts     []Verdict
+	dropped      [reasonCount]uint64
 }
 
 // pendingReport is a Report that was not sent yet, with a time instead of an age.
@@ -76,7 +76,8 @@
 	return &Tracker{random: random, reporters: make(map[uint64]*reporter)}
 }
 
-// Observe records this entry's own evidence on an incarnation, from a request sent at asked.
+// Observe records this entry's own evidence on an incarnation, from a request sent at
+// sentAt.
 func (t *Tracker) Observe(now time.Time, subject Subject, r *Record, kind Kind, sentAt time.Time) {
 	if kind == Answered {
 		r.answeredSentAt = latest(r.answeredSentAt, sentAt)
@@ -85,21 +86,22 @@
 		}
 		return
 	}
-	if kind.proof() && r.kind.proof() && r.Excluded(now) && r.accuser == 0 {
-		return // Other requests in flight there fail too; this is nothing new.
+	if kind.proof() && r.kind.proof() && r.Excluded(now) && r.unconfirmedReporter == 0 {
+		return // A further failure of a request that was in flight; the proof is already recorded.
 	}
 	length := r.exclusionTime(kind)
 	t.exclude(now, now, subject, r, kind, 0, length)
-	r.accuser = 0
+	r.unconfirmedReporter = 0
 	if kind != Erred {
 		t.queueReport(now, subject, r, kind)
 	}
 }
 
-// exclude excludes an incarnation for a time.
+// exclude excludes an incarnation for a time, on evidence that was observed at the given time by
+// the entry origin; zero is this entry.
 func (t *Tracker) exclude(now, at time.Time, subject Subject, r *Record, kind Kind, origin uint64, duration time.Duration) {
 	if kind != Erred && !r.Excluded(now) {
-		t.losses.Add(now, 1, lossWindow)
+		t.recentlyDown.Add(now, 1, recentlyDownWindow)
 	}
 	r.failures++
 	r.excludedUntil = latest(r.excludedUntil, now.Add(duration))
@@ -109,17 +111,20 @@
 	t.recordVerdict(Verdict{Name: subject.Name, Kind: kind, Origin: origin, Age: now.Sub(at), At: now, Duration: duration})
 }
 
-// lossWindow is the averaging time of Losses: failures with a common cause are found within
-// seconds.
-const lossWindow = 3 * time.Second
+// recentlyDownWindow is the averaging time of RecentlyDown: failures with a common cause are
+// found within seconds.
+const recentlyDownWindow = 3 * time.Second
 
-// Losses returns the number of incarnations that were recently found not to answer.
-func (t *Tracker) Losses(now time.Time) float64 { return t.losses.Value(now, lossWindow) }
+// RecentlyDown returns the number of incarnations that were recently found not to answer.
+func (t *Tracker) RecentlyDown(now time.Time) float64 {
+	return t.recentlyDown.Value(now, recentlyDownWindow)
+}
 
-// readmit ends the exclusion of an incarnation that answered at the given time.
+// readmit ends the exclusion of an incarnation that answered the entry origin at the given time;
+// zero is this entry.
 func (t *Tracker) readmit(now, at time.Time, subject Subject, r *Record, origin uint64) {
-	if r.accuser != 0 && now.Sub(r.lastProofAt) < contradictionWindow {
-		t.reporter(now, r.accuser).contradict(now)
+	if r.unconfirmedReporter != 0 && now.Sub(r.lastProofAt) < contradictionWindow {
+		t.reporter(now, r.unconfirmedReporter).contradict(now)
 	}
 	shared := r.shared
 	r.clear()
@@ -156,8 +161,8 @@
 // Pending reports whether there are reports to send.
 func (t *Tracker) Pending() bool { return len(t.reports) > 0 }
 
-// TakeVerdicts returns the decisions since the last call, for the log. Beyond a bound, the
-// first ones are kept.
+// TakeVerdicts returns the decisions since the last call, for the log: at most the first
+// maxVerdicts.
 func (t *Tracker) TakeVerdicts() []Verdict {
 	verdicts := t.verdicts
 	t.verdicts = nil
@@ -173,5 +178,5 @@
 // CountDropped counts dropped reports.
 func (t *Tracker) CountDropped(reason DropReason, n int) { t.dropped[reason] += uint64(n) }
 
-// DropReason returns the number of reports dropped for a reason.
+// Dropped returns the number of reports dropped for a reason.
 func (t *Tracker) Dropped(reason DropReason) uint64 { return t.dropped[reason] }
