--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -49,7 +49,8 @@
 	Delay(n int) time.Duration
 }
 
-// Replica identifies the agent incarnation that was chosen for the call.
+// Replica identifies the agent incarnation that was chosen for the call. For a call that is sent
+// without an agent, Agent holds the name of the upstream's incarnation.
 type Replica struct {
 	Agent       string
 	Incarnation call.Incarnation
@@ -72,23 +73,22 @@
 	RetryAfter time.Duration
 	// Better is the less loaded replica that a refusal recommends; it may be empty.
 	Better string
-	// RetrySameAgent says that the same agent may accept the call if it is sent without the part
-	// that it was refused for, such as another upstream that does not serve.
+	// RetrySameAgent says that the same agent may accept the call if the cause of the refusal,
+	// such as a helper that is down, is left out.
 	RetrySameAgent bool
 }
 
 // Kind is the kind of an Action, which the code that drives the Machine performs.
 type Kind uint8
 
-// The kinds of action.
 const (
 	// None requires nothing until the next event or the time that
 	// Machine.NextTimer returns.
 	None Kind = iota
 	// Choose asks to route the call, and to report Chosen or NoReplica.
 	Choose
-	// ContinueElsewhere is Choose for a call of which Delivered frames have been
-	// handed to the caller: the next attempt continues after them.
+	// ContinueElsewhere is Choose for a call of which the caller has received some frames
+	// (their number is in Delivered): the next attempt continues after them.
 	ContinueElsewhere
 	// Offer asks to send the offer to Replica, over a new link if Redial is set. If its
 	// Attempt is new, Restart must be called on the stream's Receiver before any other
@@ -119,7 +119,7 @@
 	NextSeq uint64
 	// Delivered counts the frames handed to the caller over all attempts.
 	Delivered uint64
-	// Better names the replica that the last refusal recommends; it may be empty.
+	// Better is the less loaded replica that the last refusal recommends; it may be empty.
 	Better string
 	// Release says that a cancellation of Attempt should also be sent to Replica, without
 	// waiting for an answer, so that the agent frees the call's resources. It may be set
--- a/core/attempt/machine.go
+++ b/core/attempt/machine.go
@@ -8,8 +8,9 @@
 )
 
 // maxLinkFailures is the number of consecutive link failures, without any message from the
-// agent, after which the machine stops offering the call or resuming there. A single
-// failure usually affects only the connection, and a new one succeeds.
+// agent, after which the machine gives up a repeatable call and cancels one that is not
+// proved to have run. A single failure usually affects only the connection, and a new one
+// succeeds.
 const maxLinkFailures = 3
 
 // step is the event that the machine waits for.
@@ -50,8 +51,8 @@
 	timer     time.Time
 	nextSeq   uint64
 	delivered uint64
-	better    string
-	// retryAfter is the RetryAfter of the last refusal.
+	// better and retryAfter are the Better and RetryAfter of the last refusal.
+	better     string
 	retryAfter time.Duration
 	// headSent means that the caller may have been sent the head of an answer.
 	headSent bool
@@ -87,8 +88,8 @@
 // MayTryAnotherAgent reports whether another agent may still be tried.
 func (m *Machine) MayTryAnotherAgent() bool { return m.retries < m.request.MaxRetries }
 
-// PinnedAgent returns the only agent to which the call may be sent, which is the one to retry if
-// no other agent may be tried any more. It returns "" if there is no such restriction.
+// PinnedAgent returns "" while another agent may be tried. After that it returns the agent to
+// which the call may be sent again, if there is one.
 func (m *Machine) PinnedAgent() string {
 	if m.MayTryAnotherAgent() {
 		return ""
@@ -144,7 +145,7 @@
 		replica.ID = m.request.ID
 	}
 	if m.pinned != "" && m.pinned != replica.Agent {
-		m.retries++
+		m.retries++ // The allowed retry at the same agent goes to another one, so it counts.
 	}
 	m.pinned = ""
 	m.replica = replica
@@ -193,8 +194,9 @@
 	// A refusal proves nothing about an attempt whose answer has begun.
 	proved := outcome.Execution == result.NotRun && m.step != streaming
 	if m.request.Keyed && outcome.Code == result.StaleOffer && !proved {
-		// The key's row outlives the agent's record of the run. The remedy of a stale
-		// offer, to try again, cannot succeed: the row binds every repeat to this stamp.
+		// The key's row outlives the agent's record of the run. StaleOffer would tell the
+		// caller to try again, but the row binds every repeat to the same stale stamp, so no
+		// repeat can succeed.
 		outcome.Code = result.FirstRunLost
 	}
 	return m.unlessExpired(now, m.endAttempt(now, outcome, proved))
@@ -213,7 +215,7 @@
 }
 
 // Delivered reports that the frame with number seq was handed to the caller. The frame
-// also counts after the attempt was given up, until the next one is chosen, because
+// also counts after the attempt was given up, until another replica is chosen, because
 // frames that the caller has received must not be generated again.
 func (m *Machine) Delivered(now time.Time, attempt call.Attempt, seq uint64) Action {
 	if m.step == done || attempt != m.attempt {
@@ -228,7 +230,7 @@
 
 // Ended reports the end of the attempt, after all its frames were delivered. Its code is
 // OK or says why the upstream failed. A complete answer also counts after the attempt was
-// given up, until the next one is chosen.
+// given up, until another replica is chosen.
 func (m *Machine) Ended(now time.Time, attempt call.Attempt, outcome Outcome) Action {
 	if m.step == done || attempt != m.attempt || outcome.Code != result.OK && !m.isCurrent(attempt) {
 		return Action{}
--- a/core/attempt/steps.go
+++ b/core/attempt/steps.go
@@ -63,7 +63,8 @@
 	return m.fillAction(Action{Kind: CancelAndConfirm, Redial: true, Delay: delay})
 }
 
-// reconnect tries the same incarnation over a new link, up to maxSilent times.
+// reconnect tries the same incarnation over a new link. After maxLinkFailures in a row it gives
+// up a repeatable call, and cancels a call that is not proved to have run.
 func (m *Machine) reconnect(now time.Time) Action {
 	if m.request.Repeatable && m.linkFailures >= maxLinkFailures {
 		return m.endAttempt(now, Outcome{Code: result.LinkSilent}, false)
@@ -107,9 +108,9 @@
 	return m.retry(now, !proved)
 }
 
-// maxSameAgentRetries bounds how often a call is sent again to an agent that refused it
-// because of another upstream that does not serve. Each refusal reveals one more such
-// upstream, and each resend also counts against the retry budget.
+// maxSameAgentRetries bounds how often a call is sent again to an agent that refused it because
+// of a helper that is down. Each refusal reveals one more such helper, and each resend also
+// counts against the retry budget.
 const maxSameAgentRetries = 6
 
 // budgetSpent returns the failure for a retry that the budget forbids. It keeps the
@@ -122,8 +123,8 @@
 	return Outcome{Code: result.RetryBudgetSpent, Detail: detail, RetryAfter: outcome.RetryAfter}
 }
 
-// retry chooses another replica, immediately if the refusal recommended one, because a
-// backoff would then only lose time, and after a delay otherwise.
+// retry chooses another replica. If the refusal recommended one, it does so immediately, because
+// a backoff would only lose time; otherwise after a delay.
 func (m *Machine) retry(now time.Time, release bool) Action {
 	var action Action
 	if m.better != "" {
@@ -142,7 +143,8 @@
 // retry budget. The budget prevents retries from amplifying an overload. Two cases cannot
 // amplify one: an agent that refused did no work for the offer, and each call of a lost
 // agent is moved only once. If the second case counted, the loss of one agent would end
-// most of its streams, because they are far more than a tenth of the current calls.
+// most of its streams: they are far more calls than the retry budget, a tenth of the
+// current calls, allows.
 func spendsBudget(code result.Code, proved bool) bool {
 	switch code {
 	case result.AgentLost:
--- a/core/breaker/breaker.go
+++ b/core/breaker/breaker.go
@@ -10,7 +10,6 @@
 // State is the state of a Breaker.
 type State uint8
 
-// The states.
 const (
 	// Closed lets all calls through.
 	Closed State = iota
@@ -28,7 +27,6 @@
 // Outcome is the way in which a call ended.
 type Outcome uint8
 
-// The outcomes.
 const (
 	// Success means that the service answered, even if it refused the call.
 	Success Outcome = iota
--- a/core/idempotency/claim.go
+++ b/core/idempotency/claim.go
@@ -11,7 +11,6 @@
 // ClaimKind is the kind of a ClaimAction, which the code that drives the Claim performs.
 type ClaimKind uint8
 
-// The kinds of action.
 const (
 	// ClaimNone requires nothing until the next event.
 	ClaimNone ClaimKind = iota
@@ -30,7 +29,7 @@
 	// result, or starts it if the other entry failed before it offered the call.
 	AttachBound
 	// ChooseAgain means that the bound agent is proved not to have run the call. It asks
-	// to choose another agent and call Rebind, or to give up with NotRun.
+	// to choose another agent and call Rebind. A caller that chooses none answers NotRun.
 	ChooseAgain
 	// ClaimFailed is final: answer the caller with Err.
 	ClaimFailed
@@ -54,7 +53,6 @@
 // StoreFailure is the way in which a store operation failed.
 type StoreFailure uint8
 
-// The failures.
 const (
 	// StoreConflict means that the condition did not hold; nothing was written.
 	StoreConflict StoreFailure = iota
@@ -98,7 +96,7 @@
 	claimIdle claimStep = iota
 	claimWriting
 	claimReading
-	// claimBound waits for a refusal of the offer, which the call's Machine handles.
+	// claimBound waits while the call's Machine makes the offer; Refused or AgentLost ends it.
 	claimBound
 	// claimRefused waits for Rebind.
 	claimRefused
@@ -110,20 +108,23 @@
 // and the binding is changed only after the bound agent has proved that the call did not
 // run there and never will.
 //
-// NotRun in a failure refers to this try only: its id did not run, nor did the run that
-// it attached to. A concurrent try with the same key gets its own answer.
+// NotRun in a failure refers to this try only: neither the try itself nor the run that it
+// attached to executed the call. A concurrent try with the same key gets its own answer.
 type Claim struct {
 	spec ClaimSpec
 	step claimStep
-	op   uint32
+	// lastOp is the number of the last store operation.
+	lastOp uint32
 	// row and version are the last known committed row and its version; version is 0
 	// until a row is known.
 	row     Row
 	version uint64
 	// pending is the row of the write in progress, which is conditional on version.
-	pending    Row
-	writes     int
-	operations int
+	pending Row
+	// writeCount is the number of writes; it is the suffix of a write's token. operationsSpent
+	// is the number of store operations spent on the current write; maxStoreOperations bounds it.
+	writeCount      int
+	operationsSpent int
 	// writeUncertain means that the pending write may have taken effect, or may still.
 	writeUncertain bool
 	// bound means that the call may run under a binding of this try or another.
@@ -138,8 +139,8 @@
 	return &Claim{spec: spec}
 }
 
-// Start claims the key for the chosen agent. The stamp in b must be the one from the time
-// when the agent was chosen, not a later one.
+// Start claims the key for the chosen agent. The stamp in b, the agent's clock as last seen,
+// must be the one from the time when the agent was chosen, not a later one.
 func (c *Claim) Start(now time.Time, b Binding) ClaimAction {
 	if c.step != claimIdle {
 		return ClaimAction{}
@@ -159,7 +160,7 @@
 
 // Written reports that operation op committed and that version is the row's new version.
 func (c *Claim) Written(now time.Time, op uint32, version uint64) ClaimAction {
-	if c.step != claimWriting || op != c.op {
+	if c.step != claimWriting || op != c.lastOp {
 		return ClaimAction{}
 	}
 	c.bound = true
@@ -169,7 +170,7 @@
 
 // WriteFailed reports that operation op, an InsertRow or RebindRow, failed.
 func (c *Claim) WriteFailed(now time.Time, op uint32, failure StoreFailure) ClaimAction {
-	if c.step != claimWriting || op != c.op {
+	if c.step != claimWriting || op != c.lastOp {
 		return ClaimAction{}
 	}
 	switch {
@@ -190,7 +191,7 @@
 // ReadDone reports the result of operation op, a ReadRow. found is false if there is no
 // row.
 func (c *Claim) ReadDone(now time.Time, op uint32, value []byte, version uint64, found bool) ClaimAction {
-	if c.step != claimReading || op != c.op {
+	if c.step != claimReading || op != c.lastOp {
 		return ClaimAction{}
 	}
 	if !found {
@@ -222,7 +223,7 @@
 
 // ReadFailed reports that operation op, a ReadRow, did not succeed.
 func (c *Claim) ReadFailed(now time.Time, op uint32) ClaimAction {
-	if c.step != claimReading || op != c.op {
+	if c.step != claimReading || op != c.lastOp {
 		return ClaimAction{}
 	}
 	return c.read(now)
@@ -274,13 +275,13 @@
 // write starts a write of the row with binding b, on condition that the row's version is
 // the last known one.
 func (c *Claim) write(now time.Time, b Binding) ClaimAction {
-	c.writes++
-	c.operations = 0
+	c.writeCount++
+	c.operationsSpent = 0
 	c.pending = Row{
 		Request: c.spec.Request,
 		ID:      c.spec.ID,
 		Binding: b,
-		Writer:  c.spec.Token + "." + strconv.Itoa(c.writes),
+		Writer:  c.spec.Token + "." + strconv.Itoa(c.writeCount),
 		Expires: now.Add(c.spec.Lifetime),
 	}
 	return c.sendPendingWrite(now)
@@ -309,15 +310,15 @@
 // startOperation numbers a store operation, so that a late answer to an earlier one is not
 // attributed to it, and delays repeated operations exponentially.
 func (c *Claim) startOperation(now time.Time, action ClaimAction) ClaimAction {
-	if c.operations >= maxStoreOperations {
+	if c.operationsSpent >= maxStoreOperations {
 		return c.failUnresolved()
 	}
-	if c.operations > 1 {
-		action.Delay = storeRetryDelay << (c.operations - 2)
+	if c.operationsSpent > 1 {
+		action.Delay = storeRetryDelay << (c.operationsSpent - 2)
 	}
-	c.operations++
-	c.op++
-	action.Op = c.op
+	c.operationsSpent++
+	c.lastOp++
+	action.Op = c.lastOp
 	return c.unlessExpired(now, action)
 }
 
--- a/core/idempotency/ledger.go
+++ b/core/idempotency/ledger.go
@@ -30,7 +30,6 @@
 // VerdictKind is the kind of a Verdict, which tells the agent how to handle an offer.
 type VerdictKind uint8
 
-// The kinds of verdict.
 const (
 	// Run means that the id is new and is now queued. The agent must call Begin or Refuse
 	// for it.
--- a/core/stream/receiver.go
+++ b/core/stream/receiver.go
@@ -5,7 +5,6 @@
 // Outcome is the result of passing a frame to a Receiver.
 type Outcome uint8
 
-// The outcomes.
 const (
 	// Delivered means that the frame, and any held frames that follow it, were handed out.
 	Delivered Outcome = iota
