--- a/core/limits/limits.go
+++ b/core/limits/limits.go
@@ -52,7 +52,7 @@
 	batchShare = 0.25
 	// HoldTimeout is how long an owner counts concurrency that is not renewed.
 	HoldTimeout = 5 * time.Second
-	// renewInterval leaves time for a second renewal before HoldBound ends.
+	// renewInterval leaves time for a second renewal before HoldTimeout ends.
 	renewInterval = 2 * time.Second
 	// ownerRetryInterval is how long an entry uses its local share before it asks an owner
 	// that did not answer again.
@@ -67,7 +67,6 @@
 // Outcome is the result of a decision on a request.
 type Outcome uint8
 
-// The outcomes.
 const (
 	// Admitted means that the request may proceed. The caller calls Release when it ends.
 	Admitted Outcome = iota
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -29,7 +29,7 @@
 // Reason is the reason for an order or a rejection.
 type Reason string
 
-// The reasons.
+// The reasons as they are logged.
 const (
 	ReasonTooFew      Reason = "fewer replicas than the document wants"
 	ReasonVersion     Reason = "the replica serves a version that isn't wanted"
--- a/core/reservation/pool.go
+++ b/core/reservation/pool.go
@@ -15,7 +15,6 @@
 // State is the state of a reservation.
 type State uint8
 
-// The states of a reservation.
 const (
 	// Reserved memory is kept for its owner until ConfirmTimeout has passed.
 	Reserved State = iota
@@ -27,7 +26,8 @@
 // Reservation is memory that one request holds at one engine.
 type Reservation struct {
 	ID call.ID
-	// Attempt numbers the attempts of the request, or of its group, to reserve memory here.
+	// Attempt is the number of this attempt of the request, or of its group, to reserve memory
+	// here.
 	Attempt call.Attempt
 	// Owner is the incarnation of the process that reserved the memory: an entry, or the
 	// agent that leads a group.
@@ -39,7 +39,7 @@
 	Since time.Time
 }
 
-// Options bounds how long memory may be held without activity of its owner.
+// Options holds the timeouts of a Pool and the assumed delay of engine reports.
 type Options struct {
 	// ConfirmTimeout is how long a reservation may stay unconfirmed.
 	ConfirmTimeout time.Duration
@@ -49,10 +49,10 @@
 	ReportMargin time.Duration
 }
 
-// DefaultOptions returns the usual bounds.
+// DefaultOptions returns the usual options.
 func DefaultOptions() Options {
 	return Options{
-		ConfirmTimeout: 5 * time.Second,  // reserving at a group of four one by one takes under 20 ms
+		ConfirmTimeout: 5 * time.Second,  // reserving at a group of four takes under 20 ms
 		OwnerTimeout:   10 * time.Second, // several missed heartbeats
 		ReportMargin:   2 * time.Second,  // reports lag about a second
 	}
@@ -70,8 +70,9 @@
 	owners       map[call.Incarnation]*owner
 	// tombstones records releases, since requests and reports from before a release may still
 	// arrive for a while.
-	tombstones     map[call.ID]tombstone
-	used           int64
+	tombstones map[call.ID]tombstone
+	used       int64
+	// orphanedTokens is the memory that the engine reports in use without a reservation here.
 	orphanedTokens int64
 }
 
@@ -96,8 +97,8 @@
 	}
 }
 
-// Free returns the memory in tokens that neither reservations nor orphans hold. It is never
-// negative.
+// Free returns the memory in tokens that neither reservations nor orphanedTokens take up. It
+// is never negative.
 func (p *Pool) Free() int64 { return max(0, p.capacity-p.used-p.orphanedTokens) }
 
 // Used returns the memory in tokens that reservations hold.
@@ -115,10 +116,10 @@
 	return *r, true
 }
 
-// Reserve reserves memory for r.Owner. Repeating a reservation succeeds and changes
-// nothing; a later attempt of the same owner replaces an earlier one. Errors are of type
-// *result.Error, all not-run: MemoryFull, DeadlinePassed, Tombstoned when the attempt was
-// released before, and WrongIncarnation when another owner holds the ID.
+// Reserve reserves memory for r.Owner. Repeating a reservation succeeds and changes nothing; a
+// later attempt of the same owner replaces an earlier one. Errors are of type *result.Error, all
+// with execution NotRun: MemoryFull, DeadlinePassed, Tombstoned when the attempt was released
+// before, and WrongIncarnation when another owner holds the ID.
 //
 // A delayed reserve message may arrive after the release of its own request and would then
 // hold memory for a request that has ended. The tombstone of the release rejects it.
@@ -159,8 +160,8 @@
 	return o
 }
 
-// Confirm marks reserved memory as in use. The error is Tombstoned when the reservation has
-// expired or was never made; the owner must then abort the whole request.
+// Confirm marks reserved memory as in use. The error is Tombstoned when this attempt of this
+// owner holds no reservation here; the owner must then abort the whole request.
 func (p *Pool) Confirm(id call.ID, attempt call.Attempt, incarnation call.Incarnation, now time.Time) error {
 	r := p.reservations[id]
 	if r == nil || r.Owner != incarnation || r.Attempt != attempt {
@@ -200,7 +201,9 @@
 }
 
 // pruneTombstones drops the tombstones for which no late report or request can arrive any
-// more. If too many remain, it drops all of them.
+// more. If too many remain, it drops all of them. A late Reserve of a released attempt then
+// succeeds and holds memory until it expires, and a late report can show released memory as
+// orphaned.
 func (p *Pool) pruneTombstones(now time.Time) {
 	for id, released := range p.tombstones {
 		if now.Sub(released.releasedAt) > p.tombstoneTTL() {
--- a/core/scheduling/lane.go
+++ b/core/scheduling/lane.go
@@ -27,16 +27,16 @@
 
 // node is a queued item. Times are nanoseconds since the queue's origin.
 type node struct {
-	item        Item
-	class       call.Class
-	memory      int64
-	cost        int64 // tokens charged to the organisation
-	sequence    uint64
-	agesAt      int64 // from then on the item goes ahead of shorter ones
-	latestStart int64 // the latest start that meets the deadline
-	tenant      *tenant
-	tenantIndex int // index in tenant.items
-	expiryIndex int // index in Priority.byLatestStart
+	item              Item
+	class             call.Class
+	memory            int64
+	cost              int64 // tokens charged to the organisation
+	sequence          uint64
+	agesAt            int64 // from then on the item goes ahead of shorter ones
+	latestStart       int64 // the latest start that meets the deadline
+	organisation      *organisationQueue
+	organisationIndex int // index in organisationQueue.items
+	latestStartIndex  int // index in Priority.byLatestStart
 }
 
 func earlier(a, b *node) bool {
@@ -46,9 +46,9 @@
 	return a.sequence < b.sequence
 }
 
-// tenant holds the items of one organisation in one lane, ordered by age. It exists only
+// organisationQueue holds the items of one organisation in one lane, ordered by age. It exists only
 // while it has items or its use is ahead of the lane's virtual time.
-type tenant struct {
+type organisationQueue struct {
 	name         string
 	used         int64 // virtual time: tokens started, raised to the lane's after an idle period
 	promptTokens int64 // uncached prompt tokens of the queued items
@@ -58,41 +58,41 @@
 	idleIndex    int // index in lane.idle; -1 when not in it
 }
 
-func (t *tenant) head() *node { return t.items.items[0] }
+func (t *organisationQueue) head() *node { return t.items.items[0] }
 
 // lane holds the items of one length class. It shares tokens fairly among organisations by
 // start-time fair queueing, which orders starts by virtual time.
 type lane struct {
-	quantum     int64
-	agedSlack   int64
-	virtualTime int64 // of the last start
-	tenants     map[string]*tenant
-	byUse       heap[*tenant] // tenants with items, by use
-	byAge       heap[*tenant] // tenants with items, by the age of their first item
-	idle        heap[*tenant] // tenants without items but ahead of virtualTime, by use
-	freeTenants []*tenant
+	quantum           int64
+	agedSlack         int64
+	virtualTime       int64 // of the last start
+	organisations     map[string]*organisationQueue
+	byUse             heap[*organisationQueue] // organisations with items, by use
+	byAge             heap[*organisationQueue] // organisations with items, by age of the first item
+	idle              heap[*organisationQueue] // idle organisations still ahead of virtualTime, by use
+	freeOrganisations []*organisationQueue
 }
 
 func newLane(quantum, agedSlack int64) *lane {
-	l := &lane{quantum: quantum, agedSlack: agedSlack, tenants: make(map[string]*tenant)}
-	l.byUse.less = func(a, b *tenant) bool {
+	l := &lane{quantum: quantum, agedSlack: agedSlack, organisations: make(map[string]*organisationQueue)}
+	l.byUse.less = func(a, b *organisationQueue) bool {
 		x, y := a.used/l.quantum, b.used/l.quantum
 		if x != y {
 			return x < y
 		}
 		return earlier(a.head(), b.head())
 	}
-	l.byUse.setIndex = func(t *tenant, i int) { t.byUseIndex = i }
-	l.byAge.less = func(a, b *tenant) bool { return earlier(a.head(), b.head()) }
-	l.byAge.setIndex = func(t *tenant, i int) { t.byAgeIndex = i }
-	l.idle.less = func(a, b *tenant) bool { return a.used < b.used }
-	l.idle.setIndex = func(t *tenant, i int) { t.idleIndex = i }
+	l.byUse.setIndex = func(t *organisationQueue, i int) { t.byUseIndex = i }
+	l.byAge.less = func(a, b *organisationQueue) bool { return earlier(a.head(), b.head()) }
+	l.byAge.setIndex = func(t *organisationQueue, i int) { t.byAgeIndex = i }
+	l.idle.less = func(a, b *organisationQueue) bool { return a.used < b.used }
+	l.idle.setIndex = func(t *organisationQueue, i int) { t.idleIndex = i }
 	return l
 }
 
 func (l *lane) push(n *node) {
-	t := l.tenant(n.item.Organisation)
-	n.tenant = t
+	t := l.organisation(n.item.Organisation)
+	n.organisation = t
 	t.promptTokens += uncachedTokens(&n.item)
 	t.items.push(n)
 	if len(t.items.items) == 1 {
@@ -101,38 +101,38 @@
 		l.byAge.push(t)
 		return
 	}
-	if n.tenantIndex == 0 {
+	if n.organisationIndex == 0 {
 		l.byUse.fix(t.byUseIndex)
 		l.byAge.fix(t.byAgeIndex)
 	}
 }
 
-func (l *lane) tenant(name string) *tenant {
-	if t := l.tenants[name]; t != nil {
+func (l *lane) organisation(name string) *organisationQueue {
+	if t := l.organisations[name]; t != nil {
 		if t.idleIndex >= 0 {
 			l.idle.remove(t.idleIndex)
 		}
 		return t
 	}
-	var t *tenant
-	if last := len(l.freeTenants) - 1; last >= 0 {
-		t = l.freeTenants[last]
-		l.freeTenants = l.freeTenants[:last]
+	var t *organisationQueue
+	if last := len(l.freeOrganisations) - 1; last >= 0 {
+		t = l.freeOrganisations[last]
+		l.freeOrganisations = l.freeOrganisations[:last]
 	} else {
-		t = &tenant{items: heap[*node]{less: earlier, setIndex: func(n *node, i int) { n.tenantIndex = i }}}
+		t = &organisationQueue{items: heap[*node]{less: earlier, setIndex: func(n *node, i int) { n.organisationIndex = i }}}
 	}
 	t.name = name
 	t.used = l.virtualTime
 	t.idleIndex = -1
-	l.tenants[name] = t
+	l.organisations[name] = t
 	return t
 }
 
 // remove removes a node without charging its organisation.
 func (l *lane) remove(n *node) {
-	t := n.tenant
+	t := n.organisation
 	t.promptTokens -= uncachedTokens(&n.item)
-	wasHead := n.tenantIndex == 0
+	wasHead := n.organisationIndex == 0
 	if len(t.items.items) == 1 {
 		l.byUse.remove(t.byUseIndex)
 		l.byAge.remove(t.byAgeIndex)
@@ -140,7 +140,7 @@
 		l.retireIdle(t)
 		return
 	}
-	t.items.remove(n.tenantIndex)
+	t.items.remove(n.organisationIndex)
 	if wasHead {
 		l.byUse.fix(t.byUseIndex)
 		l.byAge.fix(t.byAgeIndex)
@@ -149,7 +149,7 @@
 
 // start removes a node and charges its organisation.
 func (l *lane) start(n *node) {
-	t := n.tenant
+	t := n.organisation
 	l.virtualTime = max(l.virtualTime, min(t.used, l.byUse.items[0].used))
 	t.used += n.cost
 	l.remove(n)
@@ -158,7 +158,7 @@
 // retireIdle drops organisations without items once their use is no longer ahead of the
 // lane's virtual time. Dropping them earlier would let an organisation reset its use by
 // pausing for a moment.
-func (l *lane) retireIdle(t *tenant) {
+func (l *lane) retireIdle(t *organisationQueue) {
 	l.idle.push(t)
 	for len(l.idle.items) > 0 {
 		least := l.idle.items[0]
@@ -166,8 +166,8 @@
 			return
 		}
 		l.idle.remove(0)
-		delete(l.tenants, least.name)
-		l.freeTenants = append(l.freeTenants, least)
+		delete(l.organisations, least.name)
+		l.freeOrganisations = append(l.freeOrganisations, least)
 	}
 }
 
@@ -186,9 +186,9 @@
 	return least.head()
 }
 
-// secondTenantHead returns the first item of the organisation with the second least use,
+// secondOrganisationHead returns the first item of the organisation with the second least use,
 // or nil when there is only one organisation.
-func (l *lane) secondTenantHead() *node {
+func (l *lane) secondOrganisationHead() *node {
 	items := l.byUse.items
 	switch {
 	case len(items) < 2:
--- a/core/scheduling/priority.go
+++ b/core/scheduling/priority.go
@@ -52,7 +52,7 @@
 		q.lanes[i] = newLane(quantum[i], agedSlackQuanta[i])
 	}
 	q.byLatestStart.less = func(a, b *node) bool { return a.latestStart < b.latestStart }
-	q.byLatestStart.setIndex = func(n *node, i int) { n.expiryIndex = i }
+	q.byLatestStart.setIndex = func(n *node, i int) { n.latestStartIndex = i }
 	return q
 }
 
@@ -155,15 +155,16 @@
 	short := q.nextShort(free, now)
 	// Short items of a flooding organisation have neither a quota ahead of aged items nor a
 	// share of the memory.
-	entitled := short
+	shortWithQuota := short
 	if short != nil && q.isFlooding(short) {
-		entitled = nil
+		shortWithQuota = nil
 	}
-	if aged := q.nextAged(now, entitled != nil); aged != nil && q.running.Prefill[aged.class] < q.settings.MaxPrefillAhead {
+	// An aged item goes ahead of shorter ones, so only the prefill of its own class counts.
+	if aged := q.nextOfAgedLane(now, shortWithQuota != nil); aged != nil && q.running.Prefill[aged.class] < q.settings.MaxPrefillAhead {
 		if q.fits(aged, free) {
 			return aged
 		}
-		return q.ifWithinShortShare(entitled, free)
+		return q.ifWithinShortShare(shortWithQuota, free)
 	}
 	// A longer item must not take the memory that a shorter one waits for.
 	if short != nil && !q.isFlooding(short) {
@@ -198,15 +199,16 @@
 	if first == nil || q.ifStartable(first, free) != nil || !q.isFlooding(first) {
 		return first
 	}
-	if second := l.secondTenantHead(); second != nil {
+	if second := l.secondOrganisationHead(); second != nil {
 		return second
 	}
 	return first
 }
 
-// nextAged returns the item of the lane in which an item aged first. It returns nil when
-// no item has aged, or when short items wait and have quota left.
-func (q *Priority) nextAged(now int64, shortWaits bool) *node {
+// nextOfAgedLane returns the next item of the lane whose oldest aged item aged first. Fairness
+// may make it an item that has not aged itself. It returns nil when no item has aged, or when
+// short items wait and have quota left.
+func (q *Priority) nextOfAgedLane(now int64, shortWaits bool) *node {
 	if shortWaits && q.shortQuota > 0 {
 		return nil
 	}
@@ -315,7 +317,7 @@
 
 // discard drops a node that has been removed from its lane and returns its item.
 func (q *Priority) discard(n *node) Item {
-	q.byLatestStart.remove(n.expiryIndex)
+	q.byLatestStart.remove(n.latestStartIndex)
 	delete(q.byID, n.item.ID)
 	q.queued[n.class] -= uncachedTokens(&n.item)
 	item := n.item
@@ -333,7 +335,7 @@
 // them raises the short p95 of the other organisations by a third during a flood.
 func (q *Priority) QueuedTokens() [call.NumClasses]int64 {
 	queued := q.queued
-	if t := q.lanes[laneShort].tenants[q.dominance.dominant]; t != nil && q.isOrganisationFlooding(t.name) {
+	if t := q.lanes[laneShort].organisations[q.dominance.dominant]; t != nil && q.isOrganisationFlooding(t.name) {
 		queued[call.Short] -= t.promptTokens
 	}
 	return queued
@@ -366,7 +368,8 @@
 	PriorityLong   = 200
 )
 
-// EnginePriority returns the engine priority of an item that starts now.
+// EnginePriority returns the engine priority of an item that starts now. The item must have a
+// deadline: without one, an item that is not short gets PriorityAged.
 func (q *Priority) EnginePriority(item *Item, now time.Time) int {
 	class := call.ClassOf(item.Work.PromptTokens)
 	if class == call.Short && q.isOrganisationFlooding(item.Organisation) {
