--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -43,8 +43,8 @@
 		e.recordOutcome(now, dispatch.Abandoned)
 		return e.machine.CallerGone(now)
 	}
-	var refused *orderRefused
-	switch outcome := orderOutcome(err); {
+	var refused *controlRefused
+	switch outcome := controlOutcome(err); {
 	case outcome != dispatch.Abandoned:
 		e.g.config.Fleet.Observe(now, refuser, outcome, e.sentAt)
 	case errors.As(err, &refused):
@@ -73,9 +73,9 @@
 		e.g.config.Crashes.upstreamEnded(e.choice.Upstream, replaced)
 	}
 	e.recordOutcome(now, outcome)
-	e.tries[len(e.tries)-1].fail(failure)
+	e.attempts[len(e.attempts)-1].fail(failure)
 	e.g.config.Metrics.attemptFailed(failure)
-	return e.machine.Refused(now, e.attempt(), failure)
+	return e.machine.Refused(now, e.attemptNumber(), failure)
 }
 
 func (e *exchange) recordOutcome(now time.Time, outcome dispatch.Outcome) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// helperAtFault reports whether the request was refused, with proof, because of a helper rather
-// than the upstream that it was sent to.
+// helperAtFault reports whether the request was refused, with proof that it has not run, because
+// of a helper rather than the upstream that it was sent to.
 func (e *exchange) helperAtFault(answer *service.Answer, meta AnswerMeta) bool {
 	refused := meta.NotRun || answer.Status == http.StatusMisdirectedRequest && !meta.Sealed
 	return refused && impliesNotRun(answer.Status) && e.helperAt(meta.FaultAddress) != nil
@@ -174,6 +174,7 @@
 	return &e.choice.Helpers[i]
 }
 
-// refusedRetryAfter is the Retry-After for callers whose request no upstream had room for. It
-// is about the time in which a burst of short requests is drained from the queue.
+// refusedRetryAfter is the Retry-After for callers whose request was refused for lack of capacity
+// or because of a helper. It is about the time in which the engines work off a burst of short
+// requests.
 const refusedRetryAfter = 300 * time.Millisecond
--- a/entry/gateway/crashes.go
+++ b/entry/gateway/crashes.go
@@ -79,15 +79,15 @@
 	now        func() time.Time
 	log        zerolog.Logger
 	countProof func(p proof)
-	// onCrash receives the requests under which an upstream has crashed.
+	// onCrash receives the requests that an upstream was serving when it crashed.
 	onCrash func(upstream dispatch.Upstream, affected []quarantine.Suspect)
 
 	mu     sync.Mutex
 	broken map[string]*brokenUpstream
 }
 
-// NewCrashDetector returns a CrashDetector that reports to a quarantine under which requests
-// upstreams have crashed.
+// NewCrashDetector returns a CrashDetector that reports to a quarantine which requests upstreams
+// were serving when they crashed.
 func NewCrashDetector(clients *Clients, fleet *dispatch.Fleet, metrics *Metrics, keeper Quarantine, log zerolog.Logger) *CrashDetector {
 	return &CrashDetector{
 		dial: clients.dial, isLeaving: fleet.Draining, isReplaced: fleet.Replaced, now: time.Now, log: log,
@@ -218,7 +218,7 @@
 // maxLoggedSuspects bounds the number of requests that one log line lists.
 const maxLoggedSuspects = 32
 
-// reportSuspects logs and reports the requests under which an incarnation has ended. It is
+// reportSuspects logs and reports the requests that an incarnation was serving when it ended. It is
 // called with mu held.
 func (c *CrashDetector) reportSuspects(b *brokenUpstream, affected suspects) {
 	c.log.Warn().Str("upstream", b.upstream.ID).Str("proof", string(b.proved)).Bool("leaving", b.leaving).
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -33,7 +33,7 @@
 	// needed; hasPrint reports whether it has been.
 	contentPrint fingerprint.Print
 	hasPrint     bool
-	// possibleCrashes counts the upstreams that may have crashed under the request.
+	// possibleCrashes counts the upstreams that may have crashed while they served the request.
 	possibleCrashes int
 
 	machine *attempt.Machine
@@ -43,9 +43,9 @@
 	placementID dispatch.PlacementID
 	sendCount   int
 	// sentAt is when the current attempt was sent.
-	sentAt time.Time
-	tries  []try
-	stall  *stallWatch
+	sentAt   time.Time
+	attempts []attemptRecord
+	stall    *stallWatch
 	// headSent reports whether the head of an answer has been sent to the caller.
 	headSent bool
 	// lastEventID is the id of the last event that was sent whole to the caller.
@@ -106,7 +106,7 @@
 	var queuedID dispatch.PlacementID
 	startedAt := e.now()
 	probeRounds := 0
-	e.awaitVerdict()
+	e.awaitCrashVerdict()
 	for now := e.now(); ; now = e.now() {
 		if callerGone(e.r.Context()) {
 			e.g.config.Fleet.Withdraw(queuedID)
@@ -140,7 +140,7 @@
 		}
 		now = e.now()
 		e.choice, e.placementID = choice, id
-		e.tries = append(e.tries, try{choice: choice, at: now.Sub(e.arrived), queued: now.Sub(startedAt)})
+		e.attempts = append(e.attempts, attemptRecord{choice: choice, at: now.Sub(e.arrived), queued: now.Sub(startedAt)})
 		return e.machine.Chosen(now, attempt.Replica{Agent: choice.Upstream.Incarnation()})
 	}
 }
@@ -177,39 +177,40 @@
 	return e.route.Priority
 }
 
-// Callers leave a stream after a gap, also before its first event, of minPatience,
-// patienceTargets times the target latency or patienceGaps times the target gap between events,
-// whichever is longest.
+// A caller gives up a stream that is silent, from the start or between events, for the longest of
+// minPatience, patienceLatencyFactor times the target latency and patienceGapFactor times the
+// target gap between events.
 const (
-	minPatience     = 2 * time.Second
-	patienceTargets = 4
-	patienceGaps    = 8
+	minPatience           = 2 * time.Second
+	patienceLatencyFactor = 4
+	patienceGapFactor     = 8
 )
 
 // patience returns how long callers of a route wait for the first event.
 func patience(route *routes.Route) time.Duration {
-	return max(minPatience, patienceTargets*route.TargetLatency, patienceGaps*route.TargetGap)
+	return max(minPatience, patienceLatencyFactor*route.TargetLatency, patienceGapFactor*route.TargetGap)
 }
 
-// awaitQueuePosition waits until the request may be due or its queue position has changed, or
-// until the caller disconnects.
-func (e *exchange) awaitQueuePosition(turn dispatch.Retry) {
-	timer := time.NewTimer(min(turn.After, e.deadline.Sub(e.now())))
+// awaitQueuePosition waits until the request may be placed or its queue position has changed,
+// or until the caller disconnects.
+func (e *exchange) awaitQueuePosition(retry dispatch.Retry) {
+	timer := time.NewTimer(min(retry.After, e.deadline.Sub(e.now())))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-turn.Changed:
+	case <-retry.Changed:
 	case <-e.r.Context().Done():
 	}
 }
 
 // mayHaveRun reports whether an upstream of an earlier attempt may have run the request.
 func (e *exchange) mayHaveRun() bool {
-	return slices.ContainsFunc(e.tries, func(t try) bool { return t.failure.Execution != result.NotRun })
+	return slices.ContainsFunc(e.attempts, func(a attemptRecord) bool { return a.failure.Execution != result.NotRun })
 }
 
-// alternativeCheck returns a function that reports whether the request could move from the
-// chosen upstream to another one. The function may be called from any goroutine.
+// alternativeCheck returns a function that reports whether the request can move from the chosen
+// upstream to another one, and reserves the retry for that. The function may be called from any
+// goroutine.
 func (e *exchange) alternativeCheck() func(now time.Time) bool {
 	request := &dispatch.Request{
 		Service: e.service.Name,
@@ -226,7 +227,8 @@
 	e.sendCount++
 	e.sentAt = now
 	e.g.config.Metrics.sendStarted(e.choice.Explanation.KnownDown)
-	if action := e.machine.Accepted(now, e.attempt()); action.Kind != attempt.None {
+	// Without an agent nothing accepts the call, so it counts as accepted when it is sent.
+	if action := e.machine.Accepted(now, e.attemptNumber()); action.Kind != attempt.None {
 		e.recordOutcome(now, dispatch.Abandoned)
 		return action
 	}
@@ -239,12 +241,12 @@
 		}
 		defer reservation.release()
 	}
-	upstream := e.g.config.Clients.clientFor(e.choice.Upstream)
-	defer context.AfterFunc(upstream.ctx, cancel)()
-	e.stall = &stallWatch{client: upstream, timeout: e.stallAfter(), canMove: e.alternativeCheck(), cancel: cancel, now: e.now}
+	client := e.g.config.Clients.clientFor(e.choice.Upstream)
+	defer context.AfterFunc(client.ctx, cancel)()
+	e.stall = &stallWatch{client: client, timeout: e.stallAfter(), canMove: e.alternativeCheck(), cancel: cancel, now: e.now}
 	e.stall.start(stallPredictions * e.choice.Explanation.FirstEvent)
 	defer e.stall.stop()
-	answer, err := upstream.http.Do(ctx, e.call(now))
+	answer, err := client.http.Do(ctx, e.call(now))
 	if err != nil {
 		return e.sendFailed(e.stall.explain(err))
 	}
@@ -253,13 +255,13 @@
 	return e.handleAnswer(answer)
 }
 
-// attempt returns the number of the current attempt, starting at 1.
-func (e *exchange) attempt() call.Attempt { return call.Attempt(e.sendCount) }
+// attemptNumber returns the number of the current attempt, starting at 1.
+func (e *exchange) attemptNumber() call.Attempt { return call.Attempt(e.sendCount) }
 
 // call returns the service call for the upstream.
 func (e *exchange) call(now time.Time) service.Call {
 	header := e.r.Header.Clone()
-	send := ForwardMeta{
+	forward := ForwardMeta{
 		Choice:      e.choice,
 		TimeLeft:    e.deadline.Sub(now),
 		Streaming:   e.route.Kind == routes.Streaming,
@@ -268,7 +270,7 @@
 		Organisation: e.organisation(),
 	}
 	service.RemoveHopHeaders(header)
-	e.g.config.Dialect.Forward(header, send)
+	e.g.config.Dialect.Forward(header, forward)
 	return service.Call{
 		Method:   e.r.Method,
 		Path:     e.r.RequestURI,
@@ -280,8 +282,8 @@
 	}
 }
 
-// reuse excludes requests that must not be repeated from reused connections: if an upstream
-// closes one just as a request is sent, it is unknown whether the request ran.
+// reuse returns ReuseNever for a request that must not be repeated: if an upstream closes a reused
+// connection just as a request is sent, it is unknown whether the request ran.
 func (e *exchange) reuse() service.Reuse {
 	if e.route.Repeatable() {
 		return service.ReuseAlways
@@ -299,6 +301,5 @@
 }
 
 // busyRetryAfter is the minimum Retry-After for callers whose prompt the engines are too busy
-// for. It is some passes of an engine, and applies if the queued prompts will be read sooner
-// than that.
+// for. It is a few engine passes long, and used if the queued prompts will be prefilled sooner.
 const busyRetryAfter = 500 * time.Millisecond
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -79,7 +79,7 @@
 	Reserver  Reserver
 	Clients   *Clients
 	Budgets   *Budgets
-	// Quarantine holds back requests under which upstreams crash.
+	// Quarantine holds back requests that make upstreams crash.
 	Quarantine Quarantine
 	Crashes    *CrashDetector
 	Metrics    *Metrics
--- a/entry/gateway/heldback.go
+++ b/entry/gateway/heldback.go
@@ -10,8 +10,8 @@
 	"acaciacleat.example/entry/quarantine"
 )
 
-// Quarantine reports which requests are held back because upstreams crash under them, and
-// records crashes and answers. quarantine.Keeper implements it.
+// Quarantine reports which requests are held back because upstreams crashed while they served
+// them, and records crashes and answers. quarantine.Keeper implements it.
 type Quarantine interface {
 	// Ready reports whether the held-back requests are known.
 	Ready() bool
@@ -42,12 +42,12 @@
 	return e.caller.Name
 }
 
-// reportBrokenAnswer reports that the upstream may have crashed under the request.
+// reportBrokenAnswer reports that the upstream may have crashed while it served the request.
 func (e *exchange) reportBrokenAnswer() {
 	if e.stall.fired.Load() {
 		return // This entry cancelled the call.
 	}
-	last := &e.tries[len(e.tries)-1]
+	last := &e.attempts[len(e.attempts)-1]
 	e.g.config.Crashes.answerBroken(e.choice.Upstream, suspect{
 		Suspect: quarantine.Suspect{
 			Print: e.fingerprint(), Request: e.meta.ID, Route: e.route.Name, Organisation: e.organisation(),
@@ -65,9 +65,9 @@
 // flight.
 const verdictDelay = confirmDelay + corequarantine.VerdictDelay + 50*time.Millisecond
 
-// awaitVerdict delays a retry after a broken answer until it is known whether the upstream
+// awaitCrashVerdict delays a retry after a broken answer until it is known whether the upstream
 // crashed, if one more crash would cause the request to be held back.
-func (e *exchange) awaitVerdict() {
+func (e *exchange) awaitCrashVerdict() {
 	if e.possibleCrashes == 0 || !e.g.config.Quarantine.Doubtful(e.fingerprint()) {
 		return
 	}
--- a/entry/gateway/relay.go
+++ b/entry/gateway/relay.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return e.broken(now, err)
 	}
-	if action := e.machine.Head(now, e.attempt()); action.Kind != attempt.None {
+	if action := e.machine.Head(now, e.attemptNumber()); action.Kind != attempt.None {
 		// The deadline passed while the answer was read.
 		e.recordOutcome(now, dispatch.Abandoned)
 		return action
@@ -43,7 +43,7 @@
 		e.g.config.Quarantine.Answered(e.fingerprint)
 	}
 	e.recordOutcome(now, statusOutcome(answer.Status))
-	return e.machine.Ended(now, e.attempt(), attempt.Outcome{Code: result.OK, Execution: result.Ran})
+	return e.machine.Ended(now, e.attemptNumber(), attempt.Outcome{Code: result.OK, Execution: result.Ran})
 }
 
 // copyRest relays the answer beyond maxWholeBytes. If it breaks off, it can't be retried.
@@ -112,7 +112,7 @@
 			}
 			e.lastEventAt = now
 			if delivered == 0 {
-				e.tries[len(e.tries)-1].firstEvent = now.Sub(e.arrived)
+				e.attempts[len(e.attempts)-1].firstEvent = now.Sub(e.arrived)
 				e.g.config.Fleet.RecordFirstEvent(now, e.placementID)
 			}
 			e.sendHead(answer)
@@ -124,7 +124,7 @@
 			if id != "" {
 				e.lastEventID = id
 			}
-			if action := e.machine.Delivered(now, e.attempt(), delivered); action.Kind != attempt.None {
+			if action := e.machine.Delivered(now, e.attemptNumber(), delivered); action.Kind != attempt.None {
 				// The deadline passed while events arrived.
 				e.recordOutcome(now, dispatch.Abandoned)
 				return action
@@ -136,7 +136,7 @@
 			e.sendHead(answer)
 			e.g.config.Quarantine.Answered(e.fingerprint)
 			e.recordOutcome(now, dispatch.Served)
-			return e.machine.Ended(now, e.attempt(), attempt.Outcome{Code: result.OK, Execution: result.Ran})
+			return e.machine.Ended(now, e.attemptNumber(), attempt.Outcome{Code: result.OK, Execution: result.Ran})
 		default:
 			return e.broken(now, err)
 		}
--- a/entry/gateway/requestlog.go
+++ b/entry/gateway/requestlog.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// try is one attempt at an upstream as it is logged. Times are relative to the request's
+// attemptRecord is one attempt at an upstream as it is logged. Times are relative to the request's
 // arrival.
-type try struct {
+type attemptRecord struct {
 	choice dispatch.Choice
 	at     time.Duration
 	// queued is how much of that time the request waited to be placed.
@@ -23,39 +23,39 @@
 }
 
 // fail records why the attempt was given up.
-func (t *try) fail(failure attempt.Outcome) { t.failure = failure }
+func (a *attemptRecord) fail(failure attempt.Outcome) { a.failure = failure }
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
-func (t *try) MarshalZerologObject(e *zerolog.Event) {
-	why := t.choice.Explanation
-	e.Str("upstream", t.choice.Upstream.ID).Int64("at_ms", t.at.Milliseconds()).
+func (a *attemptRecord) MarshalZerologObject(e *zerolog.Event) {
+	why := a.choice.Explanation
+	e.Str("upstream", a.choice.Upstream.ID).Int64("at_ms", a.at.Milliseconds()).
 		Int("candidates", why.Candidates).Int64("backlog_ms", why.Backlog.Milliseconds()).
 		Int("streams", why.Streams).Int("memory", why.MemoryTokens).Float64("cost", why.ExpectedLoss)
-	if t.queued > 0 {
-		e.Int64("held_ms", t.queued.Milliseconds())
+	if a.queued > 0 {
+		e.Int64("held_ms", a.queued.Milliseconds())
 	}
 	if why.FirstEvent > 0 {
-		e.Int64("expected_ms", (t.at + why.FirstEvent).Milliseconds())
+		e.Int64("expected_ms", (a.at + why.FirstEvent).Milliseconds())
 	}
-	if t.firstEvent > 0 {
-		e.Int64("first_ms", t.firstEvent.Milliseconds())
+	if a.firstEvent > 0 {
+		e.Int64("first_ms", a.firstEvent.Milliseconds())
 	}
 	if why.KnownDown {
 		e.Bool("against_proof", true)
 	}
-	if n := len(t.choice.Helpers); n > 0 {
+	if n := len(a.choice.Helpers); n > 0 {
 		e.Int("helpers", n)
 	}
-	if t.failure.Code != result.OK {
-		e.Str("left", result.Lookup(t.failure.Code).Name).Str("execution", string(t.failure.Execution)).Str("detail", t.failure.Detail)
+	if a.failure.Code != result.OK {
+		e.Str("left", result.Lookup(a.failure.Code).Name).Str("execution", string(a.failure.Execution)).Str("detail", a.failure.Detail)
 	}
 }
 
-// tries are the attempts of one request.
-type tries []try
+// attemptRecords are the attempts of one request.
+type attemptRecords []attemptRecord
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
-func (all tries) MarshalZerologArray(a *zerolog.Array) {
+func (all attemptRecords) MarshalZerologArray(a *zerolog.Array) {
 	for i := range all {
 		a.Object(&all[i])
 	}
@@ -90,8 +90,8 @@
 	if e.longestGap > 0 {
 		line = line.Int64("pause_ms", e.longestGap.Milliseconds()).Int64("good_pause_ms", e.route.TargetGap.Milliseconds())
 	}
-	if len(e.tries) > 0 {
-		line = line.Array("tries", tries(e.tries)).Bool("headed", e.headSent).Str("last_event", e.lastEventID)
+	if len(e.attempts) > 0 {
+		line = line.Array("tries", attemptRecords(e.attempts)).Bool("headed", e.headSent).Str("last_event", e.lastEventID)
 	}
 	line.Msg("request ended")
 }
--- a/entry/gateway/reserve.go
+++ b/entry/gateway/reserve.go
@@ -33,20 +33,20 @@
 	ticketTTL = 3500 * time.Millisecond
 	// renewInterval leaves time for one renewal to fail.
 	renewInterval = 1200 * time.Millisecond
-	// orderTimeout bounds one call to an engine; engines respond between the steps of a pass.
-	orderTimeout = 300 * time.Millisecond
+	// controlTimeout bounds one call to an engine; engines respond between the steps of a pass.
+	controlTimeout = 300 * time.Millisecond
 	// maxReleaseTries is how often a release is sent if it gets no answer.
 	maxReleaseTries = 3
 )
 
-// orderRefused means that an engine answered an order but didn't carry it out.
-type orderRefused struct {
+// controlRefused means that an engine answered a control call but didn't carry it out.
+type controlRefused struct {
 	upstream string
 	status   int
 }
 
 // Error implements error.
-func (e *orderRefused) Error() string {
+func (e *controlRefused) Error() string {
 	return fmt.Sprintf("%s answered %d: memory not reserved", e.upstream, e.status)
 }
 
@@ -74,14 +74,14 @@
 	var all sync.WaitGroup
 	for i, helper := range r.helpers {
 		all.Go(func() {
-			failures[i] = g.order(ctx, helper.Upstream, g.config.Reserver.Reserve(helper.Upstream, helper, ticketTTL))
+			failures[i] = g.control(ctx, helper.Upstream, g.config.Reserver.Reserve(helper.Upstream, helper, ticketTTL))
 		})
 	}
 	all.Wait()
 	for i, err := range failures {
 		if err != nil {
-			// An order that failed may still be carried out late, so its ticket is released
-			// too.
+			// A control call that failed may still be carried out late, so its ticket is
+			// released too.
 			g.releasing.Go(r.releaseAll)
 			return nil, r.helpers[i].Upstream, err
 		}
@@ -112,8 +112,8 @@
 	var all sync.WaitGroup
 	for _, upstream := range upstreams {
 		all.Go(func() {
-			err := g.order(ctx, upstream, g.config.Reserver.Probe(upstream))
-			if outcome := orderOutcome(err); outcome != dispatch.Abandoned {
+			err := g.control(ctx, upstream, g.config.Reserver.Probe(upstream))
+			if outcome := controlOutcome(err); outcome != dispatch.Abandoned {
 				g.config.Fleet.Observe(g.config.Now(), upstream, outcome, sentAt)
 				gone.Store(true)
 			}
@@ -123,10 +123,10 @@
 	return !gone.Load()
 }
 
-// orderOutcome returns what a failed order proves of an upstream: nothing listens at its
+// controlOutcome returns what a failed control call proves of an upstream: nothing listens at its
 // address, another upstream has the address, or nothing.
-func orderOutcome(err error) dispatch.Outcome {
-	var refused *orderRefused
+func controlOutcome(err error) dispatch.Outcome {
+	var refused *controlRefused
 	switch {
 	case errors.As(err, &refused) && refused.status == http.StatusMisdirectedRequest:
 		return dispatch.Misdirected
@@ -137,9 +137,9 @@
 	}
 }
 
-// order sends one order. An engine that can't carry it out answers with an error status.
-func (g *Gateway) order(ctx context.Context, upstream dispatch.Upstream, call service.Call) error {
-	call.TimeLeft = orderTimeout
+// control sends one control call. An engine that can't carry it out answers with an error status.
+func (g *Gateway) control(ctx context.Context, upstream dispatch.Upstream, call service.Call) error {
+	call.TimeLeft = controlTimeout
 	answer, err := g.config.Clients.HTTP(upstream).Do(ctx, call)
 	if err != nil {
 		return errors.WithMessage(err, "order")
@@ -149,7 +149,7 @@
 		return errors.WithMessage(err, "order")
 	}
 	if answer.Status != http.StatusOK {
-		return &orderRefused{upstream: upstream.ID, status: answer.Status}
+		return &controlRefused{upstream: upstream.ID, status: answer.Status}
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 				continue // Its next incarnation would reserve memory that no request uses.
 			}
 			call := r.g.config.Reserver.Reserve(helper.Upstream, helper, ticketTTL)
-			if err := r.g.order(context.Background(), helper.Upstream, call); err != nil {
+			if err := r.g.control(context.Background(), helper.Upstream, call); err != nil {
 				r.g.config.Log.Warn().Err(err).Str("upstream", helper.Upstream.ID).Str("ticket", helper.Reservation).
 					Msg("reserved memory was not renewed; the next renewal may still come in time")
 			}
@@ -198,8 +198,8 @@
 func (g *Gateway) releaseTicket(helper dispatch.Helper) {
 	var err error
 	for range maxReleaseTries {
-		err = g.order(context.Background(), helper.Upstream, g.config.Reserver.Release(helper.Upstream, helper.Reservation))
-		var refused *orderRefused
+		err = g.control(context.Background(), helper.Upstream, g.config.Reserver.Release(helper.Upstream, helper.Reservation))
+		var refused *controlRefused
 		if err == nil || errors.As(err, &refused) {
 			return // The ticket is released, or is no longer known there.
 		}
--- a/entry/gateway/upstreams.go
+++ b/entry/gateway/upstreams.go
@@ -28,5 +28,5 @@
 	u.Crashes.registryChanged()
 }
 
-// RegistryUnavailable implements directory.Upstreams.
+// SourceLost implements directory.Upstreams.
 func (u Upstreams) SourceLost(now time.Time) { u.Fleet.RegistryUnavailable(now) }
--- a/entry/quarantine/keeper.go
+++ b/entry/quarantine/keeper.go
@@ -1,7 +1,7 @@
 // Package quarantine manages one entry's quarantine: the requests that are held back because
-// upstreams crash under them. The entry exchanges crash reports with the other entries and
-// writes them to the store, where they survive a restart of all entries and reach entries
-// without a link.
+// upstreams crashed while they served them. The entry exchanges crash reports with the other
+// entries and writes them to the store, where they survive a restart of all entries and reach
+// entries without a link.
 package quarantine
 
 import (
@@ -27,7 +27,7 @@
 	Route        string
 	Organisation string
 	// AfterCrash reports whether the request was retried after another upstream had crashed
-	// under it.
+	// while it served the request.
 	AfterCrash bool
 }
 
@@ -46,7 +46,8 @@
 	// VM identifies this entry.
 	VM       string
 	Settings corequarantine.Settings
-	// Store and Table locate the quarantine's rows. Store is nil for an entry without a store.
+	// Store and Table say where the quarantine's rows are kept. Store is nil for an entry without
+	// a store.
 	Store Store
 	Table string
 	// RereadInterval is the interval at which the store is read even if nothing has changed;
@@ -62,10 +63,11 @@
 type Keeper struct {
 	config  Config
 	started time.Time
-	// held is replaced as a whole when it changes. active reports whether any request is
-	// suspected or held back. Both are read on the path of every request without taking mu.
-	held   atomic.Pointer[map[fingerprint.Print]time.Time]
-	active atomic.Bool
+	// heldUntil maps each request that is held back to the end of its hold. It is replaced as a
+	// whole when it changes. active reports whether any request is suspected or held back. Both
+	// are read on the path of every request without taking mu.
+	heldUntil atomic.Pointer[map[fingerprint.Print]time.Time]
+	active    atomic.Bool
 	// loaded reports whether the store has been read at least once.
 	loaded atomic.Bool
 	// pending has a value when there are reports to send, wakeup when there are rows to write
@@ -75,7 +77,7 @@
 
 	mu     sync.Mutex
 	ledger *corequarantine.Ledger
-	// suspects are the requests under which this entry has seen upstreams crash.
+	// suspects are the requests that upstreams were serving when this entry saw them crash.
 	suspects map[fingerprint.Print]Suspect
 	reports  []queuedReport
 	dropped  uint64
@@ -111,7 +113,7 @@
 // Held returns for how much longer a request is held back. It calls print for the request's
 // fingerprint only if any request is held back.
 func (k *Keeper) Held(print func() fingerprint.Print) (left time.Duration, held bool) {
-	all := k.held.Load()
+	all := k.heldUntil.Load()
 	if all == nil || len(*all) == 0 {
 		return 0, false
 	}
@@ -151,7 +153,8 @@
 		k.queueReport(corequarantine.Report{Kind: kind, Print: s.Print, Upstream: tag})
 		k.queueRecord(now, s.Print)
 	}
-	// Entries without a link may have seen other upstreams crash under the same request.
+	// Entries without a link may have seen other upstreams crash while they served the same
+	// request, so the store is read again.
 	k.rows.reread = true
 	k.wake()
 	k.decide(now)
@@ -211,8 +214,8 @@
 }
 
 // holdBack logs a request that is held back from now on and reports it to the other entries. An
-// entry that saw no crash under the request doesn't report it: all entries decide alike, so
-// those that saw a crash do. It is called with mu held.
+// entry that saw no crash of an upstream serving the request doesn't report it: all entries decide
+// alike, so the entries that saw a crash report it. It is called with mu held.
 func (k *Keeper) holdBack(now time.Time, v corequarantine.Verdict) {
 	s, seen := k.suspects[v.Print]
 	k.config.Log.Warn().Stringer("fingerprint", v.Print).Int("crashes", v.Crashes).Bool("shared", v.Shared).
@@ -237,15 +240,15 @@
 	for print, h := range k.ledger.ActiveHolds(time.Now()) {
 		all[print] = h.Until
 	}
-	if old := k.held.Load(); old == nil || !maps.Equal(*old, all) {
-		k.held.Store(&all)
+	if old := k.heldUntil.Load(); old == nil || !maps.Equal(*old, all) {
+		k.heldUntil.Store(&all)
 	}
 	k.active.Store(len(all) > 0 || k.ledger.Suspects() > 0)
 }
 
 // Counts returns the number of requests that are held back and of those that are suspected.
 func (k *Keeper) Counts() (heldBack, suspected int) {
-	if all := k.held.Load(); all != nil {
+	if all := k.heldUntil.Load(); all != nil {
 		heldBack = len(*all)
 	}
 	k.mu.Lock()
--- a/entry/quarantine/keeper_test.go
+++ b/entry/quarantine/keeper_test.go
@@ -136,7 +136,7 @@
 
 func upstream(i int) dispatch.Upstream { return dispatch.Upstream{ID: fmt.Sprint("engine-", i)} }
 
-// crash reports to an entry that an upstream has crashed under some requests.
+// crash reports to an entry that an upstream has crashed while it served some requests.
 func (e *entry) crash(i int, affected ...string) {
 	var all []Suspect
 	for _, name := range affected {
--- a/entry/quarantine/store.go
+++ b/entry/quarantine/store.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// queueRecord queues this entry's row of a request for writing, if the entry has seen an
-// upstream crash under the request and there are at least minRecordedCrashes crashes in all. It
+// queueRecord queues this entry's row of a request for writing, if the entry has seen an upstream
+// crash that was serving the request and there are at least minRecordedCrashes crashes in all. It
 // is called with mu held.
 func (k *Keeper) queueRecord(now time.Time, print fingerprint.Print) {
 	s, seen := k.suspects[print]
@@ -257,7 +257,7 @@
 }
 
 // applyRelease ends a hold that an operator released at the given time, in Unix milliseconds,
-// unless the request has caused crashes since.
+// unless the request has caused a crash after that.
 func (k *Keeper) applyRelease(now time.Time, print fingerprint.Print, at int64) {
 	for _, c := range k.ledger.Crashes(print) {
 		if c.At.UnixMilli() > at {
--- a/entry/share/broadcast.go
+++ b/entry/share/broadcast.go
@@ -20,31 +20,31 @@
 		case <-p.config.Quarantine.Pending():
 		}
 		pause.For(ctx, batchDelay)
-		works := link.Works{
+		message := link.Works{
 			Origin:     p.config.Self.Incarnation,
 			Events:     p.config.Fleet.TakeEvents(),
 			Reports:    p.config.Fleet.TakeReports(time.Now()),
 			Quarantine: p.config.Quarantine.Reports(),
 		}
-		if len(works.Events)+len(works.Reports)+len(works.Quarantine) > 0 {
-			p.broadcast(works)
+		if len(message.Events)+len(message.Reports)+len(message.Quarantine) > 0 {
+			p.broadcast(message)
 		}
 	}
 }
 
-// broadcast sends works to the entries of this availability zone and to one entry of each other
-// zone, which forwards it there. Traffic between zones then doesn't grow with the number of
-// entries.
-func (p *Peers) broadcast(works link.Works) {
+// broadcast sends a message to the entries of this availability zone and to one entry of every
+// other zone, which forwards it within its zone. Traffic between zones then doesn't grow with the
+// number of entries.
+func (p *Peers) broadcast(message link.Works) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for zone, members := range p.zones() {
 		if zone == p.config.Self.Zone {
-			p.send(members, &works)
+			p.send(members, &message)
 			continue
 		}
 		relay := members[rendezvous.Ranked(p.config.Self.VM, members)[0]]
-		relayed := works
+		relayed := message
 		relayed.Pass = len(members) > 1
 		p.send([]string{relay}, &relayed)
 	}
@@ -72,10 +72,10 @@
 }
 
 // forwardInZone forwards a message from an entry of another zone to the entries of this zone.
-func (p *Peers) forwardInZone(works *link.Works) {
+func (p *Peers) forwardInZone(message *link.Works) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	passed := *works
-	passed.Pass = false
-	p.send(p.zones()[p.config.Self.Zone], &passed)
+	forwarded := *message
+	forwarded.Pass = false
+	p.send(p.zones()[p.config.Self.Zone], &forwarded)
 }
