--- a/core/dispatch/upstream.go
+++ b/core/dispatch/upstream.go
@@ -48,7 +48,7 @@
 	TimeToDeadline time.Duration
 	Patience       time.Duration
 	// Priority is set by the operator. If a waiting request must be deferred, the highest value
-	// is deferred first.
+	// is deferred first and 0 last.
 	Priority int
 	// QueueID is the ID under which the request has waited in the queue; zero if it has not.
 	QueueID PlacementID
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -241,12 +241,12 @@
 		}
 		defer reservation.release()
 	}
-	client := e.g.config.Clients.clientFor(e.choice.Upstream)
-	defer context.AfterFunc(client.ctx, cancel)()
-	e.stall = &stallWatch{client: client, timeout: e.stallAfter(), canMove: e.alternativeCheck(), cancel: cancel, now: e.now}
+	upstreamClient := e.g.config.Clients.clientFor(e.choice.Upstream)
+	defer context.AfterFunc(upstreamClient.ctx, cancel)()
+	e.stall = &stallWatch{client: upstreamClient, timeout: e.stallAfter(), canMove: e.alternativeCheck(), cancel: cancel, now: e.now}
 	e.stall.start(stallPredictions * e.choice.Explanation.FirstEvent)
 	defer e.stall.stop()
-	answer, err := client.http.Do(ctx, e.call(now))
+	answer, err := upstreamClient.http.Do(ctx, e.call(now))
 	if err != nil {
 		return e.sendFailed(e.stall.explain(err))
 	}
