--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -92,7 +92,7 @@
 }
 
 // Probe asks for a message exchange with a VM over a new connection: an old one may stay silent
-// although the VM is healthy. The caller reports the outcome to HandleReply,
+// although the VM is healthy. The caller reports the outcome to HandleMessage,
 // HandleTimeout or HandleRefusal.
 type Probe struct{ VM VM }
 
@@ -169,9 +169,9 @@
 	}
 }
 
-// ListRejected reports whether the last list lacked too many VMs, also if it was applied after
+// ListImplausible reports whether the last list lacked too many VMs, also if it was applied after
 // RejectListFor.
-func (v *View) ListRejected() bool { return !v.implausibleSince.IsZero() }
+func (v *View) ListImplausible() bool { return !v.implausibleSince.IsZero() }
 
 // HandleList handles a list that was just read.
 func (v *View) HandleList(now time.Time, list []VM) []Action {
@@ -236,8 +236,8 @@
 	return now.Sub(v.implausibleSince) < v.config.RejectListFor
 }
 
-// HandleReply handles any message from the given incarnation of a VM's process.
-func (v *View) HandleReply(now time.Time, id ID, incarnation call.Incarnation) []Action {
+// HandleMessage handles any message from the given incarnation of a VM's process.
+func (v *View) HandleMessage(now time.Time, id ID, incarnation call.Incarnation) []Action {
 	m := v.members[id]
 	if m == nil || !m.observeIncarnation(incarnation) {
 		return nil
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -50,35 +50,35 @@
 		"one silence":                  {func(v *View) { v.HandleTimeout(at(500), id, at(0)) }, routing.Suspect},
 		"silent, 1.5 s after the call": {func(v *View) { v.HandleTimeout(at(500), id, at(0)); tickUntil(v, 600, 1500) }, routing.Dead},
 		"silent connection, new one replies": {func(v *View) {
-			v.HandleReply(at(300), id, 1)
+			v.HandleMessage(at(300), id, 1)
 			v.HandleTimeout(at(500), id, at(0))
 			tickUntil(v, 600, 3000)
 		}, routing.Live},
 		"falsely dead, probe replies": {func(v *View) {
 			v.HandleTimeout(at(500), id, at(0))
 			tickUntil(v, 600, 3000)
-			v.HandleReply(at(3100), id, 1)
+			v.HandleMessage(at(3100), id, 1)
 		}, routing.Live},
 		"restart after refusal": {func(v *View) {
-			v.HandleReply(at(0), id, 1)
+			v.HandleMessage(at(0), id, 1)
 			v.HandleRefusal(at(500), id)
-			v.HandleReply(at(700), id, 2)
+			v.HandleMessage(at(700), id, 2)
 		}, routing.Live},
 		"agent announces that it leaves": {func(v *View) {
 			v.HandleLeaving(at(100), id, 1)
-			v.HandleReply(at(200), id, 1)
+			v.HandleMessage(at(200), id, 1)
 			v.HandleList(at(300), newVMs(10))
 		}, routing.Leaving},
-		"new process stays": {func(v *View) { v.HandleLeaving(at(100), id, 1); v.HandleReply(at(200), id, 2) }, routing.Live},
+		"new process stays": {func(v *View) { v.HandleLeaving(at(100), id, 1); v.HandleMessage(at(200), id, 2) }, routing.Live},
 		"late announcement of the old process": {func(v *View) {
-			v.HandleReply(at(0), id, 1)
-			v.HandleReply(at(100), id, 2)
+			v.HandleMessage(at(0), id, 1)
+			v.HandleMessage(at(100), id, 2)
 			v.HandleLeaving(at(200), id, 1)
 		}, routing.Live},
 		"list shows it as leaving": {func(v *View) { v.HandleList(at(100), leaving); v.HandleList(at(200), newVMs(10)) }, routing.Leaving},
 		"list drops it, replies": {func(v *View) {
 			v.HandleList(at(100), without)
-			v.HandleReply(at(200), id, 1)
+			v.HandleMessage(at(200), id, 1)
 			tickUntil(v, 300, 90_000)
 		}, routing.Live},
 		"list drops it, silent": {func(v *View) {
@@ -104,13 +104,13 @@
 	for ms := 1000; ms < 60_000; ms += 1000 {
 		require.Empty(t, v.HandleList(at(ms), newVMs(3)))
 		require.Empty(t, v.Tick(at(ms)))
-		require.True(t, v.ListRejected())
+		require.True(t, v.ListImplausible())
 	}
 	v.HandleRefusal(at(60_000), "vm-30")
 	require.Equal(t, routing.Dead, v.State("vm-30"), "own evidence still counts")
 	require.Equal(t, routing.Live, v.State("vm-31"))
 	v.HandleList(at(61_000), newVMs(40))
-	require.False(t, v.ListRejected())
+	require.False(t, v.ListImplausible())
 }
 
 // In a partition each side keeps using its own VMs although the list shows all of them, and the
@@ -122,7 +122,7 @@
 			if vm.Zone == "zone-1" {
 				v.HandleTimeout(at(ms), vm.ID, at(ms-500))
 			} else {
-				v.HandleReply(at(ms), vm.ID, 1)
+				v.HandleMessage(at(ms), vm.ID, 1)
 			}
 		}
 		probes := 0
@@ -135,7 +135,7 @@
 	}
 	v.Each(func(vm VM, state routing.State) {
 		require.Equal(t, vm.Zone == "zone-0", state == routing.Live)
-		v.HandleReply(at(20_000), vm.ID, 1)
+		v.HandleMessage(at(20_000), vm.ID, 1)
 		require.Equal(t, routing.Live, v.State(vm.ID))
 	})
 }
@@ -214,7 +214,7 @@
 					e.incarnation = incarnation
 				}
 				if e.kind == "reply" {
-					actions = append(actions, v.HandleReply(now, "vm-00", e.incarnation)...)
+					actions = append(actions, v.HandleMessage(now, "vm-00", e.incarnation)...)
 				} else {
 					actions = append(actions, v.HandleLeaving(now, "vm-00", e.incarnation)...)
 				}
--- a/entry/fleet/evidence.go
+++ b/entry/fleet/evidence.go
@@ -77,7 +77,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer := c.Peer()
-	v.apply(v.members.HandleReply(c.Heard(), membership.ID(peer.VM), peer.Incarnation))
+	v.apply(v.members.HandleMessage(c.Heard(), membership.ID(peer.VM), peer.Incarnation))
 }
 
 func (v *View) silent(vm string, sent time.Time) {
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -86,7 +86,7 @@
 		})
 	}
 	v.apply(v.members.HandleList(now, list))
-	if v.members.ListRejected() {
+	if v.members.ListImplausible() {
 		v.log.Warn().Int("listed", len(list)).Msg("the list of VMs lacks most of the fleet and is doubted")
 	}
 }
@@ -258,7 +258,7 @@
 	incarnation := c.Peer().Incarnation
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.apply(v.members.HandleReply(c.Heard(), membership.ID(vm), incarnation))
+	v.apply(v.members.HandleMessage(c.Heard(), membership.ID(vm), incarnation))
 	a := v.agents[vm]
 	if a == nil {
 		return
--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -95,7 +95,7 @@
 		// run.
 		return e.failAttempt(now, dispatch.Failed, attempt.Outcome{Code: result.UpstreamFailed, Execution: result.Unknown,
 			Detail: "the answer belongs to another request"})
-	case !meta.Sealed, answer.Header.Get("Content-Encoding") != "":
+	case !meta.FromUpstream, answer.Header.Get("Content-Encoding") != "":
 		return e.failAttempt(now, dispatch.Failed, attempt.Outcome{Code: result.UpstreamFailed, Execution: result.Unknown,
 			Detail: fmt.Sprintf("the answer with status %d is not the upstream's own; it names %q as at fault", answer.Status, meta.FaultAddress)})
 	case e.headSent && answer.Status != http.StatusOK:
@@ -141,7 +141,7 @@
 		return e.failAttempt(now, dispatch.Abandoned, attempt.Outcome{Code: result.GroupUnavailable, Execution: result.NotRun,
 			Detail:     fmt.Sprintf("a part of the prompt can't be read at %s (%s)", meta.FaultAddress, helper.ID),
 			RetryAfter: refusedRetryAfter, RetrySameAgent: true}), true
-	case answer.Status == http.StatusMisdirectedRequest && !meta.Sealed:
+	case answer.Status == http.StatusMisdirectedRequest && !meta.FromUpstream:
 		// The address now belongs to another upstream.
 		return e.failAttempt(now, dispatch.Misdirected, attempt.Outcome{Code: result.Draining, Execution: result.NotRun,
 			Detail: "another upstream has the address"}), true
@@ -150,7 +150,7 @@
 	case answer.Status == http.StatusServiceUnavailable, answer.Status == http.StatusTooManyRequests:
 		return e.failAttempt(now, dispatch.Shed, attempt.Outcome{Code: result.QueueFull, Execution: result.NotRun,
 			Detail: "the upstream has no room", RetryAfter: refusedRetryAfter}), true
-	case !meta.Sealed:
+	case !meta.FromUpstream:
 		return e.failAttempt(now, dispatch.Abandoned, attempt.Outcome{Code: result.UpstreamFailed, Execution: result.NotRun,
 			Detail: fmt.Sprintf("the upstream refused the request with status %d", answer.Status)}), true
 	default:
@@ -161,7 +161,7 @@
 // helperAtFault reports whether the request was refused, with proof that it has not run, because
 // of a helper rather than the upstream that it was sent to.
 func (e *exchange) helperAtFault(answer *service.Answer, meta AnswerMeta) bool {
-	refused := meta.NotRun || answer.Status == http.StatusMisdirectedRequest && !meta.Sealed
+	refused := meta.NotRun || answer.Status == http.StatusMisdirectedRequest && !meta.FromUpstream
 	return refused && impliesNotRun(answer.Status) && e.helperAt(meta.FaultAddress) != nil
 }
 
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -43,8 +43,8 @@
 type AnswerMeta struct {
 	// ID is the ID of the request that the answer belongs to.
 	ID string
-	// Sealed reports whether the answer is the upstream's own.
-	Sealed bool
+	// FromUpstream reports whether the answer is the upstream's own.
+	FromUpstream bool
 	// NotRun states that the upstream has not run the request and never will.
 	NotRun bool
 	// Upstream is the ID of the incarnation that refused a request meant for another.
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -97,12 +97,12 @@
 	budgets := gateway.NewBudgets(gateway.Allowance(s.Retries), assumedEntries)
 	n := &Node{Fleet: fleet, drain: s.Drain, log: log}
 	n.Quarantine = quarantine.New(quarantine.Config{
-		VM:       s.VM.ID,
-		Settings: s.Quarantine.Ledger(),
-		Store:    backend.Store,
-		Table:    backend.Quarantine,
-		Unlinked: func() bool { return n.Peers.Unlinked() && n.Peers.Role() != follow.Listener },
-		Log:      log,
+		VM:                     s.VM.ID,
+		Settings:               s.Quarantine.Ledger(),
+		Store:                  backend.Store,
+		Table:                  backend.Quarantine,
+		MayHaveUnlinkedEntries: func() bool { return n.Peers.Unlinked() && n.Peers.Role() != follow.Listener },
+		Log:                    log,
 	})
 	n.Peers = share.New(share.Config{
 		Self:         link.Identity{VM: s.VM.ID, Role: "entry", Zone: s.VM.Zone, Incarnation: incarnation},
--- a/entry/process/process.go
+++ b/entry/process/process.go
@@ -183,7 +183,7 @@
 	}
 	return quarantine.New(quarantine.Config{
 		VM: c.VM, Settings: held, Store: quarantine.TableStore{Table: c.Table}, Table: quarantineTable,
-		RereadInterval: quarantineEvery, Unlinked: func() bool { return false }, Log: log,
+		RereadInterval: quarantineEvery, MayHaveUnlinkedEntries: func() bool { return false }, Log: log,
 	})
 }
 
--- a/entry/quarantine/cluster_test.go
+++ b/entry/quarantine/cluster_test.go
@@ -53,7 +53,7 @@
 	}
 	c.keeper[i] = New(Config{
 		VM: fmt.Sprint("entry-", i), Settings: corequarantine.DefaultSettings, Store: c.store, Table: "quarantine",
-		Unlinked: c.cut.Load, Log: zerolog.Nop(),
+		MayHaveUnlinkedEntries: c.cut.Load, Log: zerolog.Nop(),
 	})
 	var ctx context.Context
 	ctx, c.stop[i] = context.WithCancel(c.t.Context())
--- a/entry/quarantine/keeper.go
+++ b/entry/quarantine/keeper.go
@@ -53,10 +53,10 @@
 	// RereadInterval is the interval at which the store is read even if nothing has changed;
 	// zero means 30 s.
 	RereadInterval time.Duration
-	// Unlinked reports whether there may be entries that share reports with this one only
-	// through the store.
-	Unlinked func() bool
-	Log      zerolog.Logger
+	// MayHaveUnlinkedEntries reports whether there may be entries that share reports with this one
+	// only through the store.
+	MayHaveUnlinkedEntries func() bool
+	Log                    zerolog.Logger
 }
 
 // Keeper manages the quarantine of one entry. It is safe for concurrent use.
--- a/entry/quarantine/keeper_test.go
+++ b/entry/quarantine/keeper_test.go
@@ -111,7 +111,7 @@
 	e := &entry{}
 	e.Keeper = New(Config{
 		VM: vm, Settings: corequarantine.DefaultSettings, Store: s, Table: "quarantine",
-		Unlinked: func() bool { return false }, Log: zerolog.New(&e.log),
+		MayHaveUnlinkedEntries: func() bool { return false }, Log: zerolog.New(&e.log),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/entry/quarantine/store.go
+++ b/entry/quarantine/store.go
@@ -110,7 +110,7 @@
 		case err != nil:
 			k.config.Log.Info().Err(err).Msg("the quarantine could not be written or read; trying again")
 			wait = retryInterval
-		case k.config.Unlinked():
+		case k.config.MayHaveUnlinkedEntries():
 			wait = unlinkedRereadInterval
 		}
 		pause.For(ctx, minPassInterval)
