--- a/entry/fleet/evidence.go
+++ b/entry/fleet/evidence.go
@@ -78,7 +78,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer := c.Peer()
-	v.apply(v.members.HandleReply(c.LastReceived(), membership.ID(peer.VM), peer.Incarnation))
+	v.apply(v.members.HandleMessage(c.LastReceived(), membership.ID(peer.VM), peer.Incarnation))
 }
 
 func (v *View) recordTimeout(vm string, sent time.Time) {
--- a/entry/process/process.go
+++ b/entry/process/process.go
@@ -184,7 +184,7 @@
 	}
 	return quarantine.New(quarantine.Config{
 		VM: c.VM, Settings: settings, Store: quarantine.TableStore{Table: c.Table}, Table: quarantineTable,
-		RereadInterval: quarantineRereadInterval, Unlinked: func() bool { return false }, Log: log,
+		RereadInterval: quarantineRereadInterval, MayHaveUnlinkedEntries: func() bool { return false }, Log: log,
 	})
 }
 
--- a/entry/quarantine/keeper_test.go
+++ b/entry/quarantine/keeper_test.go
@@ -111,7 +111,7 @@
 	e := &entry{}
 	e.Keeper = New(Config{
 		VM: vm, Settings: corequarantine.DefaultSettings, Store: s, Table: "quarantine",
-		Unlinked: func() bool { return false }, Log: zerolog.New(&e.log),
+		MayHaveUnlinkedEntries: func() bool { return false }, Log: zerolog.New(&e.log),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -136,7 +136,7 @@
 
 func upstream(i int) dispatch.Upstream { return dispatch.Upstream{ID: fmt.Sprint("engine-", i)} }
 
-// crash reports to an entry that an upstream has crashed under some requests.
+// crash reports to an entry that an upstream has crashed while it served some requests.
 func (e *entry) crash(i int, affected ...string) {
 	var all []Suspect
 	for _, name := range affected {
