--- a/entry/load/exchange.go
+++ b/entry/load/exchange.go
@@ -17,57 +17,57 @@
 	"github.com/pkg/errors"
 )
 
-// The ends of a request's context that are no caller's.
+// Causes with which the run itself cancels a request's context.
 var (
 	errInterrupted = errors.New("the run was interrupted")
-	errUnanswered  = errors.New("no end in time")
+	errUnanswered  = errors.New("no complete response within the deadline and grace period")
 )
 
 const (
-	// eventBytes is the buffer for events of a stream.
-	eventBytes = 16 << 10
-	// failureBytes bounds what is read of a failure's body.
-	failureBytes = 64 << 10
+	// eventBufferBytes is the size of the read buffer, and so the maximum length of an event line.
+	eventBufferBytes = 16 << 10
+	// maxFailureBodyBytes bounds how much of an error response's body is read.
+	maxFailureBodyBytes = 64 << 10
 )
 
-// exchange sends one request and reads its answer to the end.
+// exchange sends one request, reads its response to the end and fills in result.
 func (r *runner) exchange(request *schedule.Request, result *Result) {
-	ctx, cancel := context.WithDeadlineCause(r.calls, r.due(request).Add(r.timeout(request)+r.config.Grace), errUnanswered)
+	ctx, cancel := context.WithDeadlineCause(r.requestContext, r.sendTime(request).Add(r.timeout(request)+r.config.Grace), errUnanswered)
 	defer cancel()
-	result.Lag = r.since(request)
+	result.Lag = r.sinceSendTime(request)
 	err := r.roundTrip(ctx, request, result)
-	result.Whole = r.since(request)
-	result.Late = err == nil && result.Whole > r.timeout(request)
+	result.Total = r.sinceSendTime(request)
+	result.Late = err == nil && result.Total > r.timeout(request)
 	result.Code = codeOf(ctx, err)
 }
 
 func (r *runner) roundTrip(ctx context.Context, request *schedule.Request, result *Result) error {
-	message, err := r.message(ctx, request)
+	httpRequest, err := r.newChatRequest(ctx, request)
 	if err != nil {
 		return err
 	}
-	answer, err := r.client.Do(message)
+	response, err := r.client.Do(httpRequest)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode >= http.StatusBadRequest {
-		return readFailure(answer)
+	defer response.Body.Close()
+	if response.StatusCode >= http.StatusBadRequest {
+		return readFailure(response)
 	}
 	if request.Call != nil {
-		_, err := io.Copy(io.Discard, answer.Body)
+		_, err := io.Copy(io.Discard, response.Body)
 		return err
 	}
-	return r.readStream(answer.Body, request, result)
+	return r.readStream(response.Body, request, result)
 }
 
-// failure is an error that an entry answered with.
+// failure is an error that an entry reported; its code includes the execution state.
 type failure struct{ code string }
 
 // Error implements error.
 func (f *failure) Error() string { return f.code }
 
-// codeOf tells how a request ended; empty for a whole answer.
+// codeOf returns the failure code for an exchange's error, or "" for a complete response.
 func codeOf(ctx context.Context, err error) string {
 	var answered *failure
 	switch {
@@ -86,53 +86,54 @@
 	}
 }
 
-func (r *runner) message(ctx context.Context, request *schedule.Request) (*http.Request, error) {
+func (r *runner) newChatRequest(ctx context.Context, request *schedule.Request) (*http.Request, error) {
 	if request.Call != nil {
-		return r.callMessage(ctx, request)
+		return r.newPlainRequest(ctx, request)
 	}
 	m := r.config.Mix
 	head := fmt.Sprintf(`{"model":%s,"stream":true,"stream_options":{"include_usage":true},"max_tokens":%d,"messages":[{"role":"user","content":"`,
 		strconv.Quote(m.Model), request.AnswerTokens)
 	const tail = `"}]}`
 	body := io.MultiReader(bytes.NewReader([]byte(head)), request.Text.Reader(), bytes.NewReader([]byte(tail)))
-	message, err := r.newMessage(ctx, request, http.MethodPost, "/v1/chat/completions", body)
+	httpRequest, err := r.newHTTPRequest(ctx, request, http.MethodPost, "/v1/chat/completions", body)
 	if err != nil {
 		return nil, err
 	}
-	message.ContentLength = int64(len(head) + request.Text.Bytes() + len(tail))
-	message.Header.Set("Content-Type", "application/json")
-	return message, nil
+	httpRequest.ContentLength = int64(len(head) + request.Text.Bytes() + len(tail))
+	httpRequest.Header.Set("Content-Type", "application/json")
+	return httpRequest, nil
 }
 
-func (r *runner) callMessage(ctx context.Context, request *schedule.Request) (*http.Request, error) {
+func (r *runner) newPlainRequest(ctx context.Context, request *schedule.Request) (*http.Request, error) {
 	c := request.Call
-	message, err := r.newMessage(ctx, request, c.Method, "/v1/services/"+c.Service+c.Path, bytes.NewReader([]byte(c.Body)))
+	httpRequest, err := r.newHTTPRequest(ctx, request, c.Method, "/v1/services/"+c.Service+c.Path, bytes.NewReader([]byte(c.Body)))
 	if err != nil {
 		return nil, err
 	}
 	if c.IdempotencyKey {
-		message.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", r.config.KeyPrefix, request.Index))
+		httpRequest.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", r.config.KeyPrefix, request.Index))
 	}
-	return message, nil
+	return httpRequest, nil
 }
 
-func (r *runner) newMessage(ctx context.Context, request *schedule.Request, method, path string, body io.Reader) (*http.Request, error) {
-	message, err := http.NewRequestWithContext(ctx, method, r.target(request)+path, body)
+func (r *runner) newHTTPRequest(ctx context.Context, request *schedule.Request, method, path string, body io.Reader) (*http.Request, error) {
+	httpRequest, err := http.NewRequestWithContext(ctx, method, r.target(request)+path, body)
 	if err != nil {
 		return nil, err
 	}
-	message.Header.Set("Authorization", "Bearer "+r.organisation(request).Key)
+	httpRequest.Header.Set("Authorization", "Bearer "+r.organisation(request).Key)
 	if request.Timeout > 0 {
-		message.Header.Set(deadline.Header, strconv.FormatInt(max(1, request.Timeout.Milliseconds()), 10))
+		httpRequest.Header.Set(deadline.Header, strconv.FormatInt(max(1, request.Timeout.Milliseconds()), 10))
 	}
-	return message, nil
+	return httpRequest, nil
 }
 
 func (r *runner) organisation(request *schedule.Request) *mix.Organisation {
 	return &r.config.Mix.Organisations[request.Organisation]
 }
 
-// chunk is what is read of an event or of a failure's body.
+// chunk holds the fields that the run reads from a stream event or from the body of an error
+// response.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -149,7 +150,8 @@
 	Error *failureDetail `json:"error"`
 }
 
-// failureDetail is an entry's account of a failure, in both shapes that it has.
+// failureDetail holds the fields of an entry's error in both of its formats: the OpenAI error
+// object (Code) and the problem document (Title).
 type failureDetail struct {
 	Code       string `json:"code"`
 	Title      string `json:"title"`
@@ -161,8 +163,8 @@
 	return &failure{code: fmt.Sprintf("%d %s%s (%s)", f.ResultCode, f.Code, f.Title, f.Execution)}
 }
 
-func readFailure(answer *http.Response) error {
-	data, err := io.ReadAll(io.LimitReader(answer.Body, failureBytes))
+func readFailure(response *http.Response) error {
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxFailureBodyBytes))
 	if err != nil {
 		return err
 	}
@@ -174,21 +176,22 @@
 	if json.Unmarshal(data, &problem) == nil && problem.ResultCode != 0 {
 		return problem.failure()
 	}
-	return &failure{code: "HTTP " + strconv.Itoa(answer.StatusCode)}
+	return &failure{code: "HTTP " + strconv.Itoa(response.StatusCode)}
 }
 
-// errBroken is a stream that ended before its regular end.
+// errBroken reports a stream that ended before [DONE], or an event that can't be parsed.
 var errBroken = errors.New("the stream ended before [DONE]")
 
 var (
 	dataPrefix = []byte("data: ")
-	doneMark   = []byte("[DONE]")
+	doneMarker = []byte("[DONE]")
 )
 
-// readStream reads server-sent events up to the one that closes the stream.
+// readStream reads server-sent events up to [DONE] and records the times of the tokens and the
+// usage.
 func (r *runner) readStream(body io.Reader, request *schedule.Request, result *Result) error {
-	reader := bufio.NewReaderSize(body, eventBytes)
-	latest := result.FirstToken
+	reader := bufio.NewReaderSize(body, eventBufferBytes)
+	previous := result.FirstToken
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
@@ -198,7 +201,7 @@
 		if !found {
 			continue
 		}
-		if bytes.Equal(payload, doneMark) {
+		if bytes.Equal(payload, doneMarker) {
 			return nil
 		}
 		var c chunk
@@ -212,18 +215,19 @@
 			result.Usage = Usage{c.Usage.PromptTokens, c.Usage.PromptTokensDetails.CachedTokens, c.Usage.CompletionTokens}
 		}
 		if len(c.Choices) > 0 && c.Choices[0].Delta.Content != "" {
-			now := r.since(request)
-			result.token(latest, now)
-			latest = now
+			now := r.sinceSendTime(request)
+			result.recordToken(previous, now)
+			previous = now
 		}
 	}
 }
 
-// token notes an event with text at the time now; latest is the one before.
-func (r *Result) token(latest, now time.Duration) {
+// recordToken records an event with text at the time now; previous is the time of the preceding
+// one.
+func (r *Result) recordToken(previous, now time.Duration) {
 	if r.FirstToken == 0 {
 		r.FirstToken = now
 		return
 	}
-	r.Gaps = append(r.Gaps, now-latest)
+	r.Gaps = append(r.Gaps, now-previous)
 }
--- a/entry/load/mix/mix_test.go
+++ b/entry/load/mix/mix_test.go
@@ -21,7 +21,7 @@
 	return m
 }
 
-func TestExamplesHaveTheDeploymentsLengths(t *testing.T) {
+func TestExampleMixesMatchDeploymentPromptLengths(t *testing.T) {
 	for _, name := range []string{"faixa-verde.json", "omuti.json"} {
 		t.Run(name, func(t *testing.T) {
 			m := example(t, name)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestShortExamplesAreTheShortPart(t *testing.T) {
+func TestShortExamplesMatchTheShortClass(t *testing.T) {
 	for _, name := range []string{"faixa-verde", "omuti"} {
 		whole, short := example(t, name+".json"), example(t, name+"-short.json")
 		require.Equal(t, whole.Classes[:1], short.Classes)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestAllFaultsAreNamedAtOnce(t *testing.T) {
+func TestAllFaultsAreReportedTogether(t *testing.T) {
 	_, faults := Parse([]byte(`{
 		"model": "assistant-1", "Load": 1, "load": 0, "durationSeconds": 5, "warmupSeconds": 5,
 		"classes": [
--- a/entry/load/mix/parse.go
+++ b/entry/load/mix/parse.go
@@ -8,7 +8,7 @@
 	"acaciacleat.example/core/strictjson"
 )
 
-// Defaults of what a file leaves out.
+// Defaults for fields that a file omits.
 const (
 	defaultLoad     = 0.7
 	defaultDuration = 30
@@ -28,17 +28,16 @@
 	"lt":        {Allowed: "less than %s", Remedy: "Lower the value."},
 })
 
-// Parse reads a mix strictly and returns all faults at once; the mix is nil when there
-// is any.
+// Parse parses a mix strictly and returns all faults at once; the mix is nil if there are any.
 func Parse(data []byte) (*Mix, []strictjson.Fault) {
 	m := &Mix{Load: defaultLoad, DurationSeconds: defaultDuration}
-	if faults := strictjson.Parse(data, m, finish); len(faults) > 0 {
+	if faults := strictjson.Parse(data, m, setDefaultsAndCheck); len(faults) > 0 {
 		return nil, faults
 	}
 	return m, nil
 }
 
-func finish(m *Mix) []strictjson.Fault {
+func setDefaultsAndCheck(m *Mix) []strictjson.Fault {
 	for i := range m.Classes {
 		setDefault(&m.Classes[i].PromptTokens)
 		setDefault(&m.Classes[i].AnswerTokens)
@@ -50,7 +49,7 @@
 	if m.Plain.Share > 0 && len(m.Plain.Calls) == 0 {
 		faults = append(faults, strictjson.NewFault("$.plain.calls", m.Plain.Calls, "at least one call", "Add a call, or make the share 0."))
 	}
-	faults = append(faults, checkNames(m)...)
+	faults = append(faults, checkUnique(m)...)
 	for i := range m.Classes {
 		faults = append(faults, checkClass(&m.Classes[i], fmt.Sprintf("$.classes[%d]", i))...)
 	}
@@ -90,9 +89,9 @@
 	return faults
 }
 
-// checkNames finds names and keys that stand twice. With a key that two organisations
-// share, an entry would count all requests for one of them, unseen in the report.
-func checkNames(m *Mix) []strictjson.Fault {
+// checkUnique reports duplicate names and keys. With a key shared by two organisations, an entry
+// would attribute all their requests to one of them, and the report would not show it.
+func checkUnique(m *Mix) []strictjson.Fault {
 	var faults []strictjson.Fault
 	first := map[string]string{}
 	check := func(kind, value, path string) {
@@ -112,7 +111,7 @@
 	return faults
 }
 
-// FaultsError makes one error of the faults of a file, a line each.
+// FaultsError returns one error that lists the faults of a file, one per line.
 func FaultsError(file string, faults []strictjson.Fault) error {
 	lines := make([]string, 0, len(faults))
 	for _, f := range faults {
--- a/entry/load/report/file.go
+++ b/entry/load/report/file.go
@@ -7,9 +7,9 @@
 	"github.com/pkg/errors"
 )
 
-// File is what reports are stored as.
+// File is the stored form of the reports of a load run.
 type File struct {
-	// Summaries are the medians and ranges by label.
+	// Summaries hold the medians and ranges by label.
 	Summaries []Summary `json:"summaries"`
 	Reports   []*Report `json:"reports"`
 }
@@ -25,7 +25,7 @@
 
 const fileMode = 0o644
 
-// Read reads what Write stored.
+// Read reads a file that Write stored.
 func Read(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	f := &File{}
 	if err := json.Unmarshal(data, f); err != nil {
-		return nil, errors.Wrapf(err, "reports in %s", path)
+		return nil, errors.Wrapf(err, "decode reports in %s", path)
 	}
 	return f, nil
 }
--- a/entry/load/report/latency.go
+++ b/entry/load/report/latency.go
@@ -10,30 +10,31 @@
 
 // The range of the histograms: a microsecond to two hours, with three significant digits.
 const (
-	lowestMicros      = 1
-	highestMicros     = int64(2 * time.Hour / time.Microsecond)
+	minMicros         = 1
+	maxMicros         = int64(2 * time.Hour / time.Microsecond)
 	significantDigits = 3
 )
 
-// Latency is a distribution of times, in milliseconds.
+// Latency summarises a distribution of times, in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50Ms float64 `json:"p50_ms"`
 	P95Ms float64 `json:"p95_ms"`
 	P99Ms float64 `json:"p99_ms"`
 	MaxMs float64 `json:"max_ms"`
-	// Histogram is in microseconds, in HdrHistogram's V2 compressed encoding and base64.
+	// Histogram holds the values in microseconds, in HdrHistogram's V2 compressed encoding as
+	// base64.
 	Histogram string `json:"histogram,omitempty"`
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
-// record counts a time; one outside the range counts at its end.
+// record adds a time, clamped to the range of the histogram.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// A value within the range can't fail.
-	_ = h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
+	// RecordValue fails only for values outside the range.
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
 func newLatency(h *hdrhistogram.Histogram) Latency {
@@ -42,14 +43,14 @@
 	}
 	ms := func(percentile float64) float64 { return float64(h.ValueAtPercentile(percentile)) / 1000 }
 	l := Latency{Count: h.TotalCount(), P50Ms: ms(50), P95Ms: ms(95), P99Ms: ms(99), MaxMs: ms(100)}
-	// Encode fails only for versions that it does not know.
+	// Encode fails only for an unknown version.
 	if encoded, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
 		l.Histogram = base64.StdEncoding.EncodeToString(encoded)
 	}
 	return l
 }
 
-// decode returns the histogram, empty when there is none.
+// decode returns the histogram, or an empty one if none is stored.
 func (l Latency) decode() (*hdrhistogram.Histogram, error) {
 	if l.Histogram == "" {
 		return newHistogram(), nil
--- a/entry/load/report/plot.go
+++ b/entry/load/report/plot.go
@@ -16,14 +16,14 @@
 const (
 	plotWidth  = 11 * vg.Inch
 	plotHeight = 7 * vg.Inch
-	// legendRoom is the factor of time left of all curves, for the legend.
-	legendRoom = 8
+	// legendTimeFactor extends the logarithmic time axis to the left to make room for the legend.
+	legendTimeFactor = 8
 )
 
-// Plot draws the times to first token into a PNG file: for each label and length class
-// the share of all requests whose first token had come by a time. Reports with one label
-// are drawn as one. Requests that failed never count as started, so that a curve ends
-// below 1 by their share and a policy can't look fast by what it refuses.
+// Plot draws the cumulative distribution of times to first token into a PNG file, one curve for
+// each label and length class. Reports with the same label are merged. The fractions are of all
+// requests, so that a curve ends below 1 by the fraction of failed requests and a policy doesn't
+// look fast by rejecting slow ones.
 func Plot(path string, reports []*Report) error {
 	p := plot.New()
 	p.Title.Text = "Time to first token by prompt length"
@@ -36,7 +36,7 @@
 	p.Legend.Left = true
 	p.Add(plotter.NewGrid())
 	lines := 0
-	for i, group := range byLabel(reports) {
+	for i, group := range groupByLabel(reports) {
 		for j, class := range lengthClasses() {
 			added, err := addCurve(p, group, class, plotutil.Color(i), plotutil.Dashes(j))
 			if err != nil {
@@ -48,13 +48,13 @@
 	if lines == 0 {
 		return errors.New("no times to first token to draw")
 	}
-	p.X.Min /= legendRoom
+	p.X.Min /= legendTimeFactor
 	return errors.Wrap(p.Save(plotWidth, plotHeight, path), "draw the chart")
 }
 
-// addCurve returns how many curves it drew.
+// addCurve draws a curve if the class has data and returns the number of curves drawn, 0 or 1.
 func addCurve(p *plot.Plot, group []*Report, class string, c color.Color, dashes []vg.Length) (int, error) {
-	points, err := curve(group, class)
+	points, err := cumulativeCurve(group, class)
 	if err != nil || len(points) == 0 {
 		return 0, err
 	}
@@ -70,9 +70,10 @@
 	return 1, nil
 }
 
-// curve returns the cumulative distribution over all reports of a group.
-func curve(group []*Report, class string) (plotter.XYs, error) {
-	merged, count, err := merge(group, class)
+// cumulativeCurve returns the cumulative distribution of times to first token over a group of
+// reports.
+func cumulativeCurve(group []*Report, class string) (plotter.XYs, error) {
+	merged, count, err := mergeFirstTokens(group, class)
 	if err != nil || merged.TotalCount() == 0 {
 		return nil, err
 	}
@@ -88,8 +89,9 @@
 	return points, nil
 }
 
-// merge joins the times to first token of a class and counts its requests.
-func merge(group []*Report, class string) (*hdrhistogram.Histogram, int, error) {
+// mergeFirstTokens merges the times to first token of a class over a group of reports and counts
+// the requests.
+func mergeFirstTokens(group []*Report, class string) (*hdrhistogram.Histogram, int, error) {
 	merged := newHistogram()
 	count := 0
 	for _, r := range group {
@@ -104,15 +106,15 @@
 	return merged, count, nil
 }
 
-// byLabel groups reports by label, in the order in which the labels first come.
-func byLabel(reports []*Report) [][]*Report {
+// groupByLabel groups reports by label, in the order of the first report of each label.
+func groupByLabel(reports []*Report) [][]*Report {
 	var groups [][]*Report
-	place := map[string]int{}
+	groupIndex := map[string]int{}
 	for _, r := range reports {
-		i, known := place[r.Label]
+		i, known := groupIndex[r.Label]
 		if !known {
 			i = len(groups)
-			place[r.Label] = i
+			groupIndex[r.Label] = i
 			groups = append(groups, nil)
 		}
 		groups[i] = append(groups[i], r)
--- a/entry/load/report/report.go
+++ b/entry/load/report/report.go
@@ -1,5 +1,5 @@
-// Package report sums up the results of load runs by length class: as a table, as JSON
-// and as a chart of times to first token.
+// Package report aggregates the results of load runs by length class, as a table, as JSON and as
+// a chart of times to first token.
 package report
 
 import (
@@ -11,37 +11,37 @@
 	"acaciacleat.example/entry/load/schedule"
 )
 
-// Names of the rows that are no length class.
+// Names of the rows that are not length classes.
 const (
 	PlainClass = "plain"
-	// AllClass joins the generations of all lengths.
+	// AllClass covers generations of all lengths.
 	AllClass = "all"
 )
 
-// Report is the outcome of one run. Times are as measured, whatever Speed is.
+// Report is the outcome of one run. Times are as measured and not scaled by Speed.
 type Report struct {
 	// Label names the run, for instance by its policy.
 	Label string `json:"label"`
-	// Deployment says what was called.
+	// Deployment describes the deployment under load.
 	Deployment string `json:"deployment"`
 	Seed       uint64 `json:"seed"`
-	// Load is the offered load as a share of the engines' capacity; 0 when unknown.
+	// Load is the offered load as a fraction of the engines' capacity; 0 when unknown.
 	Load float64 `json:"load,omitempty"`
 	// RequestsPerSecond is the offered rate, plain calls included.
 	RequestsPerSecond float64 `json:"requests_per_second"`
-	// Speed says how many times faster than usual the stand-in engines were; 1 for others.
+	// Speed is the speed-up of the stand-in engines over their default; 1 for other engines.
 	Speed float64 `json:"speed"`
-	// WindowSeconds is the time of arrival that the report covers, without warm-up.
+	// WindowSeconds is the length of the measurement window, which excludes the warm-up.
 	WindowSeconds float64 `json:"window_seconds"`
 	Interrupted   bool    `json:"interrupted,omitempty"`
-	// Classes has the rows in order of length, then plain calls, then all generations.
+	// Classes has the length classes in order of length, then plain calls, then all generations.
 	Classes []Class `json:"classes"`
-	// Organisations has one row for each organisation's short requests, which can be
-	// compared where mixes of lengths can't.
+	// Organisations has one row for the short requests of each organisation. Rows over all
+	// lengths would not be comparable, because organisations differ in their mix of lengths.
 	Organisations []Class `json:"organisations"`
-	// Slowdown compares short requests with the same ones alone; nil when not measured.
+	// Slowdown compares short requests with the same requests run alone; nil when not measured.
 	Slowdown *Slowdown `json:"slowdown,omitempty"`
-	// LagP99Ms is how late the run itself sent its requests.
+	// LagP99Ms is the 99th percentile of the client's own send delay.
 	LagP99Ms float64 `json:"lag_p99_ms"`
 }
 
@@ -49,31 +49,31 @@
 type Class struct {
 	Class string `json:"class"`
 	Count int    `json:"count"`
-	// OK counts whole answers, Late those of them that came after their deadline.
+	// OK counts complete responses; Late counts those of them that missed their deadline.
 	OK   int `json:"ok"`
 	Late int `json:"late"`
-	// Started counts generations of which a token came, whole or not.
+	// Started counts generations with at least one token, whether complete or not.
 	Started int `json:"started"`
 	// Failed counts failures by code.
 	Failed map[string]int `json:"failed"`
-	// The distributions are those of whole answers.
+	// The distributions cover complete responses only.
 	FirstToken    Latency `json:"first_token"`
 	BetweenTokens Latency `json:"between_tokens"`
-	Whole         Latency `json:"whole"`
-	// Token counts are the entries' own, of whole answers.
+	Total         Latency `json:"whole"`
+	// Token counts are as the entries reported them, for complete responses only.
 	PromptTokens int64 `json:"prompt_tokens"`
 	CachedTokens int64 `json:"cached_tokens"`
-	// ReusableTokens is what a router that knows everything could have had from caches that
-	// forget nothing; see schedule.Request.
+	// ReusableTokens is the upper bound of CachedTokens: the cache hits of an omniscient router
+	// with prefix caches of unlimited size; see schedule.Request.
 	ReusableTokens   int64 `json:"reusable_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
-	// GoodPerSecond is the goodput: answers that met their deadline and ended within the
-	// window, whenever they were asked for, per second.
+	// GoodPerSecond is the goodput: responses per second that met their deadline and ended
+	// within the window, regardless of when their requests arrived.
 	GoodPerSecond       float64 `json:"good_per_second"`
 	GoodTokensPerSecond float64 `json:"good_tokens_per_second"`
 }
 
-// Run is what New sums up, beside the results.
+// Run describes a load run for its report.
 type Run struct {
 	Label       string
 	Deployment  string
@@ -84,11 +84,12 @@
 	Warmup      time.Duration
 	Duration    time.Duration
 	Interrupted bool
-	// Organisations are those that requests name by their index.
+	// Organisations are indexed by schedule.Request.Organisation.
 	Organisations []mix.Organisation
 }
 
-// New sums up a run. Requests of the warm-up are left out but for the goodput.
+// New aggregates the results of a run. Requests that arrive during the warm-up count only towards
+// the goodput.
 func New(run Run, results []load.Result) *Report {
 	window := run.window(results)
 	r := &Report{
@@ -102,43 +103,43 @@
 		Interrupted:       run.Interrupted,
 	}
 	lag := newHistogram()
-	rows, callers := newRows(rowNames()), newRows(run.callers())
+	rows, organisationRows := newRows(rowNames()), newRows(run.organisationNames())
 	for i := range results {
 		result := &results[i]
-		for _, name := range rowsOf(result.Request) {
-			rows[name].addGood(result, run.Warmup, run.Warmup+window)
+		for _, name := range rowsFor(result.Request) {
+			rows[name].addGoodput(result, run.Warmup, run.Warmup+window)
 		}
 		if result.Request.At < run.Warmup {
 			continue
 		}
 		record(lag, result.Lag)
-		for _, name := range rowsOf(result.Request) {
+		for _, name := range rowsFor(result.Request) {
 			rows[name].add(result)
 		}
 		if isShort(result, run.Warmup) && len(run.Organisations) > 0 {
-			caller := callers[run.Organisations[result.Request.Organisation].Name]
-			caller.add(result)
-			caller.addGood(result, run.Warmup, run.Warmup+window)
+			organisationRow := organisationRows[run.Organisations[result.Request.Organisation].Name]
+			organisationRow.add(result)
+			organisationRow.addGoodput(result, run.Warmup, run.Warmup+window)
 		}
 	}
-	r.Classes = finish(rowNames(), rows, window)
-	r.Organisations = finish(run.callers(), callers, window)
+	r.Classes = nonEmptyClasses(rowNames(), rows, window)
+	r.Organisations = nonEmptyClasses(run.organisationNames(), organisationRows, window)
 	r.LagP99Ms = newLatency(lag).P99Ms
 	return r
 }
 
-// finish returns the rows that have requests, in order of their names.
-func finish(names []string, rows map[string]*row, window time.Duration) []Class {
+// nonEmptyClasses returns the classes that have requests, in the order of names.
+func nonEmptyClasses(names []string, rows map[string]*row, window time.Duration) []Class {
 	var classes []Class
 	for _, name := range names {
 		if row := rows[name]; row.class.Count > 0 {
-			classes = append(classes, row.finish(window))
+			classes = append(classes, row.toClass(window))
 		}
 	}
 	return classes
 }
 
-func (run *Run) callers() []string {
+func (run *Run) organisationNames() []string {
 	var names []string
 	for _, o := range run.Organisations {
 		names = append(names, o.Name)
@@ -146,7 +147,8 @@
 	return names
 }
 
-// window is the time that the results cover; an interrupted run covers less.
+// window returns the length of the measurement window; an interrupted run ends it at the last
+// request sent.
 func (run *Run) window(results []load.Result) time.Duration {
 	end := run.Duration
 	if run.Interrupted && len(results) > 0 {
@@ -165,7 +167,7 @@
 	return &Class{Class: name}
 }
 
-// CachedShare is the share of prompt tokens that came from prefix caches.
+// CachedShare returns the fraction of prompt tokens that were prefix cache hits.
 func (c *Class) CachedShare() float64 {
 	if c.PromptTokens == 0 {
 		return 0
@@ -173,7 +175,7 @@
 	return float64(c.CachedTokens) / float64(c.PromptTokens)
 }
 
-// ReusedShare is the share of the reusable tokens that came from prefix caches.
+// ReusedShare returns the prefix cache hits as a fraction of the reusable tokens.
 func (c *Class) ReusedShare() float64 {
 	if c.ReusableTokens == 0 {
 		return 0
@@ -194,7 +196,7 @@
 	return names
 }
 
-func rowsOf(request *schedule.Request) []string {
+func rowsFor(request *schedule.Request) []string {
 	if request.Call != nil {
 		return []string{PlainClass}
 	}
--- a/entry/load/report/report_test.go
+++ b/entry/load/report/report_test.go
@@ -15,21 +15,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-func result(i, tokens int, first time.Duration, code string) load.Result {
+func newResult(i, tokens int, first time.Duration, code string) load.Result {
 	return load.Result{
 		Request:    &schedule.Request{Index: i, At: time.Duration(i) * 10 * time.Millisecond, PromptTokens: tokens},
 		Code:       code,
 		FirstToken: first,
 		Gaps:       []time.Duration{first / 10},
-		Whole:      2 * first,
+		Total:      2 * first,
 		Usage:      load.Usage{PromptTokens: tokens, CachedTokens: tokens / 4, CompletionTokens: 10},
 	}
 }
 
-func sample() []load.Result {
+func sampleResults() []load.Result {
 	var results []load.Result
 	for i := range 200 {
-		results = append(results, result(i, 1_000, time.Duration(i+1)*time.Millisecond, ""))
+		results = append(results, newResult(i, 1_000, time.Duration(i+1)*time.Millisecond, ""))
 	}
 	results[150].Late = true
 	results[151].Code, results[151].FirstToken = "2003 queue_full (not-run)", 0
@@ -41,7 +41,7 @@
 var testRun = Run{Label: "test", Speed: 1, Warmup: time.Second, Duration: 2 * time.Second, Rate: 100}
 
 func TestReportCountsByClass(t *testing.T) {
-	r := New(testRun, sample())
+	r := New(testRun, sampleResults())
 	short, huge, all := r.Class("short"), r.Class("huge"), r.Class(AllClass)
 	require.Equal(t, 98, short.Count)
 	require.Equal(t, 97, short.OK)
@@ -52,16 +52,16 @@
 	require.Equal(t, 1, huge.Started)
 	require.Equal(t, 99, all.Count)
 	require.Equal(t, 1, r.Class(PlainClass).Count)
-	// Request i ends at 10 i + 2 (i+1) ms: 84 to 166 within the second that counts, of
-	// which 150 was late and 151 to 153 are no good short answers.
+	// Request i ends at 10 i + 2 (i+1) ms, so requests 84 to 166 end within the window of one
+	// second. Of these, 150 is late and 151 to 153 are no successful short requests.
 	require.InDelta(t, 83-4, short.GoodPerSecond, 1e-9)
 	require.InDelta(t, 0.25, short.CachedShare(), 1e-9)
-	// The whole answers of requests 100 to 199 took 101 to 200 ms, but for 151 to 153.
+	// The times to first token of requests 100 to 199 are 101 to 200 ms; 151 to 153 don't count.
 	require.InEpsilon(t, 149, short.FirstToken.P50Ms, 0.001)
-	// HdrHistogram rounds the rank: 0.95 × 97 is the 92nd.
+	// HdrHistogram rounds the rank: 0.95 × 97 gives the 92nd value.
 	require.InEpsilon(t, 195, short.FirstToken.P95Ms, 0.001)
 	require.InEpsilon(t, 19.5, short.BetweenTokens.P95Ms, 0.001)
-	require.InEpsilon(t, 400, short.Whole.MaxMs, 0.001)
+	require.InEpsilon(t, 400, short.Total.MaxMs, 0.001)
 	var table strings.Builder
 	require.NoError(t, r.Print(&table))
 	require.Contains(t, table.String(), "failed: 1 huge with 3001 deadline_passed (ran)\n")
@@ -70,8 +70,8 @@
 func TestSlowdownComparesEqualRequests(t *testing.T) {
 	var alone, mixed []load.Result
 	for i := range 100 {
-		alone = append(alone, result(i, 1_000, 10*time.Millisecond, ""))
-		mixed = append(mixed, result(i, 1_000, 20*time.Millisecond, ""), result(1000+i, 200_000, time.Second, ""))
+		alone = append(alone, newResult(i, 1_000, 10*time.Millisecond, ""))
+		mixed = append(mixed, newResult(i, 1_000, 20*time.Millisecond, ""), newResult(1000+i, 200_000, time.Second, ""))
 	}
 	mixed[2*90].FirstToken = 100 * time.Millisecond
 	mixed[2*91].Code = "2002 cannot_start_in_time (not-run)"
@@ -97,16 +97,15 @@
 	require.Contains(t, table.String(), "20 (10 to 30)")
 }
 
-// Symptom: a policy that refuses its slow requests has the steepest curve of all.
-// Sequence: half of the requests fail; the others start at once.
-// Cause: a distribution over the requests that started.
-func TestFailuresKeepACurveBelowOne(t *testing.T) {
-	results := sample()[100:150]
+// Half of the requests fail and the others start at once. A distribution over the started requests
+// alone would give the steepest curve to a policy that rejects its slow requests.
+func TestFailedRequestsKeepCurveBelowOne(t *testing.T) {
+	results := sampleResults()[100:150]
 	for i := range 25 {
 		results[2*i].Code = "2002 cannot_start_in_time (not-run)"
 	}
 	r := New(testRun, results)
-	points, err := curve([]*Report{r, r}, "short")
+	points, err := cumulativeCurve([]*Report{r, r}, "short")
 	require.NoError(t, err)
 	require.InDelta(t, 0.5, points[len(points)-1].Y, 1e-9)
 	path := filepath.Join(t.TempDir(), "chart.png")
@@ -118,8 +117,8 @@
 	require.Error(t, Plot(path, nil))
 }
 
-func TestReportsSurviveTheirFile(t *testing.T) {
-	r := New(testRun, sample())
+func TestReportFileRoundTrip(t *testing.T) {
+	r := New(testRun, sampleResults())
 	path := filepath.Join(t.TempDir(), "reports.json")
 	require.NoError(t, (&File{Reports: []*Report{r}}).Write(path))
 	f, err := Read(path)
--- a/entry/load/report/row.go
+++ b/entry/load/report/row.go
@@ -7,24 +7,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// row gathers what becomes a Class.
+// row accumulates the results of one Class.
 type row struct {
-	class  Class
-	good   int
-	tokens int64
-	first  *hdrhistogram.Histogram
-	gaps   *hdrhistogram.Histogram
-	whole  *hdrhistogram.Histogram
+	class         Class
+	goodCount     int
+	goodTokens    int64
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	total         *hdrhistogram.Histogram
 }
 
 func newRows(names []string) map[string]*row {
 	rows := map[string]*row{}
 	for _, name := range names {
 		rows[name] = &row{
-			class: Class{Class: name, Failed: map[string]int{}},
-			first: newHistogram(),
-			gaps:  newHistogram(),
-			whole: newHistogram(),
+			class:         Class{Class: name, Failed: map[string]int{}},
+			firstToken:    newHistogram(),
+			betweenTokens: newHistogram(),
+			total:         newHistogram(),
 		}
 	}
 	return rows
@@ -44,43 +44,43 @@
 	w.class.CachedTokens += int64(result.Usage.CachedTokens)
 	w.class.ReusableTokens += int64(result.Request.Reusable)
 	w.class.CompletionTokens += int64(result.Usage.CompletionTokens)
-	w.times(result)
+	w.recordTimes(result)
 	if result.Late {
 		w.class.Late++
 	}
 }
 
-// addGood counts the answer towards the goodput if it met its deadline and ended between
-// the times given.
+// addGoodput counts the response towards the goodput if it met its deadline and ended between the
+// given times.
 //
-// What goes wrong if answers count by the time of their request: under an overload the
-// requests of a window are answered long after it, and the goodput exceeds what the
-// engines can do.
-func (w *row) addGood(result *load.Result, from, to time.Duration) {
-	end := result.Request.At + result.Whole
+// Responses count by their end, not by the arrival of their request: under overload, requests of
+// the window complete long after it, and counting them would report a goodput above the engines'
+// capacity.
+func (w *row) addGoodput(result *load.Result, from, to time.Duration) {
+	end := result.Request.At + result.Total
 	if !result.OK() || result.Late || end < from || end >= to {
 		return
 	}
-	w.good++
-	w.tokens += int64(result.Usage.PromptTokens + result.Usage.CompletionTokens)
+	w.goodCount++
+	w.goodTokens += int64(result.Usage.PromptTokens + result.Usage.CompletionTokens)
 }
 
-func (w *row) times(result *load.Result) {
-	record(w.whole, result.Whole)
+func (w *row) recordTimes(result *load.Result) {
+	record(w.total, result.Total)
 	if result.FirstToken > 0 {
-		record(w.first, result.FirstToken)
+		record(w.firstToken, result.FirstToken)
 	}
 	for _, gap := range result.Gaps {
-		record(w.gaps, gap)
+		record(w.betweenTokens, gap)
 	}
 }
 
-func (w *row) finish(window time.Duration) Class {
+func (w *row) toClass(window time.Duration) Class {
 	c := w.class
-	c.FirstToken = newLatency(w.first)
-	c.BetweenTokens = newLatency(w.gaps)
-	c.Whole = newLatency(w.whole)
-	c.GoodPerSecond = float64(w.good) / window.Seconds()
-	c.GoodTokensPerSecond = float64(w.tokens) / window.Seconds()
+	c.FirstToken = newLatency(w.firstToken)
+	c.BetweenTokens = newLatency(w.betweenTokens)
+	c.Total = newLatency(w.total)
+	c.GoodPerSecond = float64(w.goodCount) / window.Seconds()
+	c.GoodTokensPerSecond = float64(w.goodTokens) / window.Seconds()
 	return c
 }
--- a/entry/load/report/summary.go
+++ b/entry/load/report/summary.go
@@ -13,17 +13,17 @@
 	Metrics []Metric `json:"metrics"`
 }
 
-// Metric is one figure over several runs.
+// Metric summarises one figure over several runs.
 type Metric struct {
 	Name string `json:"name"`
-	// Runs counts the runs that have the figure: a class may have had no answer.
+	// Runs counts the runs that have the figure; a run without responses in a class has none.
 	Runs   int     `json:"runs"`
 	Median float64 `json:"median"`
 	Min    float64 `json:"min"`
 	Max    float64 `json:"max"`
 }
 
-// measure reads one figure of a report; ok is false where the report has none.
+// measure is a named figure of a report; read returns ok false if the report doesn't have it.
 type measure struct {
 	name string
 	read func(*Report) (value float64, ok bool)
@@ -37,9 +37,9 @@
 	firstTokenP95("long"),
 	firstTokenP95("huge"),
 	firstTokenP95(AllClass),
-	share("failed %", AllClass, func(c *Class) int { return c.Count - c.OK }),
-	share("failed long %", "long", func(c *Class) int { return c.Count - c.OK }),
-	share("failed huge %", "huge", func(c *Class) int { return c.Count - c.OK }),
+	percentOf("failed %", AllClass, func(c *Class) int { return c.Count - c.OK }),
+	percentOf("failed long %", "long", func(c *Class) int { return c.Count - c.OK }),
+	percentOf("failed huge %", "huge", func(c *Class) int { return c.Count - c.OK }),
 	{"cached %", func(r *Report) (float64, bool) {
 		c := r.Class(AllClass)
 		return 100 * c.CachedShare(), c.PromptTokens > 0
@@ -67,22 +67,22 @@
 	}}
 }
 
-func share(name, class string, read func(*Class) int) measure {
+func percentOf(name, class string, read func(*Class) int) measure {
 	return measure{name, func(r *Report) (float64, bool) {
 		c := r.Class(class)
 		return 100 * float64(read(c)) / float64(max(c.Count, 1)), c.Count > 0
 	}}
 }
 
-// Summarise sums up reports by their labels. Interrupted runs are left out, because
-// their figures are of another length.
+// Summarise aggregates reports by label. It skips interrupted runs, because their figures cover
+// shorter windows.
 func Summarise(reports []*Report) []Summary {
-	whole := slices.DeleteFunc(slices.Clone(reports), func(r *Report) bool { return r.Interrupted })
+	complete := slices.DeleteFunc(slices.Clone(reports), func(r *Report) bool { return r.Interrupted })
 	var summaries []Summary
-	for _, group := range byLabel(whole) {
+	for _, group := range groupByLabel(complete) {
 		s := Summary{Label: group[0].Label, Runs: len(group)}
 		for _, m := range measures {
-			if metric, ok := m.over(group); ok {
+			if metric, ok := m.summarise(group); ok {
 				s.Metrics = append(s.Metrics, metric)
 			}
 		}
@@ -91,7 +91,7 @@
 	return summaries
 }
 
-func (m measure) over(group []*Report) (Metric, bool) {
+func (m measure) summarise(group []*Report) (Metric, bool) {
 	var values []float64
 	for _, r := range group {
 		if value, ok := m.read(r); ok {
@@ -112,8 +112,8 @@
 	}, true
 }
 
-// PrintSummaries writes one column for each label: the median over its runs, and the
-// range where there are several.
+// PrintSummaries writes a table with one column for each label: the median over its runs, with the
+// range if there are several.
 func PrintSummaries(w io.Writer, summaries []Summary) error {
 	t := newTable(w)
 	fmt.Fprint(t, "median (range)\t")
--- a/entry/load/report/table.go
+++ b/entry/load/report/table.go
@@ -8,14 +8,14 @@
 	"text/tabwriter"
 )
 
-// padding stands between two columns.
-const padding = 2
+// columnPadding is the number of spaces between two columns.
+const columnPadding = 2
 
 func newTable(w io.Writer) *tabwriter.Writer {
-	return tabwriter.NewWriter(w, 0, 0, padding, ' ', tabwriter.AlignRight)
+	return tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
 }
 
-// Print writes a report for people. Times are in milliseconds.
+// Print writes a report as human-readable text. Times are in milliseconds.
 func (r *Report) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s: seed %d, %.4g requests/s offered", r.Label, r.Seed, r.RequestsPerSecond)
 	if r.Load > 0 {
@@ -44,7 +44,7 @@
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t", c.Class, c.Count, c.OK, c.Late, c.Count-c.OK)
-		for _, l := range []Latency{c.FirstToken, c.BetweenTokens, c.Whole} {
+		for _, l := range []Latency{c.FirstToken, c.BetweenTokens, c.Total} {
 			fmt.Fprint(t, l.cells())
 		}
 		fmt.Fprintf(t, "%.1f%%\t%.0f%%\t%.4g\t\n", 100*c.CachedShare(), 100*c.ReusedShare(), c.GoodPerSecond)
@@ -52,7 +52,8 @@
 	return t.Flush()
 }
 
-// cells are three columns; a distribution without values has none to show.
+// cells returns three tab-terminated columns with the percentiles, or dashes for an empty
+// distribution.
 func (l Latency) cells() string {
 	if l.Count == 0 {
 		return "-\t-\t-\t"
--- a/entry/load/run.go
+++ b/entry/load/run.go
@@ -1,11 +1,10 @@
-// Package load drives entries over HTTP with requests whose arrival times were fixed
-// before the run, whatever becomes of the requests before them (an open loop).
+// Package load is an open-loop load generator: it sends requests to entries over HTTP at times
+// fixed before the run, regardless of the progress of earlier requests.
 //
-// What goes wrong without it: a client that waits for an answer before it sends the next
-// request sends less while the system stalls, and the stall counts once instead of once
-// for each request that should have been sent in it (coordinated omission). The report
-// then looks better than what callers met. Here each latency counts from the intended
-// time of sending.
+// A closed-loop client waits for each response before it sends the next request. It sends less
+// while the system stalls, and counts the stall once instead of once for each request due during
+// it (coordinated omission), so its report is better than what callers experience. Here each
+// latency counts from the intended send time.
 package load
 
 import (
@@ -20,29 +19,30 @@
 	"acaciacleat.example/entry/load/schedule"
 )
 
-// Config says where and how a schedule is sent.
+// Config configures how a schedule is sent and to which entries.
 type Config struct {
-	// Targets are the entries' base URLs; requests go to them in turn.
+	// Targets are the entries' base URLs; requests go to them round robin.
 	Targets []string
 	Mix     *mix.Mix
-	// MaxInFlight bounds the requests that wait for an answer at once. One beyond it is
-	// not sent and is reported as failed with CodeInFlight.
+	// MaxInFlight bounds the number of requests in flight. A request beyond it is not sent
+	// and is reported as failed with CodeInFlight.
 	MaxInFlight int
-	// DefaultTimeout bounds a request that asks for no deadline, Grace is how long after
-	// its deadline a request may still end by itself before it is reported as unanswered.
+	// DefaultTimeout applies to a request without a deadline. Grace is how long after its
+	// deadline a request may still complete before it fails with CodeUnanswered.
 	DefaultTimeout time.Duration
 	Grace          time.Duration
-	// Drain bounds the wait for answers once the run was interrupted.
+	// Drain bounds the wait for responses after the run is interrupted.
 	Drain time.Duration
-	// Transport sends the requests; nil for one of the run's own.
+	// Transport sends the requests; nil for a transport created for the run.
 	Transport http.RoundTripper
-	// Progress is called after each request's end, never twice at once; nil for none.
+	// Progress, if not nil, is called after each request ends; calls are serialised.
 	Progress func(ended int)
-	// KeyPrefix begins the Idempotency-Key of calls, so that two runs share none.
+	// KeyPrefix prefixes the Idempotency-Key of calls. It must differ between runs, so that no
+	// call gets the response of another run's call.
 	KeyPrefix string
 }
 
-// Codes of failures that no entry reported.
+// Codes of failures that the client detects itself.
 const (
 	CodeInFlight    = "client: too many in flight"
 	CodeUnanswered  = "client: no end in time"
@@ -51,43 +51,43 @@
 	CodeInterrupted = "client: run interrupted"
 )
 
-// Result is what became of one request. Durations count from the intended time of sending
-// but for Gaps.
+// Result is the outcome of one request. Durations except Gaps count from the intended send time.
 type Result struct {
 	Request *schedule.Request
-	// Code is empty for a whole answer; otherwise the entry's result code with its name
-	// and execution, or one of this package's codes.
+	// Code is empty for a complete response; otherwise it is the entry's result code with its
+	// name and execution state, or one of this package's codes.
 	Code string
-	// Lag is how late the request was sent by the run itself.
+	// Lag is the delay from the intended to the actual send time.
 	Lag time.Duration
-	// FirstToken is 0 when no token came.
+	// FirstToken is the time to first token; 0 if there was none.
 	FirstToken time.Duration
-	// Gaps are the times between one event with text and the next.
-	Gaps  []time.Duration
-	Whole time.Duration
-	// Late says that the answer was whole, but later than its deadline.
+	// Gaps are the times between consecutive events with text.
+	Gaps []time.Duration
+	// Total is the time to the end of the response or to the failure.
+	Total time.Duration
+	// Late is whether a complete response ended after its deadline.
 	Late  bool
 	Usage Usage
 }
 
-// Usage is an entry's count of tokens.
+// Usage holds the token counts that an entry reported.
 type Usage struct {
 	PromptTokens     int
 	CachedTokens     int
 	CompletionTokens int
 }
 
-// OK reports a whole answer, in time or late.
+// OK reports whether the response was complete, in time or late.
 func (r *Result) OK() bool { return r.Code == "" }
 
-// Run sends the requests at their times and returns a result for each that was due
-// before ctx ended, in the order of the requests. Once ctx ends it sends no more, waits
-// at most Drain for answers and gives up on the rest.
+// Run sends the requests at their scheduled times and returns a result for each request that was
+// due before ctx ended, in the order of the requests. Once ctx ends it sends no more requests,
+// waits at most Drain for responses and cancels the rest.
 func Run(ctx context.Context, config Config, requests []schedule.Request) []Result {
 	r := newRunner(config, len(requests))
 	defer r.close()
 	sent := r.sendAll(ctx, requests)
-	r.finish(ctx)
+	r.awaitResponses(ctx)
 	return r.results[:sent]
 }
 
@@ -96,11 +96,11 @@
 	client  *http.Client
 	results []Result
 	start   time.Time
-	// calls ends the requests in flight.
-	calls   context.Context
-	cut     context.CancelCauseFunc
-	flying  atomic.Int64
-	waiting sync.WaitGroup
+	// requestContext is the parent context of the requests in flight.
+	requestContext context.Context
+	cancelRequests context.CancelCauseFunc
+	inFlight       atomic.Int64
+	exchanges      sync.WaitGroup
 
 	mu    sync.Mutex
 	ended int
@@ -112,12 +112,12 @@
 	}
 	r := &runner{config: config, results: make([]Result, n), start: time.Now()}
 	r.client = &http.Client{Transport: config.Transport}
-	r.calls, r.cut = context.WithCancelCause(context.Background())
+	r.requestContext, r.cancelRequests = context.WithCancelCause(context.Background())
 	return r
 }
 
-// newTransport keeps a connection for each request in flight: with the default of two
-// idle ones, connects would take part in the latencies.
+// newTransport returns a transport that keeps a connection for each request in flight. With the
+// default of two idle connections per host, most latencies would include a connect.
 func newTransport() *http.Transport {
 	return &http.Transport{
 		MaxIdleConnsPerHost: 4096,
@@ -127,11 +127,11 @@
 }
 
 func (r *runner) close() {
-	r.cut(nil)
+	r.cancelRequests(nil)
 	r.client.CloseIdleConnections()
 }
 
-// sendAll returns how many requests were due before ctx ended.
+// sendAll sends each request at its time and returns how many were due before ctx ended.
 func (r *runner) sendAll(ctx context.Context, requests []schedule.Request) int {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -150,19 +150,19 @@
 func (r *runner) send(i int, request *schedule.Request) {
 	result := &r.results[i]
 	result.Request = request
-	if r.flying.Add(1) > int64(r.config.MaxInFlight) {
+	if r.inFlight.Add(1) > int64(r.config.MaxInFlight) {
 		result.Code = CodeInFlight
-		r.end()
+		r.requestEnded()
 		return
 	}
-	r.waiting.Go(func() {
-		defer r.end()
+	r.exchanges.Go(func() {
+		defer r.requestEnded()
 		r.exchange(request, result)
 	})
 }
 
-func (r *runner) end() {
-	r.flying.Add(-1)
+func (r *runner) requestEnded() {
+	r.inFlight.Add(-1)
 	if r.config.Progress == nil {
 		return
 	}
@@ -172,11 +172,12 @@
 	r.config.Progress(r.ended)
 }
 
-// finish waits for the requests in flight; each ends by its own deadline at the latest.
-func (r *runner) finish(ctx context.Context) {
+// awaitResponses waits for the requests in flight. Each ends at its deadline plus Grace at the
+// latest; after ctx ends, all are cancelled once Drain has passed.
+func (r *runner) awaitResponses(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		r.waiting.Wait()
+		r.exchanges.Wait()
 		close(done)
 	}()
 	select {
@@ -189,17 +190,17 @@
 	select {
 	case <-done:
 	case <-timer.C:
-		r.cut(errInterrupted)
+		r.cancelRequests(errInterrupted)
 		<-done
 	}
 }
 
-// due is the intended time of sending.
-func (r *runner) due(request *schedule.Request) time.Time { return r.start.Add(request.At) }
+// sendTime returns the intended send time of a request.
+func (r *runner) sendTime(request *schedule.Request) time.Time { return r.start.Add(request.At) }
 
-// since returns the time from the intended sending until now.
-func (r *runner) since(request *schedule.Request) time.Duration {
-	return time.Since(r.due(request))
+// sinceSendTime returns the time elapsed since the intended send time.
+func (r *runner) sinceSendTime(request *schedule.Request) time.Duration {
+	return time.Since(r.sendTime(request))
 }
 
 func (r *runner) timeout(request *schedule.Request) time.Duration {
--- a/entry/load/run_test.go
+++ b/entry/load/run_test.go
@@ -15,41 +15,42 @@
 	"github.com/stretchr/testify/require"
 )
 
-// modelledServer answers within a synctest bubble, where its delays are exact.
-type modelledServer struct {
+// simulatedServer is a transport that streams responses inside a synctest bubble, where delays
+// are exact.
+type simulatedServer struct {
 	start time.Time
-	// firstToken tells how long the server takes for a request that comes at a time.
-	firstToken func(at time.Duration) time.Duration
-	gap        time.Duration
-	tokens     int
-	// end is what the stream ends with.
-	end string
+	// firstTokenDelay returns the time to first token of a request that arrives at the given time.
+	firstTokenDelay func(at time.Duration) time.Duration
+	gap             time.Duration
+	tokens          int
+	// streamEnd is written after the last token.
+	streamEnd string
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *modelledServer) RoundTrip(request *http.Request) (*http.Response, error) {
+func (s *simulatedServer) RoundTrip(request *http.Request) (*http.Response, error) {
 	if _, err := io.Copy(io.Discard, request.Body); err != nil {
 		return nil, err
 	}
 	reader, writer := io.Pipe()
 	context.AfterFunc(request.Context(), func() { writer.CloseWithError(request.Context().Err()) })
-	go s.answer(request.Context(), writer)
+	go s.writeStream(request.Context(), writer)
 	return &http.Response{StatusCode: http.StatusOK, Body: reader, Header: http.Header{}, Request: request}, nil
 }
 
-func (s *modelledServer) answer(ctx context.Context, w *io.PipeWriter) {
-	pause(ctx, s.firstToken(time.Since(s.start)))
+func (s *simulatedServer) writeStream(ctx context.Context, w *io.PipeWriter) {
+	pause(ctx, s.firstTokenDelay(time.Since(s.start)))
 	for i := range s.tokens {
 		if i > 0 {
 			pause(ctx, s.gap)
 		}
 		fmt.Fprint(w, `data: {"choices":[{"delta":{"content":"x "}}]}`, "\n\n")
 	}
-	fmt.Fprint(w, s.end)
+	fmt.Fprint(w, s.streamEnd)
 	w.Close()
 }
 
-// pause lets the bubble's clock go on, as long as there is a caller.
+// pause sleeps on the bubble's clock until d has passed or ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -57,7 +58,7 @@
 	}
 }
 
-const regularEnd = `data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":3,"prompt_tokens_details":{"cached_tokens":4}}}` +
+const regularStreamEnd = `data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":3,"prompt_tokens_details":{"cached_tokens":4}}}` +
 	"\n\ndata: [DONE]\n\n"
 
 func testConfig(server http.RoundTripper) Config {
@@ -72,8 +73,8 @@
 	}
 }
 
-// every returns n requests, one each interval.
-func every(interval time.Duration, n int) []schedule.Request {
+// requestsEvery returns n requests, one per interval.
+func requestsEvery(interval time.Duration, n int) []schedule.Request {
 	requests := make([]schedule.Request, n)
 	for i := range requests {
 		requests[i] = schedule.Request{Index: i, At: time.Duration(i) * interval, PromptTokens: 10, AnswerTokens: 3, Text: schedule.Text{Tokens: 10}}
@@ -81,22 +82,21 @@
 	return requests
 }
 
-// Symptom: the report shows one slow request where callers met a stall of seconds.
-// Sequence: a server answers nothing for two seconds; ten requests a second are due.
-// Cause: a load client that sends the next request only after an answer, or counts from
-// when it got round to sending.
-func TestAStallShowsInEveryRequestDueDuringIt(t *testing.T) {
+// The server stalls for two seconds while ten requests a second are due. A client that sends the
+// next request only after a response, or counts from the actual send time, would report one slow
+// request instead of twenty.
+func TestStallDelaysEveryRequestDueDuringIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const usual = 10 * time.Millisecond
 		stallFrom, stallTo := time.Second, 3*time.Second
-		server := &modelledServer{start: time.Now(), gap: 5 * time.Millisecond, tokens: 3, end: regularEnd}
-		server.firstToken = func(at time.Duration) time.Duration {
+		server := &simulatedServer{start: time.Now(), gap: 5 * time.Millisecond, tokens: 3, streamEnd: regularStreamEnd}
+		server.firstTokenDelay = func(at time.Duration) time.Duration {
 			if at >= stallFrom && at < stallTo {
 				return stallTo - at + usual
 			}
 			return usual
 		}
-		results := Run(t.Context(), testConfig(server), every(100*time.Millisecond, 50))
+		results := Run(t.Context(), testConfig(server), requestsEvery(100*time.Millisecond, 50))
 		require.Len(t, results, 50)
 		for i, r := range results {
 			require.Equal(t, time.Duration(i)*100*time.Millisecond, r.Request.At)
@@ -106,26 +106,25 @@
 			}
 			require.Equal(t, want, r.FirstToken, "due at %v", r.Request.At)
 			require.Equal(t, []time.Duration{server.gap, server.gap}, r.Gaps)
-			require.Equal(t, want+2*server.gap, r.Whole)
+			require.Equal(t, want+2*server.gap, r.Total)
 			require.Equal(t, Usage{PromptTokens: 9, CachedTokens: 4, CompletionTokens: 3}, r.Usage)
 			require.True(t, r.OK())
 		}
 	})
 }
 
-// Symptom: a run hides that its own client sent late.
-// Sequence: the client is held up for a second; the requests due meanwhile go out late.
-// Cause: latencies that count from the real time of sending.
-func TestLatenciesCountFromTheIntendedTime(t *testing.T) {
+// The client itself is delayed for a second, so requests go out late. Latencies that count from
+// the actual send time would hide this delay.
+func TestLatenciesCountFromIntendedSendTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := &modelledServer{start: time.Now(), tokens: 1, end: regularEnd, firstToken: func(time.Duration) time.Duration { return 0 }}
+		server := &simulatedServer{start: time.Now(), tokens: 1, streamEnd: regularStreamEnd, firstTokenDelay: func(time.Duration) time.Duration { return 0 }}
 		config := testConfig(server)
 		r := newRunner(config, 3)
 		defer r.close()
 		pause(t.Context(), time.Second)
-		requests := every(100*time.Millisecond, 3)
+		requests := requestsEvery(100*time.Millisecond, 3)
 		require.Equal(t, 3, r.sendAll(t.Context(), requests))
-		r.finish(t.Context())
+		r.awaitResponses(t.Context())
 		for i, want := range []time.Duration{time.Second, 900 * time.Millisecond, 800 * time.Millisecond} {
 			require.Equal(t, want, r.results[i].FirstToken)
 			require.Equal(t, want, r.results[i].Lag)
@@ -133,20 +132,20 @@
 	})
 }
 
-func TestEndsThatAreNoAnswer(t *testing.T) {
+func TestFailureCodes(t *testing.T) {
 	slow := func(time.Duration) time.Duration { return time.Hour }
 	fast := func(time.Duration) time.Duration { return time.Millisecond }
 	failed := "event: error\ndata: {\"error\":{\"code\":\"upstream_failed\",\"result_code\":3002,\"execution\":\"ran\"}}\n\n"
 	cases := []struct {
 		name   string
-		server modelledServer
+		server simulatedServer
 		stop   time.Duration
 		want   string
 	}{
-		{"silent", modelledServer{firstToken: slow}, time.Hour, CodeUnanswered},
-		{"broken", modelledServer{firstToken: fast, tokens: 2}, time.Hour, CodeBroken},
-		{"failed", modelledServer{firstToken: fast, tokens: 1, end: failed}, time.Hour, "3002 upstream_failed (ran)"},
-		{"interrupted", modelledServer{firstToken: slow}, time.Second, CodeInterrupted},
+		{"silent", simulatedServer{firstTokenDelay: slow}, time.Hour, CodeUnanswered},
+		{"broken", simulatedServer{firstTokenDelay: fast, tokens: 2}, time.Hour, CodeBroken},
+		{"failed", simulatedServer{firstTokenDelay: fast, tokens: 1, streamEnd: failed}, time.Hour, "3002 upstream_failed (ran)"},
+		{"interrupted", simulatedServer{firstTokenDelay: slow}, time.Second, CodeInterrupted},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -154,7 +153,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), tc.stop)
 				defer cancel()
 				tc.server.start = time.Now()
-				results := Run(ctx, testConfig(&tc.server), every(300*time.Millisecond, 3))
+				results := Run(ctx, testConfig(&tc.server), requestsEvery(300*time.Millisecond, 3))
 				require.Len(t, results, 3)
 				for _, r := range results {
 					require.Equal(t, tc.want, r.Code)
@@ -165,12 +164,12 @@
 	}
 }
 
-func TestInterruptKeepsWhatWasSent(t *testing.T) {
+func TestInterruptKeepsResultsOfSentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := &modelledServer{start: time.Now(), tokens: 1, end: regularEnd, firstToken: func(time.Duration) time.Duration { return time.Second }}
+		server := &simulatedServer{start: time.Now(), tokens: 1, streamEnd: regularStreamEnd, firstTokenDelay: func(time.Duration) time.Duration { return time.Second }}
 		ctx, cancel := context.WithTimeout(t.Context(), 950*time.Millisecond)
 		defer cancel()
-		results := Run(ctx, testConfig(server), every(100*time.Millisecond, 100))
+		results := Run(ctx, testConfig(server), requestsEvery(100*time.Millisecond, 100))
 		require.Len(t, results, 10)
 		for _, r := range results {
 			require.True(t, r.OK())
@@ -178,13 +177,13 @@
 	})
 }
 
-func TestRequestsBeyondTheBoundFailOpenly(t *testing.T) {
+func TestRequestsBeyondMaxInFlightFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := &modelledServer{start: time.Now(), tokens: 1, end: regularEnd, firstToken: func(time.Duration) time.Duration { return time.Second }}
+		server := &simulatedServer{start: time.Now(), tokens: 1, streamEnd: regularStreamEnd, firstTokenDelay: func(time.Duration) time.Duration { return time.Second }}
 		config := testConfig(server)
 		config.MaxInFlight = 2
 		var codes []string
-		for _, r := range Run(t.Context(), config, every(time.Millisecond, 4)) {
+		for _, r := range Run(t.Context(), config, requestsEvery(time.Millisecond, 4)) {
 			codes = append(codes, r.Code)
 		}
 		require.Equal(t, ",,"+CodeInFlight+","+CodeInFlight, strings.Join(codes, ","))
--- a/entry/load/schedule/reuse.go
+++ b/entry/load/schedule/reuse.go
@@ -1,31 +1,32 @@
 package schedule
 
-// reuseBlock is the size, in tokens, of the blocks in which engines cache; the stand-in's
-// is the same.
-const reuseBlock = 512
+// cacheBlockTokens is the block size of the engines' prefix caches; the stand-in engine uses the
+// same.
+const cacheBlockTokens = 512
 
-// reuse remembers the longest text seen that begins with a common text and a document.
-// The document 0 stands for the common text alone.
-type reuse map[reuseKey]int
+// prefixIndex maps a common text and a document to the length in tokens of the longest prefix seen
+// of the two. Document 0 stands for the common text alone.
+type prefixIndex map[prefixKey]int
 
-type reuseKey struct{ common, document uint64 }
+type prefixKey struct{ common, document uint64 }
 
-// take returns the tokens of a text that were seen before, in whole blocks, and adds it.
-func (k reuse) take(text *Text) int {
+// matchAndAdd returns the number of tokens of the text's prefix that were seen before, rounded
+// down to whole blocks, and records the text.
+func (index prefixIndex) matchAndAdd(text *Text) int {
 	if text.Tokens == 0 {
 		return 0
 	}
-	common := reuseKey{common: text.Common}
-	reusable := min(k[common], text.CommonTokens)
-	k[common] = max(k[common], text.CommonTokens)
-	if text.Document == 0 {
-		return reusable / reuseBlock * reuseBlock
+	common := prefixKey{common: text.CommonSeed}
+	reusable := min(index[common], text.CommonTokens)
+	index[common] = max(index[common], text.CommonTokens)
+	if text.DocumentSeed == 0 {
+		return reusable / cacheBlockTokens * cacheBlockTokens
 	}
-	key := reuseKey{common: text.Common, document: text.Document}
+	key := prefixKey{common: text.CommonSeed, document: text.DocumentSeed}
 	length := text.CommonTokens + text.DocumentTokens
-	if seen := k[key]; seen > 0 {
+	if seen := index[key]; seen > 0 {
 		reusable = min(seen, length)
 	}
-	k[key] = max(k[key], length)
-	return reusable / reuseBlock * reuseBlock
+	index[key] = max(index[key], length)
+	return reusable / cacheBlockTokens * cacheBlockTokens
 }
--- a/entry/load/schedule/reuse_test.go
+++ b/entry/load/schedule/reuse_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReusableIsWhatEarlierTextsBeganWith(t *testing.T) {
-	known := make(reuse)
+func TestReusableTokensMatchEarlierPrefixes(t *testing.T) {
+	index := make(prefixIndex)
 	text := func(document uint64, common, length int) *Text {
-		return &Text{Common: 7, CommonTokens: common, Document: document, DocumentTokens: length, Tokens: 50_000}
+		return &Text{CommonSeed: 7, CommonTokens: common, DocumentSeed: document, DocumentTokens: length, Tokens: 50_000}
 	}
 	for i, step := range []struct {
 		text *Text
@@ -23,6 +23,6 @@
 		{text(2, 1024, 9000), 1024},
 		{&Text{}, 0},
 	} {
-		require.Equal(t, step.want, known.take(step.text), "step %d", i)
+		require.Equal(t, step.want, index.matchAndAdd(step.text), "step %d", i)
 	}
 }
--- a/entry/load/schedule/schedule_test.go
+++ b/entry/load/schedule/schedule_test.go
@@ -57,7 +57,7 @@
 			short++
 		}
 		if r.Text.DocumentTokens > 0 {
-			documents[r.Text.Document]++
+			documents[r.Text.DocumentSeed]++
 		}
 	}
 	n := float64(len(requests))
@@ -80,25 +80,25 @@
 	require.Len(t, New(testMix(), s), 5)
 }
 
-func TestOnlyKeepsIndexesAndTimes(t *testing.T) {
+func TestFilterKeepsIndexesAndTimes(t *testing.T) {
 	all := New(testMix(), settings(7))
-	short := Only(all, func(r *Request) bool { return r.Call == nil && r.Class() == call.Short })
+	short := Filter(all, func(r *Request) bool { return r.Call == nil && r.Class() == call.Short })
 	require.NotEmpty(t, short)
 	for _, r := range short {
 		require.Equal(t, all[r.Index], r)
 	}
 }
 
-func TestTextsShareWhatTheyShouldShare(t *testing.T) {
+func TestTextsShareCommonAndDocumentPrefixes(t *testing.T) {
 	read := func(text Text) string {
 		data, err := io.ReadAll(text.Reader())
 		require.NoError(t, err)
 		require.Len(t, data, text.Bytes())
 		return string(data)
 	}
-	a := read(Text{Common: 1, CommonTokens: 10, Document: 2, DocumentTokens: 50, Own: 3, Tokens: 100})
-	b := read(Text{Common: 1, CommonTokens: 10, Document: 2, DocumentTokens: 70, Own: 4, Tokens: 1000})
-	c := read(Text{Common: 1, CommonTokens: 10, Document: 5, DocumentTokens: 50, Own: 3, Tokens: 100})
+	a := read(Text{CommonSeed: 1, CommonTokens: 10, DocumentSeed: 2, DocumentTokens: 50, UniqueSeed: 3, Tokens: 100})
+	b := read(Text{CommonSeed: 1, CommonTokens: 10, DocumentSeed: 2, DocumentTokens: 70, UniqueSeed: 4, Tokens: 1000})
+	c := read(Text{CommonSeed: 1, CommonTokens: 10, DocumentSeed: 5, DocumentTokens: 50, UniqueSeed: 3, Tokens: 100})
 	require.Equal(t, a[:60*BytesPerToken], b[:60*BytesPerToken])
 	require.NotEqual(t, a[60*BytesPerToken:100*BytesPerToken], b[60*BytesPerToken:100*BytesPerToken])
 	require.Equal(t, a[:10*BytesPerToken], c[:10*BytesPerToken])
--- a/entry/load/schedule/text.go
+++ b/entry/load/schedule/text.go
@@ -2,45 +2,45 @@
 
 import "io"
 
-// Text is a prompt's text: what its class shares, then its document, then what is its
-// own. Equal seeds give equal text, so that prefix caches find it again.
+// Text describes a prompt's text: the prefix common to its class, then its document's text, then
+// text unique to the prompt. Equal seeds give equal text, which prefix caches recognise.
 type Text struct {
-	Common         uint64
+	CommonSeed     uint64
 	CommonTokens   int
-	Document       uint64
+	DocumentSeed   uint64
 	DocumentTokens int
-	Own            uint64
-	// Tokens is the length of the whole.
+	UniqueSeed     uint64
+	// Tokens is the total length.
 	Tokens int
 }
 
-// BytesPerToken is the length of the words that texts are made of, about that of a token
-// in the usual vocabularies.
+// BytesPerToken is the length of the words in texts, which is about the length of a token in common
+// vocabularies.
 const BytesPerToken = 4
 
-// Bytes returns the length of the text.
+// Bytes returns the length of the text in bytes.
 func (t Text) Bytes() int { return t.Tokens * BytesPerToken }
 
-// Reader returns the text, made as it is read: a prompt of a million tokens is never
-// held as a whole.
+// Reader returns a reader that generates the text as it is read, so that a prompt of a million
+// tokens is never held in memory.
 func (t Text) Reader() io.Reader { return &textReader{text: t} }
 
 type textReader struct {
-	text Text
-	next int
-	word [BytesPerToken]byte
-	rest []byte
+	text     Text
+	nextWord int
+	word     [BytesPerToken]byte
+	pending  []byte
 }
 
 // Read implements io.Reader.
 func (r *textReader) Read(p []byte) (int, error) {
-	n := copy(p, r.rest)
-	r.rest = r.rest[n:]
-	for n < len(p) && r.next < r.text.Tokens {
-		r.word = r.text.word(r.next)
-		r.next++
+	n := copy(p, r.pending)
+	r.pending = r.pending[n:]
+	for n < len(p) && r.nextWord < r.text.Tokens {
+		r.word = r.text.word(r.nextWord)
+		r.nextWord++
 		copied := copy(p[n:], r.word[:])
-		r.rest = r.word[copied:]
+		r.pending = r.word[copied:]
 		n += copied
 	}
 	if n == 0 && len(p) > 0 {
@@ -49,40 +49,41 @@
 	return n, nil
 }
 
-// word returns the word at index i: three letters and a space.
+// word returns the word at index i, three letters and a space.
 func (t Text) word(i int) [BytesPerToken]byte {
-	seed := t.Own
+	seed := t.UniqueSeed
 	switch {
 	case i < t.CommonTokens:
-		seed = t.Common
+		seed = t.CommonSeed
 	case i < t.CommonTokens+t.DocumentTokens:
-		seed = t.Document
+		seed = t.DocumentSeed
 	}
-	bits := scramble(seed + uint64(i)*golden)
+	bits := splitMix64(seed + uint64(i)*goldenGamma)
 	return [BytesPerToken]byte{letter(bits), letter(bits >> 16), letter(bits >> 32), ' '}
 }
 
 func letter(bits uint64) byte { return 'a' + byte(bits%26) }
 
-// The kinds of seed, so that equal numbers of two kinds give different text.
+// The kinds of seeds: equal numbers of different kinds give different text.
 const (
-	kindCommon uint64 = iota + 1
-	kindDocument
+	seedKindCommon uint64 = iota + 1
+	seedKindDocument
 )
 
 func textSeed(parts ...uint64) uint64 {
 	seed := uint64(0)
 	for _, part := range parts {
-		seed = scramble(seed ^ scramble(part))
+		seed = splitMix64(seed ^ splitMix64(part))
 	}
 	return seed
 }
 
-// golden and scramble are SplitMix64: neighbouring inputs give unrelated outputs.
-const golden = 0x9e3779b97f4a7c15
+// goldenGamma and splitMix64 are the increment and the mixing function of SplitMix64, which gives
+// unrelated outputs for neighbouring inputs.
+const goldenGamma = 0x9e3779b97f4a7c15
 
-func scramble(x uint64) uint64 {
-	x += golden
+func splitMix64(x uint64) uint64 {
+	x += goldenGamma
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/entry/load/trial/shape.go
+++ b/entry/load/trial/shape.go
@@ -1,5 +1,5 @@
-// Package trial runs load against deployments of its own, in the same process, one after
-// another: policies in turn, each with the same requests.
+// Package trial runs load against in-process deployments, one after another, to compare policies
+// under the same requests.
 package trial
 
 import (
@@ -10,7 +10,7 @@
 	standinengine "acaciacleat.example/standin/engine"
 )
 
-// Shape is the size of a deployment and what it weighs most.
+// Shape is the size of a deployment and the objective of its model service.
 type Shape struct {
 	Engines   int
 	Plains    int
@@ -19,7 +19,7 @@
 	Objective document.Objective
 }
 
-// The shapes of the deployments that the project has users of.
+// Shapes of the users' deployments.
 var (
 	FaixaVerde = Shape{
 		Engines:   14,
@@ -37,11 +37,11 @@
 	}
 )
 
-// Shapes are the known shapes by their names on the command line.
+// Shapes maps names on the command line to shapes.
 var Shapes = map[string]Shape{"faixa-verde": FaixaVerde, "omuti": Omuti}
 
-// Engine returns a stand-in engine that prefills and decodes speed times faster than
-// the usual one.
+// Engine returns the configuration of a stand-in engine that prefills and decodes speed times
+// faster than the default.
 func Engine(speed float64) standinengine.Config {
 	faster := func(d time.Duration) time.Duration { return time.Duration(float64(d) / speed) }
 	return standinengine.Config{
@@ -53,12 +53,12 @@
 	}
 }
 
-// Rate returns the requests per second, plain calls included, that offer the given load:
-// the share of the engines' time that the generations of the mix need.
+// Rate returns the arrival rate in requests per second, plain calls included, that offers the given
+// load: the fraction of the engines' time that the generations of the mix need.
 //
-// A prompt token takes the inverse of the prefill rate. An answer token takes its part
-// of a decode step, which as many requests share as fit into an engine's memory. Nothing
-// is taken off for prompt tokens that a prefix cache holds.
+// A prompt token takes the inverse of the prefill rate. An answer token takes its share of a decode
+// step, in a batch of as many requests as fit into an engine's memory. Prefix cache hits are not
+// taken into account.
 func Rate(m *mix.Mix, engines int, e standinengine.Config, load float64) float64 {
 	prompt, answer := m.MeanTokens()
 	batch := min(max(float64(e.EngineTokens)/(prompt+answer), 1), float64(e.MaxBatch))
--- a/entry/load/trial/trial.go
+++ b/entry/load/trial/trial.go
@@ -16,39 +16,40 @@
 	"github.com/rs/zerolog"
 )
 
-// Plan is one run, or one run after another.
+// Plan describes a load run, which may be repeated with several policies and seeds.
 type Plan struct {
 	Mix *mix.Mix
-	// Load is as in mix.Mix; Rate, in requests per second, goes before it if not 0.
+	// Rate is the arrival rate in requests per second, plain calls included. Load is as in
+	// mix.Mix and only appears in the report.
 	Load        float64
 	Rate        float64
 	Duration    time.Duration
 	Warmup      time.Duration
 	MaxRequests int
-	// CompareAlone also runs the short requests alone, before all of them.
+	// CompareAlone adds a pass with the short requests and plain calls alone, before the pass with
+	// all requests.
 	CompareAlone bool
-	// Client is how requests are sent. Its Targets, Mix and KeyPrefix are filled in.
+	// Client configures how requests are sent. Its Targets, Mix and KeyPrefix are overwritten.
 	Client load.Config
-	// Begin tells that the requests of one pass are about to be sent; nil for nobody.
+	// Begin, if not nil, is called before the requests of each pass are sent.
 	Begin func(label string, requests int)
-	// Done receives each report as soon as there is one; nil for nobody.
+	// Done, if not nil, receives each report as soon as it is complete.
 	Done func(*report.Report)
 }
 
-// Deployments are what Compare runs in turn.
+// Deployments configures the deployments that Compare runs.
 type Deployments struct {
 	Shape    Shape
 	Speed    float64
 	Policies []string
-	// Seeds are the seeds of the runs, each run by every policy.
+	// Seeds are the seeds of the runs; every policy runs with each of them.
 	Seeds []uint64
 	Log   zerolog.Logger
 }
 
-// Compare runs the plan with each policy and seed, each pass on a new deployment so that
-// no pass finds the caches of another. All policies run with one seed before the next
-// seed begins, so that a change of the machine's speed meets them all. It returns the
-// reports so far when ctx ends.
+// Compare runs the plan with each policy and seed. Each pass runs on a new deployment, so that it
+// starts with cold caches. All policies run with one seed before the next, so that changes in the
+// machine's speed affect all policies alike. When ctx ends, Compare returns the reports so far.
 func Compare(ctx context.Context, plan Plan, deployments Deployments) ([]*report.Report, error) {
 	var reports []*report.Report
 	for _, seed := range deployments.Seeds {
@@ -56,7 +57,7 @@
 			if ctx.Err() != nil {
 				return reports, nil
 			}
-			r, err := plan.run(ctx, policy, seed, deployments.Speed, &starter{deployments: deployments, plan: &plan, policy: policy})
+			r, err := plan.run(ctx, policy, seed, deployments.Speed, &deploymentTarget{deployments: deployments, plan: &plan, policy: policy})
 			if err != nil {
 				return reports, err
 			}
@@ -66,16 +67,17 @@
 	return reports, nil
 }
 
-// Drive runs the plan once against entries that run already.
+// Drive runs the plan once against entries that are already running.
 func Drive(ctx context.Context, plan Plan, label string, seed uint64, targets []string) (*report.Report, error) {
 	return plan.run(ctx, label, seed, 1, fixedTargets(targets))
 }
 
-// target gives each pass the entries to call.
+// target provides the entries for each pass.
 type target interface {
-	// start returns base URLs, and how to end what was started for the pass.
+	// start returns the entries' base URLs, and a function that stops what was started for the
+	// pass.
 	start() (urls []string, stop func(), err error)
-	// describe says what is started, for the report.
+	// describe returns a description of the deployment for the report.
 	describe() string
 }
 
@@ -85,20 +87,20 @@
 
 func (f fixedTargets) start() ([]string, func(), error) { return f, func() {}, nil }
 
-// starter runs a deployment for each pass.
-type starter struct {
+// deploymentTarget starts a new deployment for each pass.
+type deploymentTarget struct {
 	deployments Deployments
 	plan        *Plan
 	policy      string
 }
 
-func (s *starter) describe() string {
+func (s *deploymentTarget) describe() string {
 	shape := s.deployments.Shape
 	return fmt.Sprintf("%d engines, %d plain services, %d entries, %d availability zones, objective %s",
 		shape.Engines, shape.Plains, shape.Entries, len(shape.Zones), shape.Objective)
 }
 
-func (s *starter) start() ([]string, func(), error) {
+func (s *deploymentTarget) start() ([]string, func(), error) {
 	shape := s.deployments.Shape
 	config := dev.DefaultConfig()
 	config.Listen = "127.0.0.1:0"
@@ -110,7 +112,7 @@
 	config.Objective = shape.Objective
 	config.Policy = s.policy
 	config.Engine = Engine(s.deployments.Speed)
-	config.Organisations = s.plan.Mix.Callers()
+	config.Organisations = s.plan.Mix.DocumentOrganisations()
 	config.Log = s.deployments.Log
 	d, err := dev.Start(config)
 	if err != nil {
@@ -122,13 +124,14 @@
 	}
 	stop := func() {
 		d.Stop()
-		// The next pass should not pay for this one's garbage.
+		// Keeps this pass's garbage from affecting the latencies of the next.
 		runtime.GC()
 	}
 	return urls, stop, nil
 }
 
-// run makes the schedule and sends it, the short requests alone before it if wanted.
+// run generates the schedule and sends it, after a pass with the short requests alone if
+// CompareAlone is set.
 func (p *Plan) run(ctx context.Context, label string, seed uint64, speed float64, t target) (*report.Report, error) {
 	requests := schedule.New(p.Mix, schedule.Settings{
 		Seed:        seed,
@@ -145,14 +148,14 @@
 		Rate:          p.Rate,
 		Speed:         speed,
 		Warmup:        p.Warmup,
-		Duration:      p.arrivals(requests),
+		Duration:      p.arrivalPeriod(requests),
 		Organisations: p.Mix.Organisations,
 	}
 	var alone []load.Result
 	if p.CompareAlone {
 		run.Label = label + ", short alone"
 		var err error
-		if alone, err = p.pass(ctx, run.Label, seed, schedule.Only(requests, short), t); err != nil {
+		if alone, err = p.runPass(ctx, run.Label, seed, schedule.Filter(requests, isShortOrPlain), t); err != nil {
 			return nil, err
 		}
 		if ctx.Err() != nil {
@@ -160,14 +163,14 @@
 		}
 		run.Label = label
 	}
-	results, err := p.pass(ctx, label, seed, requests, t)
+	results, err := p.runPass(ctx, label, seed, requests, t)
 	if err != nil {
 		return nil, err
 	}
 	return p.report(ctx, run, results, alone), nil
 }
 
-// report sums up the last pass; alone may be nil.
+// report builds the report of a pass and passes it to Done; alone may be nil.
 func (p *Plan) report(ctx context.Context, run report.Run, results, alone []load.Result) *report.Report {
 	run.Interrupted = ctx.Err() != nil
 	r := report.New(run, results)
@@ -178,19 +181,19 @@
 	return r
 }
 
-// arrivals is the time in which the requests arrive: shorter than Duration where
-// MaxRequests cut the schedule off.
-func (p *Plan) arrivals(requests []schedule.Request) time.Duration {
+// arrivalPeriod returns the time during which requests arrive, which is shorter than Duration if
+// MaxRequests truncated the schedule.
+func (p *Plan) arrivalPeriod(requests []schedule.Request) time.Duration {
 	if n := len(requests); n > 0 && n == p.MaxRequests {
 		return requests[n-1].At
 	}
 	return p.Duration
 }
 
-// short keeps what runs in the pass without long requests: plain calls too.
-func short(r *schedule.Request) bool { return r.Call != nil || r.Class() == call.Short }
+// isShortOrPlain reports whether a request belongs to the pass without longer requests.
+func isShortOrPlain(r *schedule.Request) bool { return r.Call != nil || r.Class() == call.Short }
 
-func (p *Plan) pass(ctx context.Context, label string, seed uint64, requests []schedule.Request, t target) ([]load.Result, error) {
+func (p *Plan) runPass(ctx context.Context, label string, seed uint64, requests []schedule.Request, t target) ([]load.Result, error) {
 	urls, stop, err := t.start()
 	if err != nil {
 		return nil, err
--- a/entry/load/trial/trial_test.go
+++ b/entry/load/trial/trial_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestInterruptReportsThePassThatItMet(t *testing.T) {
+func TestInterruptReportsTheCurrentPass(t *testing.T) {
 	plan := testPlan()
 	ctx, cancel := context.WithCancel(t.Context())
 	plan.Client.Progress = func(int) { cancel() }
@@ -79,14 +79,14 @@
 	require.True(t, reports[0].Interrupted)
 }
 
-func TestRateIsAShareOfTheEnginesTime(t *testing.T) {
+func TestArrivalRateIsAShareOfEngineTime(t *testing.T) {
 	m := &mix.Mix{Classes: []mix.Class{{
 		Share:        1,
 		PromptTokens: mix.Range{Distribution: mix.LogUniform, Min: 39_900, Max: 39_900},
 		AnswerTokens: mix.Range{Distribution: mix.LogUniform, Min: 100, Max: 100},
 	}}}
-	// Ten requests fit into an engine; one takes 39,900/40,000 s to prefill and
-	// 100 × (15 ms/10 + 50 µs) to decode.
+	// Ten requests fit into an engine's memory. Each takes 39,900/40,000 s of prefill and
+	// 100 × (15 ms/10 + 50 µs) of decoding.
 	const seconds = 0.9975 + 0.155
 	require.InEpsilon(t, 14*0.7/seconds, Rate(m, 14, Engine(1), 0.7), 1e-6)
 	require.InEpsilon(t, 10*14*0.7/seconds, Rate(m, 14, Engine(10), 0.7), 1e-6)
