--- a/entry/dev/config_test.go
+++ b/entry/dev/config_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// edited returns the plain service's document with one more organisation.
-func (d *Deployment) edited(name string) *document.Service {
+// documentWithOrganisation returns the plain service's document with an additional organisation,
+// whose key is its name.
+func (d *Deployment) documentWithOrganisation(name string) *document.Service {
 	for _, service := range d.documents() {
 		if service.Name == PlainService {
 			service.Organisations = append(service.Organisations, document.Organisation{
@@ -25,20 +26,20 @@
 	return nil
 }
 
-// settle bounds every wait of these tests; none of them measures time.
-const settle = 20 * time.Second
+// waitTimeout bounds every wait of these tests. Its value does not affect results.
+const waitTimeout = 20 * time.Second
 
-func bounded(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), settle)
+func boundedContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestDocumentIsInForceAtEveryEntry(t *testing.T) {
-	d := start(t, func(c *Config) { c.Engines, c.Plains, c.Entries = 0, 1, 4 })
-	d.awaitEntries(t)
-	ctx := bounded(t)
-	revision, conflict, err := d.Entries[2].Config.Put(ctx, d.edited("new"), "*")
+func TestDocumentTakesEffectAtEveryEntry(t *testing.T) {
+	d := startDeployment(t, func(c *Config) { c.Engines, c.Plains, c.Entries = 0, 1, 4 })
+	d.waitForEntries(t)
+	ctx := boundedContext(t)
+	revision, conflict, err := d.Entries[2].Config.Put(ctx, d.documentWithOrganisation("new"), "*")
 	require.NoError(t, err)
 	require.Nil(t, conflict)
 	require.Empty(t, d.Entries[2].Config.Missing(ctx, revision))
@@ -48,25 +49,24 @@
 	}
 }
 
-// Symptom: a change is accepted at one entry, and another serves the old document for as
-// long as the table is down.
-// Sequence: the table is down for all but the writer; its push reaches the others.
-// Cause: entries that learn of changes from the table alone.
-func TestChangeSpreadsWhileTheTableIsDown(t *testing.T) {
+// The table is down for all entries but the one that writes a change, so the change reaches the
+// others by push only. Entries that rely on polling the table would serve the old document until the
+// table is back.
+func TestChangePropagatesWhileTheTableIsDown(t *testing.T) {
 	var down atomic.Bool
-	d := start(t, func(c *Config) {
+	d := startDeployment(t, func(c *Config) {
 		c.Engines, c.Plains, c.Entries = 0, 1, 4
-		c.Table = func(entry int, store table.Store) table.Store {
+		c.WrapTable = func(entry int, store table.Store) table.Store {
 			if entry == 0 {
 				return store
 			}
 			return &gatedTable{Store: store, down: &down}
 		}
 	})
-	d.awaitEntries(t)
+	d.waitForEntries(t)
 	down.Store(true)
-	ctx := bounded(t)
-	revision, _, err := d.Entries[0].Config.Put(ctx, d.edited("during"), "*")
+	ctx := boundedContext(t)
+	revision, _, err := d.Entries[0].Config.Put(ctx, d.documentWithOrganisation("during"), "*")
 	require.NoError(t, err)
 	require.Empty(t, d.Entries[0].Config.Missing(ctx, revision))
 	for _, e := range d.Entries {
@@ -74,7 +74,7 @@
 	}
 }
 
-// gatedTable is a table that can be cut off.
+// gatedTable is a table whose reads fail while down is set.
 type gatedTable struct {
 	table.Store
 	down *atomic.Bool
@@ -94,21 +94,21 @@
 	return g.Store.Scan(ctx, name, prefix, after, limit, c)
 }
 
-// awaitEntries waits until each entry knows the others as members of the spread.
-func (d *Deployment) awaitEntries(t testing.TB) {
+// waitForEntries waits until each entry is ready and knows the others as members of the spread.
+func (d *Deployment) waitForEntries(t testing.TB) {
 	t.Helper()
-	deadline := time.Now().Add(settle)
+	deadline := time.Now().Add(waitTimeout)
 	for _, e := range d.Entries {
 		for e.Config.Members() < len(d.Entries) || !e.Front.Ready() {
 			require.True(t, time.Now().Before(deadline), "entries do not know each other")
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 }
 
-// BenchmarkInForce measures the time from a put to its being in force at every entry,
-// over loopback in one process.
-func BenchmarkInForce(b *testing.B) {
+// BenchmarkDocumentPropagation measures the time from a put until it is in force at every entry, over
+// loopback in one process.
+func BenchmarkDocumentPropagation(b *testing.B) {
 	for _, entries := range []int{4, 16, 64} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			config := DefaultConfig()
@@ -117,13 +117,13 @@
 			d, err := Start(config)
 			require.NoError(b, err)
 			b.Cleanup(d.Stop)
-			d.awaitEntries(b)
+			d.waitForEntries(b)
 			n := 0
 			for b.Loop() {
 				n++
-				revision, _, err := d.Entries[n%entries].Config.Put(bounded(b), d.edited(fmt.Sprint("new-", n)), "*")
+				revision, _, err := d.Entries[n%entries].Config.Put(boundedContext(b), d.documentWithOrganisation(fmt.Sprint("new-", n)), "*")
 				require.NoError(b, err)
-				require.Empty(b, d.Entries[n%entries].Config.Missing(bounded(b), revision))
+				require.Empty(b, d.Entries[n%entries].Config.Missing(boundedContext(b), revision))
 			}
 		})
 	}
--- a/entry/dev/crash_test.go
+++ b/entry/dev/crash_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crashingEngines ends the process of an engine that is sent the fatal prompt.
+// crashingEngines simulates engines whose process crashes on the fatal prompt.
 type crashingEngines struct {
-	mu       sync.Mutex
-	d        *Deployment
-	handlers map[int]http.Handler
-	down     []int
-	reached  int
+	mu         sync.Mutex
+	deployment *Deployment
+	handlers   map[int]http.Handler
+	crashed    []int
+	crashes    int
 }
 
 const fatalPrompt = "the fatal prompt"
@@ -41,71 +41,72 @@
 	})
 }
 
-// server returns the HTTP server of an engine: that of the platform stands before them.
-func (c *crashingEngines) server(engine int) **http.Server { return &c.d.servers[1+engine] }
+// server returns the HTTP server of an engine; the first server is that of the platform.
+func (c *crashingEngines) server(engine int) **http.Server { return &c.deployment.servers[1+engine] }
 
 func (c *crashingEngines) crash(engine int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reached++
-	c.down = append(c.down, engine)
-	_ = (*c.server(engine)).Close() // It is the end of it in any case.
+	c.crashes++
+	c.crashed = append(c.crashed, engine)
+	_ = (*c.server(engine)).Close() // The server stops serving even if Close fails.
 }
 
-// revive starts the engines again that have ended.
-func (c *crashingEngines) revive(t *testing.T) {
+// restartCrashed restarts the crashed engines.
+func (c *crashingEngines) restartCrashed(t *testing.T) {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, engine := range c.down {
-		listener, err := net.Listen("tcp", strings.TrimPrefix(c.d.EngineURLs[engine], "http://"))
+	for _, engine := range c.crashed {
+		listener, err := net.Listen("tcp", strings.TrimPrefix(c.deployment.EngineURLs[engine], "http://"))
 		require.NoError(t, err)
 		server := &http.Server{Handler: c.wrap(engine, c.handlers[engine])}
 		*c.server(engine) = server
 		go func() { _ = server.Serve(listener) }()
 	}
-	c.down = nil
+	c.crashed = nil
 }
 
-func (c *crashingEngines) runs() int {
+func (c *crashingEngines) crashCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reached
+	return c.crashes
 }
 
-// A prompt that crashes each engine that runs it is sent to more and more of them as it comes again.
-func TestPromptThatCrashesEnginesIsHeldBack(t *testing.T) {
+// A prompt crashes each engine that runs it. Without quarantine, its retries and repeats would crash
+// engine after engine.
+func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
 	engines := &crashingEngines{handlers: make(map[int]http.Handler)}
-	d := start(t, func(c *Config) { c.Engines, c.Plains, c.Entries, c.Wrap = 5, 0, 2, engines.wrap })
-	engines.d = d
+	d := startDeployment(t, func(c *Config) { c.Engines, c.Plains, c.Entries, c.WrapEngine = 5, 0, 2, engines.wrap })
+	engines.deployment = d
 	ask := func(entry int, prompt string) (*http.Response, string) {
 		r, err := http.NewRequest("POST", "http://"+d.Entries[entry].Addr()+"/v1/chat/completions", strings.NewReader(chatBody(t, prompt, false, 4)))
 		require.NoError(t, err)
 		r.Header.Set("Authorization", "Bearer "+Key)
-		answer, err := http.DefaultClient.Do(r)
+		response, err := http.DefaultClient.Do(r)
 		require.NoError(t, err)
-		defer answer.Body.Close()
-		text, err := io.ReadAll(answer.Body)
+		defer response.Body.Close()
+		text, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
-		return answer, string(text)
+		return response, string(text)
 	}
 	served := func(entry int) bool {
-		answer, _ := ask(entry, "another prompt")
-		return answer.StatusCode == http.StatusOK
+		response, _ := ask(entry, "another prompt")
+		return response.StatusCode == http.StatusOK
 	}
 	for i := range 8 {
 		ask(i%2, fatalPrompt)
-		engines.revive(t)
+		engines.restartCrashed(t)
 		for entry := range 2 {
 			require.Eventually(t, func() bool { return served(entry) }, 10*time.Second, time.Millisecond, "another prompt is served")
 		}
 	}
-	require.LessOrEqual(t, engines.runs(), 6, "three crashes, and three retries")
+	require.LessOrEqual(t, engines.crashCount(), 6, "at most three crashes and three retries")
 	for entry := range 2 {
-		answer, text := ask(entry, fatalPrompt)
-		require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
+		response, text := ask(entry, fatalPrompt)
+		require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 		require.Contains(t, text, result.Lookup(result.RequestHeldBack).Name)
-		require.Equal(t, "not-run", answer.Header.Get("X-Execution"))
-		require.NotEmpty(t, answer.Header.Get("Retry-After"))
+		require.Equal(t, "not-run", response.Header.Get("X-Execution"))
+		require.NotEmpty(t, response.Header.Get("Retry-After"))
 	}
 }
--- a/entry/dev/dev.go
+++ b/entry/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs stand-ins, agents and an entry as goroutines of one process, so that
-// the system can be tried with one command.
+// Package dev runs a deployment in one process, with stand-ins for the platform, the engines and
+// the plain services, for development and tests.
 package dev
 
 import (
@@ -30,7 +30,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Names that the dev command prints.
+// Names in the documents of a development deployment.
 const (
 	Key          = "dev-key"
 	ModelService = "assistant"
@@ -38,42 +38,43 @@
 	PlainService = "parts"
 	organisation = "dev"
 	modelVersion = "1"
-	// spareModel is what a spare engine serves; no document names it.
+	// spareModel is the model that spare engines serve; no document names it.
 	spareModel = "spare"
 )
 
-// Config is the size of the deployment that is run.
+// Config configures a deployment.
 type Config struct {
 	Listen         string
 	OperatorListen string
 	Engines        int
-	// Spares are engines beyond the replicas, which serve no model of the document.
-	Spares  int
-	Plains  int
-	Entries int
-	Zones   []string
+	// SpareEngines is the number of engines beyond the replicas; they serve no model of the
+	// document.
+	SpareEngines int
+	Plains       int
+	Entries      int
+	Zones        []string
 	// Policy is the routing and scheduling policy: "naive" or "combined".
 	Policy    string
 	Objective document.Objective
 	Engine    standinengine.Config
 	// Plain is the behaviour of the stand-in plain services.
 	Plain plain.Config
-	// Wrap, if not nil, stands before each engine.
-	Wrap func(engine int, next http.Handler) http.Handler
-	// Organisations may call both services; none means the one with Key.
+	// WrapEngine, if not nil, wraps the HTTP handler of each engine.
+	WrapEngine func(engine int, next http.Handler) http.Handler
+	// Organisations may call both services; the default is one organisation with Key.
 	Organisations []document.Organisation
-	// Relays puts a relay before each agent, so that links can be made silent.
+	// Relays puts a relay in front of each agent, so that tests can disrupt links.
 	Relays bool
-	// Placement are the times and rates of placement; zero means the defaults.
+	// Placement is the settings of placement; zero for the defaults.
 	Placement placement.Settings
-	// Limits bound what a request may hold at an entry; zero means the defaults.
+	// Limits bound the resources of a request at an entry; zero for the defaults.
 	Limits front.Limits
-	// Table, if set, stands between an entry and the platform's table.
-	Table func(entry int, store table.Store) table.Store
-	Log   zerolog.Logger
+	// WrapTable, if not nil, wraps the platform's table for each entry.
+	WrapTable func(entry int, store table.Store) table.Store
+	Log       zerolog.Logger
 }
 
-// DefaultConfig has enough engines for a prompt that needs three of them.
+// DefaultConfig returns a configuration with enough engines for a prompt that needs three of them.
 func DefaultConfig() Config {
 	return Config{
 		Listen:         "127.0.0.1:8080",
@@ -87,12 +88,12 @@
 	}
 }
 
-// Deployment is what runs.
+// Deployment is a running deployment.
 type Deployment struct {
 	*StandIns
 	Entries []*entryprocess.Entry
 	Agents  []*process.Agent
-	// Relays stand before the agents where Config.Relays is set.
+	// Relays has one relay per agent if Config.Relays is set.
 	Relays []*relay.Relay
 
 	config  Config
@@ -102,16 +103,16 @@
 	entries []entryprocess.Config
 }
 
-// Start runs a deployment until Stop.
+// Start starts a deployment, which runs until Stop, and waits until its entries are ready.
 func Start(config Config) (*Deployment, error) {
 	standIns, err := StartStandIns(StandInsConfig{
-		Listen:  "127.0.0.1:0",
-		Engines: config.Engines,
-		Spares:  config.Spares,
-		Plains:  config.Plains,
-		Engine:  config.Engine,
-		Plain:   config.Plain,
-		Wrap:    config.Wrap,
+		Listen:       "127.0.0.1:0",
+		Engines:      config.Engines,
+		SpareEngines: config.SpareEngines,
+		Plains:       config.Plains,
+		Engine:       config.Engine,
+		Plain:        config.Plain,
+		WrapEngine:   config.WrapEngine,
 	})
 	if err != nil {
 		return nil, err
@@ -158,7 +159,7 @@
 	if i >= d.config.Engines {
 		model = spareModel
 	}
-	return d.startAgent(server.Config{
+	return d.addAgent(server.Config{
 		VM:       fmt.Sprintf("engine-%02d", i),
 		Zone:     d.zone(i),
 		Service:  ModelService,
@@ -170,7 +171,7 @@
 }
 
 func (d *Deployment) startPlain(i int) error {
-	return d.startAgent(server.Config{
+	return d.addAgent(server.Config{
 		VM:       fmt.Sprintf("plain-%02d", i),
 		Zone:     d.zone(i),
 		Service:  PlainService,
@@ -179,7 +180,7 @@
 	})
 }
 
-// queue returns an empty queue of the policy that is run.
+// queue returns an empty queue of the configured scheduling policy.
 func (d *Deployment) queue(plain bool) scheduling.Queue {
 	if plain || d.config.Policy == "naive" {
 		return scheduling.NewFIFO(server.DefaultLimits.Queue)
@@ -187,8 +188,8 @@
 	return scheduling.NewPriority(scheduling.SettingsFor(d.config.Objective, 0))
 }
 
-// startAgent starts an agent on a new VM.
-func (d *Deployment) startAgent(config server.Config) error {
+// addAgent starts an agent on a new VM.
+func (d *Deployment) addAgent(config server.Config) error {
 	config.Listen = "127.0.0.1:0"
 	config.Keys = d.keys
 	config.Log = d.config.Log
@@ -196,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	// A restart takes the same address.
+	// A restarted agent listens on the same address.
 	config.Listen = agent.Addr()
 	address, err := d.linkAddress(agent.Addr())
 	if err != nil {
@@ -221,8 +222,8 @@
 	return process.Start(*config, d.Platform.VMs)
 }
 
-// linkAddress is where others dial an agent: its own address, or a relay's that stands
-// for it.
+// linkAddress returns the address at which entries and other agents dial an agent: its own, or that
+// of a new relay in front of it.
 func (d *Deployment) linkAddress(agent string) (string, error) {
 	if !d.config.Relays {
 		return agent, nil
@@ -239,7 +240,7 @@
 	return documents.New(documents.Config{Table: store, Objects: d.Platform.Objects, Token: documents.NewToken, Now: time.Now})
 }
 
-// putTimeout bounds writing the first documents.
+// putTimeout bounds the time to write the initial documents.
 const putTimeout = 10 * time.Second
 
 func (d *Deployment) putDocuments() error {
@@ -256,9 +257,9 @@
 }
 
 func (d *Deployment) documents() []*document.Service {
-	who := d.config.Organisations
-	if len(who) == 0 {
-		who = []document.Organisation{{Name: organisation, KeyHashes: []string{document.HashKey(Key).String()}}}
+	organisations := d.config.Organisations
+	if len(organisations) == 0 {
+		organisations = []document.Organisation{{Name: organisation, KeyHashes: []string{document.HashKey(Key).String()}}}
 	}
 	return []*document.Service{
 		{
@@ -272,19 +273,19 @@
 				ContextTokens: contextTokens,
 				EngineTokens:  engineTokens,
 			}},
-			Organisations: who,
+			Organisations: organisations,
 		},
 		{
 			Name:          PlainService,
 			Kind:          document.KindPlain,
 			NonRepeatable: []document.CallPattern{{Method: "POST", Path: "/jobs"}},
-			Organisations: who,
+			Organisations: organisations,
 		},
 	}
 }
 
-// The sizes that the brief gives: prompts of up to a million tokens, which need more
-// than twice the memory of one engine.
+// The sizes of the model: prompts of up to a million tokens need more than twice the memory of one
+// engine.
 const (
 	contextTokens = 1_100_000
 	engineTokens  = 400_000
@@ -294,8 +295,8 @@
 
 func (d *Deployment) startEntry(i int) error {
 	var store table.Store = d.Platform.Table
-	if d.config.Table != nil {
-		store = d.config.Table(i, store)
+	if d.config.WrapTable != nil {
+		store = d.config.WrapTable(i, store)
 	}
 	config := entryprocess.Config{
 		VM:             entryName(i),
@@ -323,7 +324,7 @@
 	if err != nil {
 		return err
 	}
-	// A restart takes the same addresses.
+	// A restarted entry listens on the same addresses.
 	config.Listen, config.OperatorListen, config.LinkListen = e.Addr(), e.OperatorAddr(), e.LinkAddr()
 	d.Entries = append(d.Entries, e)
 	d.entries = append(d.entries, config)
@@ -332,11 +333,11 @@
 	return nil
 }
 
-// readyOff is how long an entry that drains still takes requests: callers here look at
-// its readiness right before each request.
+// readyOff is how long a draining entry reports "not ready" before it refuses requests. It is short
+// because callers of a development deployment check readiness right before each request.
 const readyOff = 300 * time.Millisecond
 
-// readyTimeout bounds the wait for all entries to have read documents.
+// readyTimeout bounds the wait for all entries to become ready.
 const readyTimeout = 10 * time.Second
 
 func (d *Deployment) waitReady() error {
@@ -346,15 +347,15 @@
 			if time.Now().After(deadline) {
 				return errors.New("an entry did not become ready")
 			}
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
 }
 
-const readyPoll = 5 * time.Millisecond
+const readyPollInterval = 5 * time.Millisecond
 
-// Stop ends everything at once.
+// Stop stops all processes at once.
 func (d *Deployment) Stop() {
 	for _, e := range d.Entries {
 		e.Stop()
@@ -368,8 +369,8 @@
 	d.StandIns.Stop()
 }
 
-// Drain implements commandline.Drainer: the entries finish what is in flight, at the longest
-// until ctx ends, and only then do the stand-ins end that their answers come from.
+// Drain implements commandline.Drainer: the entries complete the requests in flight, until ctx ends
+// at the latest. The agents and stand-ins, which produce the responses, stop only after that.
 func (d *Deployment) Drain(ctx context.Context) {
 	var drained sync.WaitGroup
 	for _, e := range d.Entries {
@@ -379,7 +380,7 @@
 	d.Stop()
 }
 
-// Greeting tells how to call a running deployment.
+// Greeting returns a text with the addresses of the deployment and example calls.
 func (d *Deployment) Greeting() string {
 	var b strings.Builder
 	base := "http://" + d.Entries[0].Addr()
--- a/entry/dev/dev_test.go
+++ b/entry/dev/dev_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func start(t *testing.T, change func(*Config)) *Deployment {
+func startDeployment(t *testing.T, change func(*Config)) *Deployment {
 	t.Helper()
 	config := DefaultConfig()
 	config.Listen = "127.0.0.1:0"
@@ -29,7 +29,7 @@
 	return d
 }
 
-// send makes a call at the first entry and returns the answer with its whole body.
+// send sends a request to the first entry and returns the response and its complete body.
 func send(t *testing.T, d *Deployment, method, path, key, body string, header ...string) (*http.Response, []byte) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+d.Entries[0].Addr()+path, strings.NewReader(body))
@@ -38,12 +38,12 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	return answer, data
+	return response, data
 }
 
 func chatBody(t *testing.T, prompt string, stream bool, maxTokens int) string {
@@ -57,8 +57,8 @@
 	return string(body)
 }
 
-// wholeAnswer is what the tests read of an answer that is not streamed.
-type wholeAnswer struct {
+// completion holds the fields that the tests read from a completion or a chunk of a stream.
+type completion struct {
 	Choices []struct {
 		Message struct {
 			Content string `json:"content"`
@@ -70,8 +70,8 @@
 	Usage *caller.Usage `json:"usage"`
 }
 
-// streamed joins the text of a streamed answer and returns its last usage.
-func streamed(t *testing.T, data []byte) (string, *caller.Usage) {
+// parseStream joins the text of a streamed response and returns its last usage.
+func parseStream(t *testing.T, data []byte) (string, *caller.Usage) {
 	t.Helper()
 	require.True(t, bytes.HasSuffix(data, []byte("data: [DONE]\n\n")), "%s", data)
 	var text strings.Builder
@@ -81,7 +81,7 @@
 		if !found || payload == "[DONE]" {
 			continue
 		}
-		var chunk wholeAnswer
+		var chunk completion
 		require.NoError(t, json.Unmarshal([]byte(payload), &chunk))
 		if len(chunk.Choices) > 0 {
 			text.WriteString(chunk.Choices[0].Delta.Content)
@@ -93,38 +93,38 @@
 	return text.String(), usage
 }
 
-func TestStreamedAndWholeAnswersAgree(t *testing.T) {
-	d := start(t, nil)
+func TestStreamedAndUnstreamedAnswersAgree(t *testing.T) {
+	d := startDeployment(t, nil)
 	for _, prompt := range []string{"Does span 14 need pruning?", strings.Repeat("bamboo near the conductor. ", 15_000)} {
 		_, data := send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, prompt, true, 20))
-		text, usage := streamed(t, data)
-		answer, data := send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, prompt, false, 20))
-		require.Equal(t, http.StatusOK, answer.StatusCode, "%s", data)
-		var whole wholeAnswer
-		require.NoError(t, json.Unmarshal(data, &whole))
-		require.Equal(t, whole.Choices[0].Message.Content, text)
-		require.Equal(t, whole.Usage.CompletionTokens, usage.CompletionTokens)
+		text, usage := parseStream(t, data)
+		response, data := send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, prompt, false, 20))
+		require.Equal(t, http.StatusOK, response.StatusCode, "%s", data)
+		var unstreamed completion
+		require.NoError(t, json.Unmarshal(data, &unstreamed))
+		require.Equal(t, unstreamed.Choices[0].Message.Content, text)
+		require.Equal(t, unstreamed.Usage.CompletionTokens, usage.CompletionTokens)
 		require.Equal(t, (len(prompt)+3)/4, usage.PromptTokens)
 	}
 }
 
 func TestPlainCallWithKeyRunsOnce(t *testing.T) {
-	d := start(t, func(c *Config) { c.Engines = 1 })
+	d := startDeployment(t, func(c *Config) { c.Engines = 1 })
 	var bodies []string
 	for range 3 {
-		answer, data := send(t, d, "POST", "/v1/services/parts/jobs", Key, `{"part":"pump"}`, "Idempotency-Key", "job-1")
-		require.Equal(t, http.StatusCreated, answer.StatusCode, "%s", data)
+		response, data := send(t, d, "POST", "/v1/services/parts/jobs", Key, `{"part":"pump"}`, "Idempotency-Key", "job-1")
+		require.Equal(t, http.StatusCreated, response.StatusCode, "%s", data)
 		bodies = append(bodies, string(data))
 	}
 	require.Equal(t, bodies[0], bodies[1])
 	require.Equal(t, bodies[0], bodies[2])
-	answer, data := send(t, d, "POST", "/v1/services/parts/jobs", Key, `{"part":"valve"}`, "Idempotency-Key", "job-1")
-	require.Equal(t, http.StatusUnprocessableEntity, answer.StatusCode, "%s", data)
-	require.Equal(t, "not-run", answer.Header.Get("X-Execution"))
+	response, data := send(t, d, "POST", "/v1/services/parts/jobs", Key, `{"part":"valve"}`, "Idempotency-Key", "job-1")
+	require.Equal(t, http.StatusUnprocessableEntity, response.StatusCode, "%s", data)
+	require.Equal(t, "not-run", response.Header.Get("X-Execution"))
 }
 
-func TestWrongInputGetsItsCode(t *testing.T) {
-	d := start(t, func(c *Config) { c.Engines = 1 })
+func TestInvalidInputResultCodes(t *testing.T) {
+	d := startDeployment(t, func(c *Config) { c.Engines = 1 })
 	chat := "/v1/chat/completions"
 	cases := []struct {
 		name, path, key, body string
@@ -149,10 +149,10 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			answer, data := send(t, d, "POST", tc.path, tc.key, tc.body, tc.header...)
-			require.Equal(t, result.Lookup(tc.want).HTTPStatus, answer.StatusCode, "%s", data)
-			require.Equal(t, "not-run", answer.Header.Get("X-Execution"))
-			require.NotEmpty(t, answer.Header.Get("X-Request-Id"))
+			response, data := send(t, d, "POST", tc.path, tc.key, tc.body, tc.header...)
+			require.Equal(t, result.Lookup(tc.want).HTTPStatus, response.StatusCode, "%s", data)
+			require.Equal(t, "not-run", response.Header.Get("X-Execution"))
+			require.NotEmpty(t, response.Header.Get("X-Request-Id"))
 			var failure struct {
 				ResultCode result.Code `json:"result_code"`
 				Error      struct {
--- a/entry/dev/group_test.go
+++ b/entry/dev/group_test.go
@@ -10,24 +10,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// awaitFreeMemory waits until no engine holds memory and no agent's book does.
-func (d *Deployment) awaitFreeMemory(t testing.TB) {
+// waitForFreeMemory waits until no engine uses memory and no agent has any reserved.
+func (d *Deployment) waitForFreeMemory(t testing.TB) {
 	t.Helper()
-	deadline := time.Now().Add(settle)
+	deadline := time.Now().Add(waitTimeout)
 	for i, e := range d.Engines {
 		for e.Stats().HeldTokens > 0 || !d.Agents[i].HoldsNoMemory() {
 			require.True(t, time.Now().Before(deadline), "engine %d still holds %d tokens", i, e.Stats().HeldTokens)
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 }
 
-// Symptom: the longest prompts fail with memory_full on an idle fleet.
-// Sequence: many short prompts, whose JSON weighs more, settle the ratio of tokens to
-// bytes; a long prompt is then estimated low, and each share of its group is too small.
-// Cause: memory reserved by the best estimate instead of an upper one.
+// Many short prompts, in which JSON syntax is a larger part of the bytes, lower the learned ratio of
+// tokens to bytes. The length of a long prompt is then underestimated. If memory were reserved by the
+// estimate instead of an upper bound, each share of the prompt's group of engines would be too small,
+// and the longest prompts would fail with memory_full on an idle fleet.
 func TestMillionTokenPromptsShareEngines(t *testing.T) {
-	d := start(t, func(c *Config) { c.Plains = 0 })
+	d := startDeployment(t, func(c *Config) { c.Plains = 0 })
 	for range 60 {
 		send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, strings.Repeat("short. ", 600), false, 1))
 	}
@@ -35,13 +35,13 @@
 	var wait sync.WaitGroup
 	for range 3 {
 		wait.Go(func() {
-			answer, data := send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, prompt, true, 10))
-			require.Equal(t, http.StatusOK, answer.StatusCode, "%.300s", data)
-			_, usage := streamed(t, data)
+			response, data := send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, prompt, true, 10))
+			require.Equal(t, http.StatusOK, response.StatusCode, "%.300s", data)
+			_, usage := parseStream(t, data)
 			require.Equal(t, (len(prompt)+3)/4, usage.PromptTokens)
 			require.Equal(t, 10, usage.CompletionTokens)
 		})
 	}
 	wait.Wait()
-	d.awaitFreeMemory(t)
+	d.waitForFreeMemory(t)
 }
--- a/entry/dev/openai_test.go
+++ b/entry/dev/openai_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stockClient is the published client library, with nothing changed but where it calls
-// and with which key.
-func stockClient(d *Deployment, key string) openai.Client {
+// openAIClient returns a client of the published OpenAI library that differs from the default only in
+// its base URL and key.
+func openAIClient(d *Deployment, key string) openai.Client {
 	return openai.NewClient(option.WithBaseURL("http://"+d.Entries[0].Addr()+"/v1/"), option.WithAPIKey(key))
 }
 
@@ -29,9 +29,9 @@
 
 const openAIPrompt = "Does span 14 need pruning before the audit?"
 
-func TestStockClientChats(t *testing.T) {
-	d := start(t, nil)
-	client := stockClient(d, Key)
+func TestOpenAIClientChatCompletions(t *testing.T) {
+	d := startDeployment(t, nil)
+	client := openAIClient(d, Key)
 	whole, err := client.Chat.Completions.New(t.Context(), chatParams(ModelName, openAIPrompt, 12))
 	require.NoError(t, err)
 	require.Len(t, whole.Choices, 1)
@@ -42,19 +42,19 @@
 	require.Equal(t, ModelName, whole.Model)
 
 	stream := client.Chat.Completions.NewStreaming(t.Context(), chatParams(ModelName, openAIPrompt, 12))
-	joined := openai.ChatCompletionAccumulator{}
+	accumulated := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
-		require.True(t, joined.AddChunk(stream.Current()))
+		require.True(t, accumulated.AddChunk(stream.Current()))
 	}
 	require.NoError(t, stream.Err())
-	require.Equal(t, whole.Choices[0].Message.Content, joined.Choices[0].Message.Content)
-	require.Equal(t, "length", joined.Choices[0].FinishReason)
-	require.Equal(t, whole.Usage.TotalTokens, joined.Usage.TotalTokens)
+	require.Equal(t, whole.Choices[0].Message.Content, accumulated.Choices[0].Message.Content)
+	require.Equal(t, "length", accumulated.Choices[0].FinishReason)
+	require.Equal(t, whole.Usage.TotalTokens, accumulated.Usage.TotalTokens)
 }
 
-func TestStockClientCompletes(t *testing.T) {
-	d := start(t, nil)
-	client := stockClient(d, Key)
+func TestOpenAIClientCompletions(t *testing.T) {
+	d := startDeployment(t, nil)
+	client := openAIClient(d, Key)
 	params := openai.CompletionNewParams{
 		Model:     ModelName,
 		MaxTokens: openai.Int(9),
@@ -78,9 +78,9 @@
 	require.Equal(t, "length", finish)
 }
 
-func TestStockClientListsModels(t *testing.T) {
-	d := start(t, nil)
-	client := stockClient(d, Key)
+func TestOpenAIClientListsModels(t *testing.T) {
+	d := startDeployment(t, nil)
+	client := openAIClient(d, Key)
 	page, err := client.Models.List(t.Context())
 	require.NoError(t, err)
 	require.Len(t, page.Data, 1)
@@ -88,15 +88,15 @@
 	require.Equal(t, ModelService, page.Data[0].OwnedBy)
 }
 
-func TestStockClientGetsTypedErrors(t *testing.T) {
-	d := start(t, nil)
+func TestOpenAIClientGetsTypedErrors(t *testing.T) {
+	d := startDeployment(t, nil)
 	chat := func(key, model, prompt string, maxTokens int64) error {
-		client := stockClient(d, key)
+		client := openAIClient(d, key)
 		_, err := client.Chat.Completions.New(context.Background(), chatParams(model, prompt, maxTokens))
 		return err
 	}
 	stream := func(key, model, prompt string, maxTokens int64) error {
-		client := stockClient(d, key)
+		client := openAIClient(d, key)
 		s := client.Chat.Completions.NewStreaming(context.Background(), chatParams(model, prompt, maxTokens))
 		require.False(t, s.Next())
 		return s.Err()
@@ -111,8 +111,8 @@
 		{"over-long", Key, ModelName, "invalid_request_error", 1_200_000, result.PromptTooLong},
 	}
 	for _, tc := range cases {
-		for way, call := range map[string]func(key, model, prompt string, maxTokens int64) error{"whole": chat, "streamed": stream} {
-			t.Run(tc.name+" "+way, func(t *testing.T) {
+		for mode, call := range map[string]func(key, model, prompt string, maxTokens int64) error{"whole": chat, "streamed": stream} {
+			t.Run(tc.name+" "+mode, func(t *testing.T) {
 				var failure *openai.Error
 				require.ErrorAs(t, call(tc.key, tc.model, openAIPrompt, tc.maxTokens), &failure)
 				require.Equal(t, result.Lookup(tc.code).HTTPStatus, failure.StatusCode)
@@ -123,7 +123,7 @@
 			})
 		}
 	}
-	client := stockClient(d, "wrong")
+	client := openAIClient(d, "wrong")
 	_, err := client.Models.List(t.Context())
 	var failure *openai.Error
 	require.ErrorAs(t, err, &failure)
--- a/entry/dev/outage_test.go
+++ b/entry/dev/outage_test.go
@@ -11,44 +11,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outageRounds is the number of bursts of requests during the outage, enough for every
-// entry to have polled the platform in vain several times.
-const outageRounds = 12
+// outageBursts is the number of bursts of requests during the outage. It is large enough that each
+// entry's polls of the platform fail several times.
+const outageBursts = 12
 
-// TestServingGoesOnThroughAPlatformOutage is also an experiment: its log gives the counts.
+// The table, the object store, the VM list and the weight store fail under load, for longer than any
+// poll interval, and recover. Requests would fail if an entry called the platform on their path, or
+// treated an unavailable VM list as an empty one. The log shows the counts:
 //
-//	go test -v -run TestServingGoesOn ./entry/dev
-//
-// Symptom: callers' questions fail while the platform's services are down.
-// Sequence: table, object store, VM list and weight store all go down under load, for
-// longer than any reading interval, and come back.
-// Cause: an entry that asks the platform on a request's path, or that takes silence of
-// the list for an empty fleet.
-func TestServingGoesOnThroughAPlatformOutage(t *testing.T) {
+//	go test -v -run TestServingContinuesDuringPlatformOutage ./entry/dev
+func TestServingContinuesDuringPlatformOutage(t *testing.T) {
 	w := startTraffic(t, nil)
-	w.await(50)
+	w.waitForRequests(50)
 	w.d.Platform.Faults.Set(faults.Fault{Operation: "*", Kind: faults.Outage})
-	for range outageRounds {
-		w.await(50)
+	for range outageBursts {
+		w.waitForRequests(50)
 	}
 	w.d.Platform.Faults.Set()
-	w.await(50)
-	for _, fault := range w.end() {
-		require.True(t, strings.HasPrefix(fault, "job "), "a chat failed: %s", fault)
-		require.Contains(t, fault, `"execution":"not-run"`, "a keyed call may fail only when it did not run")
+	w.waitForRequests(50)
+	for _, failure := range w.stopAndCheck() {
+		require.True(t, strings.HasPrefix(failure, "job "), "a chat failed: %s", failure)
+		require.Contains(t, failure, `"execution":"not-run"`, "a keyed call may fail only if it did not run")
 	}
-	require.NotEmpty(t, w.notRun, "the outage was not met")
+	require.NotEmpty(t, w.notRun, "no request was affected by the outage")
 }
 
-// Symptom: an operator's change is lost, or two revisions fight.
-// Sequence: two operators read the same document and put different changes at two
-// entries at once, thirty times.
-// Cause: a write without a condition on what was read.
-func TestTwoOperatorsAtTwoEntries(t *testing.T) {
-	d := start(t, func(c *Config) { c.Engines, c.Plains, c.Entries = 0, 1, 2 })
-	d.awaitEntries(t)
+// Two operators read the same document and concurrently put different changes at two entries, thirty
+// times. Without a condition on the version that was read, one change would be lost.
+func TestConcurrentDocumentUpdatesAtTwoEntries(t *testing.T) {
+	d := startDeployment(t, func(c *Config) { c.Engines, c.Plains, c.Entries = 0, 1, 2 })
+	d.waitForEntries(t)
 	for round := range 30 {
-		ctx := bounded(t)
+		ctx := boundedContext(t)
 		tag := d.Entries[0].Config.State().ETag(PlainService)
 		var wait sync.WaitGroup
 		conflicts := make([]*documents.Conflict, 2)
@@ -56,22 +50,22 @@
 		for i, e := range d.Entries {
 			wait.Go(func() {
 				name := string(rune('a'+i)) + strings.Repeat("x", round+1)
-				_, conflicts[i], errs[i] = e.Config.Put(ctx, d.edited(name), tag)
+				_, conflicts[i], errs[i] = e.Config.Put(ctx, d.documentWithOrganisation(name), tag)
 			})
 		}
 		wait.Wait()
 		require.NoError(t, errs[0])
 		require.NoError(t, errs[1])
-		require.NotEqual(t, conflicts[0] == nil, conflicts[1] == nil, "one wins, the other learns of it")
+		require.NotEqual(t, conflicts[0] == nil, conflicts[1] == nil, "exactly one put must succeed and the other get a conflict")
 		for _, conflict := range conflicts {
 			if conflict != nil {
 				require.NotEmpty(t, conflict.Diff)
 			}
 		}
-		deadline := time.Now().Add(settle)
+		deadline := time.Now().Add(waitTimeout)
 		for d.Entries[0].Config.State().Revision() != d.Entries[1].Config.State().Revision() {
 			require.True(t, time.Now().Before(deadline), "the entries do not agree")
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 }
--- a/entry/dev/placement_test.go
+++ b/entry/dev/placement_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quick makes placement act within a test's time.
-func quick(c *Config) {
+// fastPlacement configures placement to act within the duration of a test.
+func fastPlacement(c *Config) {
 	c.Policy = "naive"
 	c.Plains = 0
 	c.Engine.ModelBytes = 1
@@ -26,31 +26,32 @@
 	c.Placement.Decisions.MinRequests = 10
 }
 
-// explained asks the operator's API of an entry.
-func explained(t testing.TB, d *Deployment, entry int) (e placement.Explanation) {
-	answer, err := http.Get(fmt.Sprintf("http://%s/v1/admin/services/%s/placement", d.Entries[entry].OperatorAddr(), ModelService))
+// explanation reads the placement of the model service from an entry's operator API.
+func explanation(t testing.TB, d *Deployment, entry int) (e placement.Explanation) {
+	response, err := http.Get(fmt.Sprintf("http://%s/v1/admin/services/%s/placement", d.Entries[entry].OperatorAddr(), ModelService))
 	require.NoError(t, err)
-	defer answer.Body.Close()
-	require.Equal(t, http.StatusOK, answer.StatusCode)
-	require.NoError(t, json.NewDecoder(answer.Body).Decode(&e))
+	defer response.Body.Close()
+	require.Equal(t, http.StatusOK, response.StatusCode)
+	require.NoError(t, json.NewDecoder(response.Body).Decode(&e))
 	return e
 }
 
-// placed returns what the entry that holds the lease tells; false when none has told yet.
-func placed(t testing.TB, d *Deployment) (placement.Explanation, bool) {
+// holderExplanation returns the explanation of the entry that holds the lease; false if no entry
+// holds it and has placed replicas yet.
+func holderExplanation(t testing.TB, d *Deployment) (placement.Explanation, bool) {
 	for i := range d.Entries {
-		if e := explained(t, d, i); e.HeldHere && len(e.Replicas) > 0 {
+		if e := explanation(t, d, i); e.HeldHere && len(e.Replicas) > 0 {
 			return e, true
 		}
 	}
 	return placement.Explanation{}, false
 }
 
-// awaitServing waits until so many live replicas serve a version.
-func awaitServing(t testing.TB, d *Deployment, version string, want int) (last placement.Explanation) {
+// waitForServing waits until the given number of live replicas serve a version.
+func waitForServing(t testing.TB, d *Deployment, version string, want int) (last placement.Explanation) {
 	t.Helper()
-	eventually(t, "placement does not get there", func() bool {
-		e, ok := placed(t, d)
+	eventually(t, "the wanted number of replicas does not serve the version", func() bool {
+		e, ok := holderExplanation(t, d)
 		n := 0
 		for _, r := range e.Replicas {
 			if r.State == "live" && r.Model == ModelName && r.Version == version {
@@ -63,36 +64,35 @@
 	return last
 }
 
-func awaitSteps(t testing.TB, d *Deployment, want int) {
+func waitForSteps(t testing.TB, d *Deployment, want int) {
 	t.Helper()
-	eventually(t, "placement does not act", func() bool {
-		e, ok := placed(t, d)
+	eventually(t, "placement takes too few steps", func() bool {
+		e, ok := holderExplanation(t, d)
 		return ok && len(e.Steps) >= want
 	})
 }
 
-func TestPlacementRestsWhereAllIsServed(t *testing.T) {
-	d := start(t, func(c *Config) { quick(c); c.Entries, c.Spares = 2, 1 })
-	e := awaitServing(t, d, modelVersion, 4)
+func TestPlacementIsIdleWhenAllReplicasServe(t *testing.T) {
+	d := startDeployment(t, func(c *Config) { fastPlacement(c); c.Entries, c.SpareEngines = 2, 1 })
+	e := waitForServing(t, d, modelVersion, 4)
 	require.Empty(t, e.Steps)
 	require.NotEmpty(t, e.Holder)
 	require.NotZero(t, e.Fence)
-	answer, data := send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, "a", false, 2))
-	require.Equal(t, http.StatusOK, answer.StatusCode, "%s", data)
-	e, _ = placed(t, d)
+	response, data := send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, "a", false, 2))
+	require.Equal(t, http.StatusOK, response.StatusCode, "%s", data)
+	e, _ = holderExplanation(t, d)
 	require.Empty(t, e.Steps)
 }
 
-// Symptom: a model has fewer replicas than its document wants, for good.
-// Sequence: an engine dies; its agent and its VM live on. Cause: taking a live agent for a
-// live engine.
-func TestDeadEngineIsReplacedBySpareOne(t *testing.T) {
-	d := start(t, func(c *Config) { quick(c); c.Engines, c.Spares = 3, 1 })
-	awaitServing(t, d, modelVersion, 3)
+// An engine dies while its agent and VM stay alive. If a live agent counted as a live engine, the model
+// would permanently have fewer replicas than its document specifies.
+func TestDeadEngineIsReplacedBySpare(t *testing.T) {
+	d := startDeployment(t, func(c *Config) { fastPlacement(c); c.Engines, c.SpareEngines = 3, 1 })
+	waitForServing(t, d, modelVersion, 3)
 	d.Engines[1].Close()
 	require.NoError(t, d.servers[1].Close())
-	awaitSteps(t, d, 1)
-	e := awaitServing(t, d, modelVersion, 3)
+	waitForSteps(t, d, 1)
+	e := waitForServing(t, d, modelVersion, 3)
 	require.Len(t, e.Steps, 1)
 	require.Equal(t, "engine-03", e.Steps[0].VM)
 	require.Equal(t, coreplacement.ReasonTooFew, e.Steps[0].Reason)
@@ -102,29 +102,28 @@
 	})
 }
 
-// Symptom: a bad version stays in service until an operator sees it.
-// Sequence: the document names a canary; its engine fails what it is asked. Cause: nobody
-// compares the canary with the stable version.
-func TestFailingCanaryIsRolledBackByItself(t *testing.T) {
-	d := start(t, quick)
+// The document names a canary version whose engine fails its requests. Placement must compare the
+// canary with the stable version and roll it back without an operator.
+func TestFailingCanaryIsRolledBackAutomatically(t *testing.T) {
+	d := startDeployment(t, fastPlacement)
 	service := d.documents()[0]
 	service.Models[0].Canary = "2"
 	service.Models[0].CanaryShare = 0.25
-	_, _, err := d.Entries[0].Config.Put(bounded(t), service, "*")
+	_, _, err := d.Entries[0].Config.Put(boundedContext(t), service, "*")
 	require.NoError(t, err)
-	e := awaitServing(t, d, "2", 1)
+	e := waitForServing(t, d, "2", 1)
 	for i := range d.Engines {
 		if e.Steps[0].VM == fmt.Sprintf("engine-%02d", i) {
 			d.Engines[i].SetFaults(engine.Fault{Fault: faults.Fault{Operation: engine.OpGenerate, Kind: faults.Die}})
 		}
 	}
 	eventually(t, "the canary is not rolled back", func() bool {
-		// Some of these fail, when the budget of retries is spent.
+		// Some of these requests fail once the retry budget is exhausted.
 		send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, "a", false, 1))
-		e, _ := placed(t, d)
+		e, _ := holderExplanation(t, d)
 		return len(e.Steps) >= 3
 	})
-	e = awaitServing(t, d, modelVersion, 4)
+	e = waitForServing(t, d, modelVersion, 4)
 	require.Equal(t, coreplacement.ReasonCanary, e.Steps[0].Reason)
 	require.Equal(t, coreplacement.ReasonErrors, e.Steps[1].Reason)
 	require.Equal(t, coreplacement.ReasonVersion, e.Steps[2].Reason)
--- a/entry/dev/recovery_test.go
+++ b/entry/dev/recovery_test.go
@@ -12,20 +12,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// longestGap reads a stream to its end and returns the longest time between two reads
-// after fault, which runs once some of the stream has been read.
+// longestGap reads a stream to its end and returns the longest time between two reads after fault,
+// which it calls after 50 reads.
 func longestGap(b *testing.B, d *Deployment, fault func()) time.Duration {
 	request, err := http.NewRequest("POST", "http://"+d.Entries[0].Addr()+"/v1/chat/completions",
 		strings.NewReader(`{"model":"assistant-1","stream":true,"max_tokens":400,"messages":[{"role":"user","content":"What was found?"}]}`))
 	require.NoError(b, err)
 	request.Header.Set("Authorization", "Bearer "+Key)
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	require.NoError(b, err)
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	buf := make([]byte, 4096)
 	reads, last, longest := 0, time.Now(), time.Duration(0)
 	for {
-		_, err := answer.Body.Read(buf)
+		_, err := response.Body.Read(buf)
 		if err == io.EOF {
 			return longest
 		}
@@ -53,8 +53,8 @@
 	return d
 }
 
-// BenchmarkSilentLink measures the pause that a caller sees when the link that carries
-// its answer goes silent: finding it, dialling anew and resuming.
+// BenchmarkSilentLink measures the gap that a caller sees when the link that carries its response
+// goes silent: the time to detect this, to redial and to resume the stream.
 func BenchmarkSilentLink(b *testing.B) {
 	d := recoveryDeployment(b)
 	worst := time.Duration(0)
@@ -68,8 +68,8 @@
 	b.ReportMetric(float64(worst.Milliseconds()), "worst-gap-ms")
 }
 
-// BenchmarkAgentDeath measures the pause that a caller sees when the agent that carries
-// its answer dies: noticing it and continuing on another engine.
+// BenchmarkAgentDeath measures the gap that a caller sees when the agent that carries its response
+// crashes: the time to detect this and to continue on another engine.
 func BenchmarkAgentDeath(b *testing.B) {
 	worst := time.Duration(0)
 	for b.Loop() {
@@ -89,19 +89,19 @@
 	require.Fail(t, "no engine is busy")
 }
 
-// BenchmarkDeadAgentNoticed measures the time from an agent's death without any traffic
-// to it until its entry gives it no more work. BenchmarkLeavingAgentNoticed measures the
-// same for an agent that leaves.
-func BenchmarkDeadAgentNoticed(b *testing.B) {
-	benchmarkNoticed(b, func(d *Deployment, i int) { d.KillAgent(i) })
+// BenchmarkDeadAgentDetection measures the time from the crash of an idle agent until the entry
+// stops routing to it. BenchmarkDrainingAgentDetection measures the same for an agent that starts to
+// drain.
+func BenchmarkDeadAgentDetection(b *testing.B) {
+	benchmarkDetection(b, func(d *Deployment, i int) { d.KillAgent(i) })
 }
 
-// BenchmarkLeavingAgentNoticed: see BenchmarkDeadAgentNoticed.
-func BenchmarkLeavingAgentNoticed(b *testing.B) {
-	benchmarkNoticed(b, func(d *Deployment, i int) { d.Agents[i].Leave() })
+// BenchmarkDrainingAgentDetection is described at BenchmarkDeadAgentDetection.
+func BenchmarkDrainingAgentDetection(b *testing.B) {
+	benchmarkDetection(b, func(d *Deployment, i int) { d.Agents[i].Leave() })
 }
 
-func benchmarkNoticed(b *testing.B, fault func(d *Deployment, agent int)) {
+func benchmarkDetection(b *testing.B, fault func(d *Deployment, agent int)) {
 	worst := time.Duration(0)
 	for b.Loop() {
 		d := recoveryDeployment(b)
@@ -109,7 +109,7 @@
 		used := d.usedAgent(b)
 		start := time.Now()
 		fault(d, used)
-		for d.state(d.agents[used].VM) == routing.Live {
+		for d.agentState(d.agents[used].VM) == routing.Live {
 			time.Sleep(time.Millisecond)
 		}
 		worst = max(worst, time.Since(start))
@@ -117,7 +117,7 @@
 	b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
 }
 
-// usedAgent returns an agent that has served a request.
+// usedAgent returns the index of an agent that has served a request.
 func (d *Deployment) usedAgent(t testing.TB) int {
 	for i, e := range d.Engines {
 		if e.Stats().Completed > 0 {
@@ -128,8 +128,8 @@
 	return 0
 }
 
-// state is that of an agent in the first entry's view.
-func (d *Deployment) state(vm string) routing.State {
+// agentState returns the state of an agent in the first entry's view.
+func (d *Deployment) agentState(vm string) routing.State {
 	for _, r := range d.Entries[0].View.Replicas(ModelService) {
 		if r.Agent == vm {
 			return r.State
--- a/entry/dev/restart.go
+++ b/entry/dev/restart.go
@@ -8,7 +8,7 @@
 	"acaciacleat.example/peers/link"
 )
 
-// KillAgent ends an agent at once, as a crash does.
+// KillAgent stops an agent at once, as a crash does.
 func (d *Deployment) KillAgent(i int) { d.Agents[i].Stop() }
 
 // DrainAgent stops an agent gracefully within limit.
@@ -18,8 +18,8 @@
 	d.Agents[i].Drain(ctx)
 }
 
-// StartAgentAgain starts a new incarnation of a stopped agent on its VM.
-func (d *Deployment) StartAgentAgain(i int) error {
+// RestartAgent starts a new incarnation of a stopped agent on its VM.
+func (d *Deployment) RestartAgent(i int) error {
 	agent, err := d.runAgent(&d.agents[i])
 	if err != nil {
 		return err
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// KillEntry ends an entry at once.
+// KillEntry stops an entry at once, as a crash does.
 func (d *Deployment) KillEntry(i int) { d.Entries[i].Stop() }
 
 // DrainEntry stops an entry gracefully within limit.
@@ -38,8 +38,8 @@
 	d.Entries[i].Drain(ctx)
 }
 
-// StartEntryAgain starts a new incarnation of a stopped entry on its VM.
-func (d *Deployment) StartEntryAgain(i int) error {
+// RestartEntry starts a new incarnation of a stopped entry on its VM.
+func (d *Deployment) RestartEntry(i int) error {
 	d.entries[i].Incarnation = link.NewIncarnation()
 	e, err := entryprocess.Start(d.entries[i])
 	if err != nil {
--- a/entry/dev/saved_test.go
+++ b/entry/dev/saved_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// savedRevision returns the revision of the state in the object store, 0 for none.
+// savedRevision returns the revision of the state saved in the object store, 0 if there is none.
 func (d *Deployment) savedRevision(ctx context.Context) document.Revision {
 	down := &atomic.Bool{}
 	down.Store(true)
@@ -24,34 +24,33 @@
 	return started.State.Revision()
 }
 
-// Symptom: each start reads every row of the documents, and with the table down an entry
-// that finds no peer's state in time finds none at all.
-// Sequence: documents change many times; the table goes down; an entry starts.
-// Cause: nobody puts the state into the object store.
+// Documents change many times, the table goes down, and an entry restarts. Unless the state is saved
+// to the object store, a start reads every row of the documents, and fails if the table is down and no
+// peer provides the state in time.
 func TestStartFromTheSavedStateWhileTheTableIsDown(t *testing.T) {
 	var down atomic.Bool
-	d := start(t, func(c *Config) {
+	d := startDeployment(t, func(c *Config) {
 		c.Engines, c.Plains, c.Entries = 0, 1, 2
-		c.Table = func(_ int, store table.Store) table.Store { return &gatedTable{Store: store, down: &down} }
+		c.WrapTable = func(_ int, store table.Store) table.Store { return &gatedTable{Store: store, down: &down} }
 	})
-	d.awaitEntries(t)
-	ctx := bounded(t)
+	d.waitForEntries(t)
+	ctx := boundedContext(t)
 	var revision document.Revision
 	for i := 0; revision < documents.SaveEvery; i++ {
 		var err error
-		revision, _, err = d.Entries[0].Config.Put(ctx, d.edited(fmt.Sprint("organisation-", i)), "*")
+		revision, _, err = d.Entries[0].Config.Put(ctx, d.documentWithOrganisation(fmt.Sprint("organisation-", i)), "*")
 		require.NoError(t, err)
 	}
 	for d.savedRevision(ctx) < documents.SaveEvery {
 		require.NoError(t, ctx.Err(), "the state was not saved")
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 	down.Store(true)
 	d.KillEntry(1)
-	require.NoError(t, d.StartEntryAgain(1))
+	require.NoError(t, d.RestartEntry(1))
 	for !d.Entries[1].Front.Ready() {
 		require.NoError(t, ctx.Err(), "the entry did not become ready")
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 	require.Equal(t, revision, d.Entries[1].Config.State().Revision())
 }
--- a/entry/dev/speed_test.go
+++ b/entry/dev/speed_test.go
@@ -23,12 +23,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fastEngine answers at once with as many deltas as MaxTokens asks for, so that what is
-// measured is the system and not an engine.
+// fastEngine generates a fixed number of deltas without delay, so that benchmarks measure the system
+// and not an engine.
 type fastEngine struct {
 	engine.Engine
 	tokens int
-	// gate, if not nil, holds answers back after their first token until it is closed.
+	// gate, if not nil, blocks streams after their first token until it is closed.
 	gate chan struct{}
 }
 
@@ -64,8 +64,8 @@
 func (s *fastStream) Final() engine.Final { return engine.Final{FinishReason: "length"} }
 func (s *fastStream) Close() error        { return nil }
 
-// startFast runs one entry before agents with fastEngines.
-func startFast(t testing.TB, agents int, e *fastEngine) *Deployment {
+// startWithFastEngines starts one entry and agents that share a fastEngine.
+func startWithFastEngines(t testing.TB, agents int, e *fastEngine) *Deployment {
 	config := DefaultConfig()
 	config.Listen = "127.0.0.1:0"
 	config.OperatorListen = "127.0.0.1:0"
@@ -90,13 +90,13 @@
 	return d
 }
 
-// discard is a response writer that keeps nothing.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that discards the body.
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Flush()                      {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
+func (d *discardWriter) Flush()                      {}
 
 func fastRequest() *http.Request {
 	request := httptest.NewRequest("POST", "/v1/chat/completions",
@@ -105,35 +105,35 @@
 	return request
 }
 
-// BenchmarkRelay measures token frames through agent, link and entry to the rendered
-// event: one operation is one frame, over 64 streams at once.
+// BenchmarkRelay measures the path of token frames from the agent over the link and the entry to the
+// rendered event. One operation is one frame; 64 streams run concurrently.
 func BenchmarkRelay(b *testing.B) {
 	const streams = 64
 	e := &fastEngine{tokens: b.N/streams + 1}
-	d := startFast(b, 4, e)
+	d := startWithFastEngines(b, 4, e)
 	b.ReportAllocs()
 	b.ResetTimer()
-	var wait sync.WaitGroup
+	var streamGroup sync.WaitGroup
 	for range streams {
-		wait.Go(func() { d.Entries[0].Front.ServeHTTP(&discard{header: make(http.Header)}, fastRequest()) })
+		streamGroup.Go(func() { d.Entries[0].Front.ServeHTTP(&discardWriter{header: make(http.Header)}, fastRequest()) })
 	}
-	wait.Wait()
+	streamGroup.Wait()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "frames/s")
 }
 
-// BenchmarkStreamMemory measures the memory of 10,000 open streams, entry and agents
+// BenchmarkStreamMemory measures the memory of 10,000 open streams in the entry and the agents
 // together.
 func BenchmarkStreamMemory(b *testing.B) {
 	const streams = 10_000
 	for b.Loop() {
 		e := &fastEngine{tokens: 2, gate: make(chan struct{})}
-		d := startFast(b, 4, e)
+		d := startWithFastEngines(b, 4, e)
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		var wait sync.WaitGroup
+		var streamGroup sync.WaitGroup
 		for range streams {
-			wait.Go(func() { d.Entries[0].Front.ServeHTTP(&discard{header: make(http.Header)}, fastRequest()) })
+			streamGroup.Go(func() { d.Entries[0].Front.ServeHTTP(&discardWriter{header: make(http.Header)}, fastRequest()) })
 		}
 		for d.Entries[0].Front.Metrics().FirstTokens()[call.Short.String()].Count < streams {
 			time.Sleep(time.Millisecond)
@@ -143,15 +143,15 @@
 		b.ReportMetric(float64(after.Sys)/(1<<20), "MB-sys")
 		b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/streams, "B/stream")
 		close(e.gate)
-		wait.Wait()
+		streamGroup.Wait()
 		b.StopTimer()
 		d.Stop()
 		b.StartTimer()
 	}
 }
 
-// BenchmarkAddedLatency compares time to first token of a direct call of the stand-in
-// engine with the same call through entry and agent, turn by turn in one run.
+// BenchmarkAddedLatency compares the time to first token of a direct call of the stand-in engine with
+// that of the same call through an entry and an agent. The two kinds of call alternate.
 func BenchmarkAddedLatency(b *testing.B) {
 	config := DefaultConfig()
 	config.Listen = "127.0.0.1:0"
@@ -163,17 +163,17 @@
 	b.Cleanup(d.Stop)
 	direct := engine.NewHTTP(d.EngineURLs[0])
 	body := `{"model":"assistant-1","stream":true,"max_tokens":1,"messages":[{"role":"user","content":"Does span 14 need pruning?"}]}`
-	var through, straight []time.Duration
+	var viaEntry, directTimes []time.Duration
 	for b.Loop() {
-		straight = append(straight, timeDirect(b, direct, body))
-		through = append(through, timeThrough(b, d, body))
+		directTimes = append(directTimes, timeDirect(b, direct, body))
+		viaEntry = append(viaEntry, timeViaEntry(b, d, body))
 	}
-	slices.Sort(straight)
-	slices.Sort(through)
+	slices.Sort(directTimes)
+	slices.Sort(viaEntry)
 	for name, q := range map[string]int{"p50": 50, "p99": 99} {
-		added := through[len(through)*q/100] - straight[len(straight)*q/100]
+		added := viaEntry[len(viaEntry)*q/100] - directTimes[len(directTimes)*q/100]
 		b.ReportMetric(float64(added.Microseconds())/1000, "added-ms-"+name)
-		b.ReportMetric(float64(straight[len(straight)*q/100].Microseconds())/1000, "direct-ms-"+name)
+		b.ReportMetric(float64(directTimes[len(directTimes)*q/100].Microseconds())/1000, "direct-ms-"+name)
 	}
 }
 
@@ -183,27 +183,27 @@
 	require.NoError(b, err)
 	_, _, err = stream.Next()
 	require.NoError(b, err)
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	for ok := true; ok && err == nil; {
 		_, ok, err = stream.Next()
 	}
 	stream.Close()
-	return took
+	return elapsed
 }
 
-func timeThrough(b *testing.B, d *Deployment, body string) time.Duration {
+func timeViaEntry(b *testing.B, d *Deployment, body string) time.Duration {
 	request, err := http.NewRequest("POST", "http://"+d.Entries[0].Addr()+"/v1/chat/completions", strings.NewReader(body))
 	require.NoError(b, err)
 	request.Header.Set("Authorization", "Bearer "+Key)
 	start := time.Now()
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	require.NoError(b, err)
 	var first [1]byte
-	_, err = io.ReadFull(answer.Body, first[:])
+	_, err = io.ReadFull(response.Body, first[:])
 	require.NoError(b, err)
-	took := time.Since(start)
-	_, err = io.Copy(io.Discard, answer.Body)
+	elapsed := time.Since(start)
+	_, err = io.Copy(io.Discard, response.Body)
 	require.NoError(b, err)
-	answer.Body.Close()
-	return took
+	response.Body.Close()
+	return elapsed
 }
--- a/entry/dev/standins.go
+++ b/entry/dev/standins.go
@@ -13,13 +13,13 @@
 	"github.com/pkg/errors"
 )
 
-// weightRate is the stand-in weight store's rate in bytes a second.
+// weightRate is the transfer rate of the stand-in weight store, in bytes per second.
 const weightRate = 1 << 30
 
-// servers are the HTTP servers of stand-ins.
+// servers are the HTTP servers of the stand-ins: the platform, the engines, the plain services.
 type servers []*http.Server
 
-// serve gives a stand-in an HTTP server of its own and returns its base URL.
+// serve starts an HTTP server for a stand-in and returns its base URL.
 func (s *servers) serve(listen string, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -37,28 +37,28 @@
 	}
 }
 
-// StandInsConfig is the size of a set of stand-ins.
+// StandInsConfig configures a set of stand-ins.
 type StandInsConfig struct {
-	// Listen is the platform's IP address and port. The engines have the ports after it
-	// and the plain services those after the engines'; port 0 chooses all ports.
+	// Listen is the platform's IP address and port. The engines use the following ports, and
+	// the plain services those after the engines'. With port 0 all stand-ins use free ports.
 	Listen  string
 	Engines int
-	// Spares are engines beyond them that serve another model.
-	Spares int
-	Plains int
-	Engine standinengine.Config
-	Plain  plain.Config
-	// Wrap, if not nil, stands before each engine.
-	Wrap func(engine int, next http.Handler) http.Handler
+	// SpareEngines is the number of additional engines, which serve another model.
+	SpareEngines int
+	Plains       int
+	Engine       standinengine.Config
+	Plain        plain.Config
+	// WrapEngine, if not nil, wraps the HTTP handler of each engine.
+	WrapEngine func(engine int, next http.Handler) http.Handler
 }
 
-// StandIns are a platform, engines and plain services without entries and agents, for
-// processes that serve from settings.
+// StandIns are a running platform, engines and plain services without entries and agents, for use
+// with entries and agents that run as separate processes.
 type StandIns struct {
 	Platform *platform.Platform
 	Engines  []*standinengine.Engine
 	Plains   []*plain.Service
-	// The base URLs. The platform's services are below its own.
+	// The base URLs of the stand-ins. The platform's services are paths under PlatformURL.
 	PlatformURL string
 	EngineURLs  []string
 	PlainURLs   []string
@@ -67,11 +67,11 @@
 	servers servers
 }
 
-// StartStandIns runs stand-ins until Stop.
+// StartStandIns starts stand-ins, which run until Stop.
 func StartStandIns(config StandInsConfig) (*StandIns, error) {
 	first, err := netip.ParseAddrPort(config.Listen)
 	if err != nil {
-		return nil, errors.Wrap(err, "address of the platform")
+		return nil, errors.Wrap(err, "parse the listen address of the platform")
 	}
 	s := &StandIns{Platform: platform.New(weightRate), next: first}
 	if err := s.start(config); err != nil {
@@ -87,14 +87,14 @@
 	}
 	config.Engine.Model = ModelName
 	config.Engine.Version = modelVersion
-	for i := range config.Engines + config.Spares {
+	for i := range config.Engines + config.SpareEngines {
 		if i >= config.Engines {
 			config.Engine.Model = spareModel
 		}
 		e := standinengine.New(config.Engine)
 		handler := http.Handler(e)
-		if config.Wrap != nil {
-			handler = config.Wrap(i, e)
+		if config.WrapEngine != nil {
+			handler = config.WrapEngine(i, e)
 		}
 		url, err := s.serve(handler)
 		if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// serve uses the next port.
+// serve serves a stand-in on the next port.
 func (s *StandIns) serve(handler http.Handler) (string, error) {
 	url, err := s.servers.serve(s.next.String(), handler)
 	if s.next.Port() != 0 {
@@ -124,10 +124,10 @@
 	return url, err
 }
 
-// Stop ends all stand-ins at once.
+// Stop stops all stand-ins at once.
 func (s *StandIns) Stop() { s.servers.close() }
 
-// Greeting tells how to use the stand-ins.
+// Greeting returns a text with the URLs of the stand-ins and an example of a VM list.
 func (s *StandIns) Greeting() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "stand-ins are running: %d engines of model %s, %d plain services\n\n", len(s.Engines), ModelName, len(s.Plains))
--- a/entry/dev/traffic_test.go
+++ b/entry/dev/traffic_test.go
@@ -17,25 +17,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// traffic sends streamed chats and non-repeatable calls without a pause, as callers
-// behind a balancer do, and keeps the books that the promises are judged by.
+// traffic continuously sends streamed chats and non-repeatable calls to ready entries, as callers
+// behind a load balancer do, and records the outcomes that stopAndCheck verifies.
 type traffic struct {
 	t *testing.T
 	d *Deployment
-	// fleet guards the deployment's lists against restarts.
-	fleet  sync.RWMutex
-	client *http.Client
-	wants  map[string]string
+	// fleetMu guards the deployment's lists of agents and entries during restarts.
+	fleetMu       sync.RWMutex
+	client        *http.Client
+	expectedTexts map[string]string
 
-	calls  atomic.Int64
-	chats  atomic.Int64
-	stop   chan struct{}
-	wait   sync.WaitGroup
-	mu     sync.Mutex
-	faults []string
-	// notRun holds the tags of calls that were said not to have run, done those answered.
-	notRun []string
-	done   []string
+	calls    atomic.Int64
+	chats    atomic.Int64
+	stop     chan struct{}
+	workers  sync.WaitGroup
+	mu       sync.Mutex
+	failures []string
+	// notRun has the tags of calls that were reported as not run, completed those of successful
+	// calls.
+	notRun    []string
+	completed []string
 }
 
 const (
@@ -45,30 +46,30 @@
 )
 
 func startTraffic(t *testing.T, change func(*Config)) *traffic {
-	d := start(t, func(c *Config) {
+	d := startDeployment(t, func(c *Config) {
 		c.Engines, c.Plains, c.Entries = 4, 3, 3
 		c.Engine = standinengine.Config{PrefillRate: 4_000_000, DecodeStep: 5 * time.Millisecond}
 		if change != nil {
 			change(c)
 		}
 	})
-	d.awaitEntries(t)
+	d.waitForEntries(t)
 	w := &traffic{
-		t: t, d: d, wants: make(map[string]string), stop: make(chan struct{}),
+		t: t, d: d, expectedTexts: make(map[string]string), stop: make(chan struct{}),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: trafficWorkers}},
 	}
 	for i := range trafficPrompts {
 		prompt := fmt.Sprintf("What was found at span %d?", i)
 		_, data := send(t, d, "POST", "/v1/chat/completions", Key, chatBody(t, prompt, true, trafficTokens))
-		w.wants[prompt], _ = streamed(t, data)
+		w.expectedTexts[prompt], _ = parseStream(t, data)
 	}
 	for i := range trafficWorkers {
-		w.wait.Go(func() { w.work(rand.New(rand.NewPCG(uint64(i), 1))) })
+		w.workers.Go(func() { w.runWorker(rand.New(rand.NewPCG(uint64(i), 1))) })
 	}
 	return w
 }
 
-func (w *traffic) work(random *rand.Rand) {
+func (w *traffic) runWorker(random *rand.Rand) {
 	for i := 0; ; i++ {
 		select {
 		case <-w.stop:
@@ -76,19 +77,20 @@
 		default:
 		}
 		if random.IntN(3) == 0 {
-			w.job(fmt.Sprintf("job-%d-%d", random.Uint64(), i))
+			w.plainCall(fmt.Sprintf("job-%d-%d", random.Uint64(), i))
 		} else {
 			w.chat(fmt.Sprintf("What was found at span %d?", random.IntN(trafficPrompts)))
 		}
 	}
 }
 
-// ready picks an entry that says it is ready, as the platform's balancer does.
-func (w *traffic) ready(turn int) string {
-	w.fleet.RLock()
-	defer w.fleet.RUnlock()
+// readyEntry returns the address of an entry that reports itself ready, as the platform's load
+// balancer does, or "".
+func (w *traffic) readyEntry(attempt int) string {
+	w.fleetMu.RLock()
+	defer w.fleetMu.RUnlock()
 	for i := range w.d.Entries {
-		e := w.d.Entries[(turn+i)%len(w.d.Entries)]
+		e := w.d.Entries[(attempt+i)%len(w.d.Entries)]
 		if e.Ready() {
 			return e.Addr()
 		}
@@ -96,11 +98,11 @@
 	return ""
 }
 
-// do sends a request to a ready entry. A refused connection is the balancer's to mend.
-func (w *traffic) do(path, body string, header ...string) (*http.Response, error) {
-	deadline := time.Now().Add(settle)
-	for turn := rand.IntN(1 << 20); ; turn++ {
-		addr := w.ready(turn)
+// post sends a request to a ready entry. It retries refused connections, as a load balancer does.
+func (w *traffic) post(path, body string, header ...string) (*http.Response, error) {
+	deadline := time.Now().Add(waitTimeout)
+	for attempt := rand.IntN(1 << 20); ; attempt++ {
+		addr := w.readyEntry(attempt)
 		request, err := http.NewRequestWithContext(context.Background(), "POST", "http://"+addr+path, strings.NewReader(body))
 		if err != nil {
 			return nil, err
@@ -109,66 +111,66 @@
 		for i := 0; i+1 < len(header); i += 2 {
 			request.Header.Set(header[i], header[i+1])
 		}
-		answer, err := w.client.Do(request)
+		response, err := w.client.Do(request)
 		if err == nil || !strings.Contains(err.Error(), "connection refused") || time.Now().After(deadline) {
-			return answer, err
+			return response, err
 		}
 	}
 }
 
-func (w *traffic) fault(format string, args ...any) {
+func (w *traffic) recordFailure(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+	w.failures = append(w.failures, fmt.Sprintf(format, args...))
 }
 
 func (w *traffic) chat(prompt string) {
 	w.chats.Add(1)
-	answer, err := w.do("/v1/chat/completions", chatBody(w.t, prompt, true, trafficTokens))
+	response, err := w.post("/v1/chat/completions", chatBody(w.t, prompt, true, trafficTokens))
 	if err != nil {
-		w.fault("chat: %v", err)
+		w.recordFailure("chat: %v", err)
 		return
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
-	if err != nil || answer.StatusCode != http.StatusOK || !bytes.HasSuffix(data, []byte("[DONE]\n\n")) {
-		w.fault("chat %s: %v %d %.500s", answer.Header.Get("X-Request-Id"), err, answer.StatusCode, tail(data))
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
+	if err != nil || response.StatusCode != http.StatusOK || !bytes.HasSuffix(data, []byte("[DONE]\n\n")) {
+		w.recordFailure("chat %s: %v %d %.500s", response.Header.Get("X-Request-Id"), err, response.StatusCode, tail(data))
 		return
 	}
-	if text, usage := streamed(w.t, data); text != w.wants[prompt] || usage.CompletionTokens != trafficTokens {
-		w.fault("chat %s: %d tokens, text %q, want %q", answer.Header.Get("X-Request-Id"), usage.CompletionTokens, text, w.wants[prompt])
+	if text, usage := parseStream(w.t, data); text != w.expectedTexts[prompt] || usage.CompletionTokens != trafficTokens {
+		w.recordFailure("chat %s: %d tokens, text %q, want %q", response.Header.Get("X-Request-Id"), usage.CompletionTokens, text, w.expectedTexts[prompt])
 	}
 }
 
 func tail(data []byte) []byte { return data[max(0, len(data)-400):] }
 
-func (w *traffic) job(tag string) {
+func (w *traffic) plainCall(tag string) {
 	w.calls.Add(1)
-	answer, err := w.do("/v1/services/parts/jobs", `{"part":"pump"}`, "Idempotency-Key", tag, "X-Call-Tag", tag)
+	response, err := w.post("/v1/services/parts/jobs", `{"part":"pump"}`, "Idempotency-Key", tag, "X-Call-Tag", tag)
 	if err != nil {
-		w.fault("job %s: %v", tag, err)
+		w.recordFailure("job %s: %v", tag, err)
 		return
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case err == nil && answer.StatusCode == http.StatusCreated:
-		w.done = append(w.done, tag)
+	case err == nil && response.StatusCode == http.StatusCreated:
+		w.completed = append(w.completed, tag)
 		return
-	case answer.Header.Get("X-Execution") == "not-run":
+	case response.Header.Get("X-Execution") == "not-run":
 		w.notRun = append(w.notRun, tag)
 	}
-	w.faults = append(w.faults, fmt.Sprintf("job %s: %v %d %s", tag, err, answer.StatusCode, data))
+	w.failures = append(w.failures, fmt.Sprintf("job %s: %v %d %s", tag, err, response.StatusCode, data))
 }
 
-// end stops the traffic and checks what must hold whatever failed: no call ran twice,
-// none ran that was said not to have, and each that was answered ran. It returns the
-// requests that failed.
-func (w *traffic) end() []string {
+// stopAndCheck stops the traffic and checks the invariants that hold regardless of failures: no call
+// ran twice, no call ran that was reported as not run, and each successful call ran. It returns
+// descriptions of the failed requests.
+func (w *traffic) stopAndCheck() []string {
 	close(w.stop)
-	w.wait.Wait()
+	w.workers.Wait()
 	runs := make(map[string]int)
 	for _, p := range w.d.Plains {
 		for tag, n := range p.Stats().RunsByTag {
@@ -179,22 +181,22 @@
 		require.LessOrEqual(w.t, n, 1, "call %s ran %d times", tag, n)
 	}
 	for _, tag := range w.notRun {
-		require.Zero(w.t, runs[tag], "call %s ran although it was said not to have", tag)
+		require.Zero(w.t, runs[tag], "call %s ran although it was reported as not run", tag)
 	}
-	for _, tag := range w.done {
+	for _, tag := range w.completed {
 		require.Equal(w.t, 1, runs[tag], "call %s", tag)
 	}
-	w.d.awaitFreeMemory(w.t)
-	w.t.Logf("%d chats, %d calls, %d failed", w.chats.Load(), w.calls.Load(), len(w.faults))
-	return w.faults
+	w.d.waitForFreeMemory(w.t)
+	w.t.Logf("%d chats, %d calls, %d failed", w.chats.Load(), w.calls.Load(), len(w.failures))
+	return w.failures
 }
 
-// await waits until n more chats and calls have begun.
-func (w *traffic) await(n int64) {
+// waitForRequests waits until n more chats and calls have started.
+func (w *traffic) waitForRequests(n int64) {
 	target := w.chats.Load() + w.calls.Load() + n
-	deadline := time.Now().Add(settle)
+	deadline := time.Now().Add(waitTimeout)
 	for w.chats.Load()+w.calls.Load() < target {
-		require.True(w.t, time.Now().Before(deadline), "the traffic does not move")
-		time.Sleep(readyPoll)
+		require.True(w.t, time.Now().Before(deadline), "the traffic makes no progress")
+		time.Sleep(readyPollInterval)
 	}
 }
