--- a/entry/capacity/agent_test.go
+++ b/entry/capacity/agent_test.go
@@ -26,19 +26,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkCapacityLedger reports the memory of remembered ids and the time of a call's
-// passage through a ledger of that size. It comes first: requests that ended are let go of
-// seconds later and would be taken off its memory.
+// BenchmarkCapacityLedger reports the memory of the ids in a ledger and the time that one call takes
+// in a ledger of that size. It is the first benchmark, because the requests of others are released
+// seconds after they end, which would reduce the measured memory.
 func BenchmarkCapacityLedger(b *testing.B) {
 	for _, ids := range []int{2_200, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("ids=%d", ids), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			now := time.Unix(1_000, 0)
 			limits := idempotency.DefaultLimits
 			limits.MaxIDs = 2 * ids
 			ledger := idempotency.NewLedger(1, limits)
 			next := uint64(0)
-			pass := func() {
+			processCall := func() {
 				next++
 				var id call.ID
 				binary.LittleEndian.PutUint64(id[:], next)
@@ -47,13 +47,13 @@
 				ledger.Finish(now, id, nil, 0)
 			}
 			for range ids {
-				pass()
+				processCall()
 			}
-			held := heap() - before
+			held := heapBytes() - before
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(limits.Retention / time.Duration(ids))
-				pass()
+				processCall()
 			}
 			b.ReportMetric(held/float64(ids), "heap-B/id")
 			runtime.KeepAlive(ledger)
@@ -61,12 +61,12 @@
 	}
 }
 
-// prefill is the time to a first token: a thousand tokens at 40,000 a second. No answer
-// begins at once, as none does at an engine.
-const prefill = 25 * time.Millisecond
+// prefillDelay is the time to first token: a thousand tokens at 40,000 tokens/s. It is not 0 because
+// no engine responds at once.
+const prefillDelay = 25 * time.Millisecond
 
-// pacedEngine answers with one token a step; without a step at once after the first, or,
-// with a gate, when the gate is closed.
+// pacedEngine generates one token per step. If step is 0, all tokens after the first follow at once,
+// or as soon as gate is closed if it is not nil.
 type pacedEngine struct {
 	engine.Engine
 	tokens int
@@ -93,19 +93,19 @@
 	if s.sent >= s.engine.tokens {
 		return engine.Delta{}, false, nil
 	}
-	if !s.wait() {
+	if !s.waitForToken() {
 		return engine.Delta{}, false, s.ctx.Err()
 	}
 	s.sent++
 	return engine.Delta{Text: "token ", Tokens: 1}, true, nil
 }
 
-// wait waits for the next token; false when the request was cancelled.
-func (s *pacedStream) wait() bool {
+// waitForToken waits until the next token is due; false if the request was cancelled.
+func (s *pacedStream) waitForToken() bool {
 	var first, step <-chan time.Time
 	switch {
 	case s.sent == 0:
-		first = time.After(prefill)
+		first = time.After(prefillDelay)
 	case s.engine.step > 0:
 		step = s.steps()
 	case s.engine.gate == nil:
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// startAgent runs an agent that starts every request at once.
+// startAgent starts an agent that runs every request at once instead of queueing it.
 func startAgent(t testing.TB, vm, service string, e engine.Engine) *agentprocess.Agent {
 	limits := server.DefaultLimits
 	limits.Running = limits.Queue
@@ -151,16 +151,16 @@
 	return agent
 }
 
-// caller offers requests to an agent over a link of its own, as an entry does.
-type caller struct {
-	conn        *link.Conn
-	next        uint64
-	chunks, end atomic.Int64
+// offerClient offers requests to an agent over its own link, as an entry does.
+type offerClient struct {
+	conn         *link.Conn
+	next         uint64
+	chunks, ends atomic.Int64
 }
 
-func newCaller(t testing.TB, agent *agentprocess.Agent) *caller {
-	c := &caller{}
-	node := startNode(t, "entry-123", handler{message: c.hear})
+func newOfferClient(t testing.TB, agent *agentprocess.Agent) *offerClient {
+	c := &offerClient{}
+	node := startNode(t, "entry-123", handler{onMessage: c.handleMessage})
 	conn, err := node.Dial(t.Context(), agentName, agent.Addr())
 	require.NoError(t, err)
 	conn.Retain()
@@ -168,33 +168,33 @@
 	return c
 }
 
-func (c *caller) hear(conn *link.Conn, message link.Message) {
+func (c *offerClient) handleMessage(conn *link.Conn, message link.Message) {
 	switch m := message.(type) {
 	case *link.Chunk:
 		c.chunks.Add(1)
 		_ = conn.Send(&link.Ack{ID: m.ID, Attempt: m.Attempt, Seq: m.Seq})
 	case *link.End:
-		c.end.Add(1)
+		c.ends.Add(1)
 		_ = conn.Send(&link.Ack{ID: m.ID, Attempt: m.Attempt, Seq: m.Seq})
 	}
 }
 
-// promptBytes is a prompt of a thousand tokens, the shortest of the design.
+// promptBytes is the length of a prompt of a thousand tokens, the shortest of the design.
 const promptBytes = 4_000
 
 var promptBody = make([]byte, promptBytes)
 
-func (c *caller) offer(t testing.TB) {
+func (c *offerClient) offer(t testing.TB) {
 	c.next++
-	o := offer(2)
+	o := sampleOffer(2)
 	binary.LittleEndian.PutUint64(o.ID[:], c.next)
 	o.BoundTo, o.Stamp = c.conn.Peer().Incarnation, c.conn.Stamp()
 	o.PromptTokens, o.Body, o.BodyBytes = promptBytes/4, promptBody, promptBytes
 	require.NoError(t, c.conn.Send(o))
 }
 
-// BenchmarkCapacityAgentLive reports the memory of live requests at an agent, all running
-// and with their first token sent; the caller's end of the one link is included.
+// BenchmarkCapacityAgentLive reports the memory of live requests at an agent. All are running and
+// have sent their first token. The client's end of the link is included.
 func BenchmarkCapacityAgentLive(b *testing.B) {
 	for _, live := range []int{1_000, 2_500, 5_000} {
 		b.Run(fmt.Sprintf("live=%d", live), func(b *testing.B) {
@@ -212,51 +212,51 @@
 func liveHeap(b *testing.B, live int) float64 {
 	e := &pacedEngine{tokens: 2, gate: make(chan struct{})}
 	agent := startAgent(b, agentName, serviceName, e)
-	c := newCaller(b, agent)
-	before := heap()
+	c := newOfferClient(b, agent)
+	before := heapBytes()
 	for range live {
 		c.offer(b)
 	}
-	await(b, "not all requests have begun", func() bool { return c.chunks.Load() >= int64(live) })
-	held := heap() - before
+	waitFor(b, "not all requests have started", func() bool { return c.chunks.Load() >= int64(live) })
+	held := heapBytes() - before
 	close(e.gate)
 	agent.Stop()
 	return held
 }
 
-// BenchmarkCapacityAgentRequest reports the processor time of a request at an agent, the
-// caller's end of the link included, by the number of its tokens.
+// BenchmarkCapacityAgentRequest reports the CPU time of a request at an agent by the number of its
+// tokens, including the client's end of the link.
 func BenchmarkCapacityAgentRequest(b *testing.B) {
 	for _, tokens := range []int{1, 64, 512} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			agent := startAgent(b, agentName, serviceName, &pacedEngine{tokens: tokens})
-			c := newCaller(b, agent)
+			c := newOfferClient(b, agent)
 			b.ReportAllocs()
-			used := cpu()
+			used := cpuTime()
 			for b.Loop() {
-				done := c.end.Load()
-				for range inFlight {
+				endedBefore := c.ends.Load()
+				for range concurrentRequests {
 					c.offer(b)
 				}
-				await(b, "not all requests have ended", func() bool { return c.end.Load() >= done+inFlight })
+				waitFor(b, "not all requests have ended", func() bool { return c.ends.Load() >= endedBefore+concurrentRequests })
 			}
-			b.ReportMetric(float64((cpu()-used).Microseconds())/float64(b.N*inFlight), "cpu-us/request")
+			b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(b.N*concurrentRequests), "cpu-us/request")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// inFlight is the number of requests at once where processor time is measured.
-const inFlight = 64
+// concurrentRequests is the number of concurrent requests in measurements of CPU time.
+const concurrentRequests = 64
 
-// BenchmarkCapacityTelling reports what an agent sends to its group in a second when its
-// load changes all the time, without TCP's and IP's headers; it receives as much.
-func BenchmarkCapacityTelling(b *testing.B) {
+// BenchmarkCapacityLoadReports reports the messages and bytes per second that an agent sends to its
+// group while its load changes continuously, without TCP and IP headers. It receives as much.
+func BenchmarkCapacityLoadReports(b *testing.B) {
 	for _, size := range []int{4, 11, 44} {
 		b.Run(fmt.Sprintf("group=%d", size), func(b *testing.B) {
 			var messages, bytes float64
 			for b.Loop() {
-				messages, bytes = telling(b, size)
+				messages, bytes = loadReportTraffic(b, size)
 			}
 			b.ReportMetric(messages, "messages/s")
 			b.ReportMetric(bytes, "wire-B/s")
@@ -265,7 +265,7 @@
 	}
 }
 
-func telling(b *testing.B, size int) (messages, bytes float64) {
+func loadReportTraffic(b *testing.B, size int) (messages, bytes float64) {
 	const seconds = 300
 	random := rand.New(rand.NewPCG(1, 2))
 	group := load.NewGroup(agentName)
@@ -278,8 +278,8 @@
 	now := time.Unix(1_000, 0)
 	sent := 0
 	report := busyReport()
-	for range seconds * int(time.Second/tick) {
-		now = now.Add(tick)
+	for range seconds * int(time.Second/tickInterval) {
+		now = now.Add(tickInterval)
 		report.Load.QueuedPrompt[call.Short] = random.Int64N(1_000_000)
 		own := load.Report{Agent: agentName, Load: report.Load, TakenAt: now}
 		sent += len(group.Recipients(now, &own))
@@ -288,9 +288,9 @@
 	return float64(sent) / seconds, float64(sent*frame) / seconds
 }
 
-// BenchmarkCapacityReport reports the cost of reading an engine's report, which an agent
-// does once a second beside its engine, and which never leaves the VM.
-func BenchmarkCapacityReport(b *testing.B) {
+// BenchmarkCapacityEngineReport reports the cost of reading an engine's report, which an agent does
+// once a second over the loopback of its VM.
+func BenchmarkCapacityEngineReport(b *testing.B) {
 	for _, held := range []int{16, 64, 256} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
 			report := engine.Report{Model: modelName, Version: "1", CapacityTokens: 400_000}
@@ -299,16 +299,16 @@
 			}
 			body, err := json.Marshal(report)
 			require.NoError(b, err)
-			stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
-			b.Cleanup(stand.Close)
-			e := engine.NewHTTP(stand.URL)
+			standIn := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
+			b.Cleanup(standIn.Close)
+			e := engine.NewHTTP(standIn.URL)
 			b.ReportAllocs()
-			used := cpu()
+			used := cpuTime()
 			for b.Loop() {
 				_, err := e.Report(b.Context())
 				require.NoError(b, err)
 			}
-			b.ReportMetric(float64((cpu()-used).Microseconds())/float64(b.N), "cpu-us/read")
+			b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(b.N), "cpu-us/read")
 			b.ReportMetric(float64(len(body)), "loopback-B")
 		})
 	}
--- a/entry/capacity/control_test.go
+++ b/entry/capacity/control_test.go
@@ -21,17 +21,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// services returns the number of services that a fleet of agents is spread over: the
-// design's fleet has one for each of its models.
-func services(agents int) int { return max(1, agents*designModels/designAgents) }
+// serviceCount returns the number of services of a fleet of agents, in the design's proportion of
+// one service per model.
+func serviceCount(agents int) int { return max(1, agents*designModels/designAgents) }
 
-// vmsOf returns a list of VMs with that many agents, and entries in the design's proportion.
-func vmsOf(agents int) []vmlist.VM {
+// makeVMs returns a list of VMs with the given number of agents, and entries in the design's
+// proportion.
+func makeVMs(agents int) []vmlist.VM {
 	vms := make([]vmlist.VM, 0, 2*agents)
 	for i := range agents {
 		vms = append(vms, vmlist.VM{
 			ID: fmt.Sprintf("engine-%04d", i), Role: vmlist.RoleAgent, Zone: fmt.Sprintf("zone-%d", i%designZones),
-			Link: fmt.Sprintf("10.20.%d.%d:7070", i/250, i%250), Service: fmt.Sprintf("assistant-%02d", i%services(agents)),
+			Link: fmt.Sprintf("10.20.%d.%d:7070", i/250, i%250), Service: fmt.Sprintf("assistant-%02d", i%serviceCount(agents)),
 		})
 	}
 	for i := range agents * designEntries / designAgents {
@@ -43,7 +44,7 @@
 	return vms
 }
 
-// filledView returns a view that has heard of every agent's load and routed to each service.
+// filledView returns a view that has a load report of every agent.
 func filledView(vms []vmlist.VM) *fleet.View {
 	view := fleet.New("entry-0000", process.Policies("combined", 1), zerolog.Nop())
 	view.SetVMs(vms)
@@ -58,15 +59,15 @@
 	return view
 }
 
-// BenchmarkCapacityView reports the memory of an entry's view of the fleet, its routing
-// state included, and the time to take a newly read list of VMs.
+// BenchmarkCapacityView reports the memory of an entry's view of the fleet, including its routing
+// state, and the time to apply a newly read VM list.
 func BenchmarkCapacityView(b *testing.B) {
 	for _, agents := range []int{100, 400, 1200} {
 		b.Run(fmt.Sprintf("replicas=%d", agents), func(b *testing.B) {
-			vms := vmsOf(agents)
-			before := heap()
+			vms := makeVMs(agents)
+			before := heapBytes()
 			view := filledView(vms)
-			held := heap() - before
+			held := heapBytes() - before
 			b.ReportAllocs()
 			for b.Loop() {
 				view.SetVMs(vms)
@@ -77,17 +78,18 @@
 	}
 }
 
-// BenchmarkCapacityRoutingState reports the memory of the routing policy of one service.
+// BenchmarkCapacityRoutingState reports the memory of the routing policy of one service, and the
+// time of a routing decision.
 func BenchmarkCapacityRoutingState(b *testing.B) {
 	for _, replicas := range []int{11, 44, 176} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			all := replicasOf(replicas)
-			request := &routing.Request{Service: serviceName, Model: modelName, Demand: call.TokenDemand{PromptTokens: 8_000, MaxTokens: 1_024}, Zone: "zone-0", Prefix: offer(16).Prefix}
-			before := heap()
+			all := makeReplicas(replicas)
+			request := &routing.Request{Service: serviceName, Model: modelName, Demand: call.TokenDemand{PromptTokens: 8_000, MaxTokens: 1_024}, Zone: "zone-0", Prefix: sampleOffer(16).Prefix}
+			before := heapBytes()
 			policy := process.Policies("combined", 1)(serviceName)
 			now := time.Unix(1_000, 0)
 			policy.Choose(request, all, now)
-			held := heap() - before
+			held := heapBytes() - before
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
@@ -98,7 +100,7 @@
 	}
 }
 
-func replicasOf(n int) []routing.Replica {
+func makeReplicas(n int) []routing.Replica {
 	all := make([]routing.Replica, n)
 	for i := range all {
 		all[i] = routing.Replica{
@@ -109,8 +111,8 @@
 	return all
 }
 
-// members returns a membership view that has taken the list.
-func members(now time.Time, vms []vmlist.VM) *membership.View {
+// newMembership returns a membership view that has applied the VM list.
+func newMembership(now time.Time, vms []vmlist.VM) *membership.View {
 	view := membership.New(membership.DefaultConfig())
 	list := make([]membership.VM, 0, len(vms))
 	for _, vm := range vms {
@@ -120,33 +122,33 @@
 	return view
 }
 
-// BenchmarkCapacityMembershipTick reports the time of one of the ten ticks a second.
+// BenchmarkCapacityMembershipTick reports the time of one tick; there are ten ticks per second.
 func BenchmarkCapacityMembershipTick(b *testing.B) {
 	for _, agents := range []int{100, 400, 1200} {
 		b.Run(fmt.Sprintf("replicas=%d", agents), func(b *testing.B) {
 			now := time.Unix(1_000, 0)
-			view := members(now, vmsOf(agents))
+			view := newMembership(now, makeVMs(agents))
 			b.ReportAllocs()
 			for b.Loop() {
-				now = now.Add(tick)
+				now = now.Add(tickInterval)
 				view.Tick(now)
 			}
 		})
 	}
 }
 
-// tick is the time between two ticks of the state machines.
-const tick = 100 * time.Millisecond
+// tickInterval is the interval between the ticks of the state machines.
+const tickInterval = 100 * time.Millisecond
 
-// BenchmarkCapacityProbes reports the probes that one entry sends when VMs fail and the
-// list goes on showing them: in the first two seconds, and in steady state.
+// BenchmarkCapacityProbes reports the probes that one entry sends when VMs fail and the VM list
+// continues to contain them, in the first two seconds and in steady state.
 func BenchmarkCapacityProbes(b *testing.B) {
 	for _, failed := range []int{8, 80, 387} {
 		b.Run(fmt.Sprintf("failed=%d", failed), func(b *testing.B) {
-			vms := vmsOf(designAgents)
+			vms := makeVMs(designAgents)
 			first, later := 0, 0
 			for b.Loop() {
-				first, later = probes(vms, failed)
+				first, later = countProbes(vms, failed)
 			}
 			b.ReportMetric(float64(first)/2, "first-probes/s")
 			b.ReportMetric(float64(later)/60, "later-probes/s")
@@ -155,14 +157,14 @@
 	}
 }
 
-func probes(vms []vmlist.VM, failed int) (first, later int) {
+func countProbes(vms []vmlist.VM, failed int) (first, later int) {
 	now := time.Unix(1_000, 0)
-	view := members(now, vms)
+	view := newMembership(now, vms)
 	for _, vm := range vms[:failed] {
 		view.HandleTimeout(now, membership.ID(vm.ID), now)
 	}
 	for i := range 900 {
-		now = now.Add(tick)
+		now = now.Add(tickInterval)
 		for _, action := range view.Tick(now) {
 			probe, ok := action.(membership.Probe)
 			if !ok {
@@ -180,31 +182,31 @@
 	return first, later
 }
 
-// BenchmarkCapacityVMList reports the size of the list of VMs and the processor time of
-// one read of it over HTTP, the stand-in's part of writing a ready body included.
+// BenchmarkCapacityVMList reports the size of the VM list and the CPU time of one read of it over
+// HTTP, including the stand-in server's time to write a prepared body.
 func BenchmarkCapacityVMList(b *testing.B) {
 	for _, agents := range []int{100, 400, 1200} {
 		b.Run(fmt.Sprintf("vms=%d", agents+agents*designEntries/designAgents), func(b *testing.B) {
-			body, err := json.Marshal(vmsOf(agents))
+			body, err := json.Marshal(makeVMs(agents))
 			require.NoError(b, err)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
 			b.Cleanup(server.Close)
 			lister := vmlist.NewHTTP(server.URL, httpjson.Options{})
 			b.ReportAllocs()
-			used := cpu()
+			used := cpuTime()
 			for b.Loop() {
 				_, err := lister.List(b.Context())
 				require.NoError(b, err)
 			}
-			b.ReportMetric(float64((cpu()-used).Microseconds())/float64(b.N), "cpu-us/read")
+			b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(b.N), "cpu-us/read")
 			b.ReportMetric(float64(len(body)), "wire-B")
 		})
 	}
 }
 
-// BenchmarkCapacityMembersOfSpread reports the time to hand the live entries to the spread
-// of documents, which happens once a second.
-func BenchmarkCapacityMembersOfSpread(b *testing.B) {
+// BenchmarkCapacitySpreadMembers reports the time to update the members of the spread of documents
+// with the live entries, which happens once a second.
+func BenchmarkCapacitySpreadMembers(b *testing.B) {
 	for _, entries := range []int{64, 350, 1550} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			all := spreadMembers(entries)
--- a/entry/capacity/documents_test.go
+++ b/entry/capacity/documents_test.go
@@ -16,16 +16,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// organisationCounts are the sizes at which documents are measured.
+// organisationCounts are the document sizes that are measured.
 var organisationCounts = []int{1_000, 10_000, 35_000}
 
-// BenchmarkCapacityDocuments reports the memory of a snapshot and the time of a lookup.
+// BenchmarkCapacityDocuments reports the memory of a snapshot and the time of a key lookup.
 func BenchmarkCapacityDocuments(b *testing.B) {
 	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			before := heap()
-			snapshot := document.Compile(1, []*document.Service{assistant(n)})
-			held := heap() - before
+			before := heapBytes()
+			snapshot := document.Compile(1, []*document.Service{assistantDocument(n)})
+			held := heapBytes() - before
 			hash := document.HashKey(fmt.Sprint(n / 2))
 			b.ReportAllocs()
 			for b.Loop() {
@@ -39,65 +39,65 @@
 	}
 }
 
-// BenchmarkCapacitySwap reports the time to build and swap the snapshot after a change of
-// one organisation and after a whole load, and the lookups' latency meanwhile.
-func BenchmarkCapacitySwap(b *testing.B) {
+// BenchmarkCapacitySnapshotSwap reports the time to build and swap a snapshot, after a change of one
+// organisation and after a full load, and the latency of lookups meanwhile.
+func BenchmarkCapacitySnapshotSwap(b *testing.B) {
 	for _, n := range organisationCounts {
-		service := assistant(n)
+		service := assistantDocument(n)
 		edited := service.Organisations[n/2]
 		edited.Limits.Concurrency++
 		update := document.Update{Service: serviceName, Put: []document.Organisation{edited}}
 		first := document.Compile(1, []*document.Service{service})
 		b.Run(fmt.Sprintf("change/organisations=%d", n), func(b *testing.B) {
-			swaps(b, first, func() *document.Snapshot {
+			measureSwaps(b, first, func() *document.Snapshot {
 				next, err := first.Apply(2, []document.Update{update})
 				require.NoError(b, err)
 				return next
 			})
 		})
 		b.Run(fmt.Sprintf("load/organisations=%d", n), func(b *testing.B) {
-			swaps(b, first, func() *document.Snapshot { return document.Compile(2, []*document.Service{service}) })
+			measureSwaps(b, first, func() *document.Snapshot { return document.Compile(2, []*document.Service{service}) })
 		})
 	}
 }
 
-// swaps looks a key up all the time while snapshots are built and swapped.
-func swaps(b *testing.B, first *document.Snapshot, build func() *document.Snapshot) {
+// measureSwaps measures lookups of a key while snapshots are built and swapped.
+func measureSwaps(b *testing.B, first *document.Snapshot, build func() *document.Snapshot) {
 	var current atomic.Pointer[document.Snapshot]
 	current.Store(first)
-	stop, took := make(chan struct{}), make(chan []time.Duration)
-	go lookups(&current, stop, took)
+	stop, latencies := make(chan struct{}), make(chan []time.Duration)
+	go sampleLookups(&current, stop, latencies)
 	for b.Loop() {
 		current.Store(build())
 	}
 	close(stop)
-	all := <-took
+	all := <-latencies
 	slices.Sort(all)
 	b.ReportMetric(float64(all[len(all)*999/1000]), "lookup-p999-ns")
 	b.ReportMetric(float64(all[len(all)-1]), "lookup-max-ns")
 }
 
-func lookups(current *atomic.Pointer[document.Snapshot], stop <-chan struct{}, took chan<- []time.Duration) {
-	const most = 1 << 20
+func sampleLookups(current *atomic.Pointer[document.Snapshot], stop <-chan struct{}, latencies chan<- []time.Duration) {
+	const maxSamples = 1 << 20
 	hash := document.HashKey("500")
-	all := make([]time.Duration, 0, most)
+	all := make([]time.Duration, 0, maxSamples)
 	for {
 		select {
 		case <-stop:
-			took <- all
+			latencies <- all
 			return
 		default:
 		}
-		begun := time.Now()
+		start := time.Now()
 		found := current.Load().Principal(hash)
-		spent := time.Since(begun)
-		if found != nil && len(all) < most {
-			all = append(all, spent)
+		elapsed := time.Since(start)
+		if found != nil && len(all) < maxSamples {
+			all = append(all, elapsed)
 		}
 	}
 }
 
-// countingTable counts what a platform would be asked.
+// countingTable counts the operations on the platform's table.
 type countingTable struct {
 	table.Store
 	gets, scans, rows, commits, writes atomic.Int64
@@ -121,7 +121,7 @@
 	return c.Store.Commit(ctx, tx)
 }
 
-// reset forgets what was counted.
+// reset sets all counters to 0.
 func (c *countingTable) reset() {
 	for _, counter := range []*atomic.Int64{&c.gets, &c.scans, &c.rows, &c.commits, &c.writes} {
 		counter.Store(0)
@@ -137,24 +137,24 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkCapacityTable reports what the table is asked by a start, by the first change
-// that an entry writes, by the next one, and by a poll that finds nothing new.
+// BenchmarkCapacityTable reports the table operations of a start, of the first change that an entry
+// writes, of the next one, and of a poll without changes.
 func BenchmarkCapacityTable(b *testing.B) {
 	for _, n := range organisationCounts {
 		p := platform.New(1)
 		counting := &countingTable{Store: p.Table}
 		newStore := func() *documents.Store {
 			return documents.New(documents.Config{
-				Table: counting, Objects: p.Objects, Token: documents.NewToken, Now: time.Now, CallTimeout: settle,
+				Table: counting, Objects: p.Objects, Token: documents.NewToken, Now: time.Now, CallTimeout: waitTimeout,
 			})
 		}
-		service := assistant(n)
+		service := assistantDocument(n)
 		put := func(store *documents.Store) {
 			copied := *service
 			copied.Organisations = slices.Clone(service.Organisations)
 			copied.Organisations[n/2].Limits.Concurrency++
 			service = &copied
-			ctx, cancel := context.WithTimeout(b.Context(), settle)
+			ctx, cancel := context.WithTimeout(b.Context(), waitTimeout)
 			defer cancel()
 			_, conflict, err := store.Put(ctx, service, documents.IfAny)
 			require.NoError(b, err)
@@ -164,7 +164,7 @@
 		var warm *documents.Store
 		for _, c := range []struct {
 			name string
-			ask  func()
+			run  func()
 		}{
 			{"start", func() { _, err := newStore().Start(b.Context()); require.NoError(b, err) }},
 			{"first-put", func() { warm = newStore(); put(warm) }},
@@ -172,7 +172,7 @@
 			{"poll", func() { _, err := warm.Changes(b.Context(), document.Revision(3)); require.NoError(b, err) }},
 		} {
 			counting.reset()
-			c.ask()
+			c.run()
 			b.Run(fmt.Sprintf("%s/organisations=%d", c.name, n), counting.report)
 		}
 	}
--- a/entry/capacity/entry_test.go
+++ b/entry/capacity/entry_test.go
@@ -22,17 +22,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bearerKey is the key of the one organisation that calls.
+// bearerKey is the key of the only organisation that sends requests.
 const bearerKey = "capacity-key"
 
-// startEntry runs an entry before the given agents.
+// startEntry starts an entry that routes to the given agents.
 func startEntry(t testing.TB, agents ...vmlist.VM) *process.Entry {
 	p := platform.New(1)
 	store := documents.New(documents.Config{Table: p.Table, Objects: p.Objects, Token: documents.NewToken, Now: time.Now})
-	service := assistant(1)
+	service := assistantDocument(1)
 	service.Organisations[0].KeyHashes = []string{document.HashKey(bearerKey).String()}
 	service.Organisations[0].Limits = document.Limits{}
-	ctx, cancel := context.WithTimeout(t.Context(), settle)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	_, _, err := store.Put(ctx, service, documents.IfAbsent)
 	require.NoError(t, err)
@@ -44,13 +44,14 @@
 	})
 	require.NoError(t, err)
 	t.Cleanup(entry.Stop)
-	await(t, "the entry did not become ready", entry.Front.Ready)
+	waitFor(t, "the entry did not become ready", entry.Front.Ready)
 	entry.View.SetVMs(agents)
 	return entry
 }
 
-// assistant is a model service that the given number of organisations may call.
-func assistant(organisations int) *document.Service {
+// assistantDocument returns the document of a model service that the given number of organisations
+// may call.
+func assistantDocument(organisations int) *document.Service {
 	service := &document.Service{
 		Name: serviceName, Kind: document.KindModel, Objective: document.TimeToFirstToken,
 		Models: []document.Model{{Name: modelName, Version: "1", Replicas: 44, ContextTokens: 1_100_000, EngineTokens: 400_000}},
@@ -70,8 +71,8 @@
 	return vmlist.VM{ID: agentName, Role: vmlist.RoleAgent, Zone: "zone-a", Link: addr, Service: serviceName}
 }
 
-// firstTokenOnly answers each offer with its first token and keeps nothing of it, so that
-// only the entry's memory of an open stream is seen.
+// firstTokenOnly accepts each offer, sends its first token and keeps no state, so that only the
+// entry's memory of an open stream is measured.
 func firstTokenOnly(c *link.Conn, message link.Message) {
 	o, ok := message.(*link.Offer)
 	if !ok {
@@ -82,22 +83,21 @@
 	_ = c.Send(&link.Chunk{ID: o.ID, Attempt: o.Attempt, Seq: 1, Tokens: 1, Data: []byte("token ")})
 }
 
-// chat is a caller's HTTP request with a prompt of the given bytes.
-func chat(bytes int) string {
+// chatRequest returns an HTTP chat request with a prompt of the given number of bytes.
+func chatRequest(bytes int) string {
 	body := `{"model":"` + modelName + `","stream":true,"messages":[{"role":"user","content":"` + strings.Repeat("x", bytes) + `"}]}`
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
 		bearerKey, len(body), body)
 }
 
-// BenchmarkCapacityOpenStreams reports an entry's memory of an open stream, its HTTP
-// connection included, by the number of streams and by the bytes of the prompt. The
-// caller's end of each connection is in it too.
+// BenchmarkCapacityOpenStreams reports an entry's memory per open stream, including both ends of its
+// HTTP connection, by the number of streams and by the length of the prompt in bytes.
 func BenchmarkCapacityOpenStreams(b *testing.B) {
 	for _, c := range []struct{ streams, prompt int }{
 		{100, promptBytes}, {200, promptBytes}, {1_000, promptBytes}, {200, 16 * promptBytes}, {200, 64 * promptBytes},
 	} {
 		b.Run(fmt.Sprintf("streams=%d/prompt=%d", c.streams, c.prompt), func(b *testing.B) {
-			agent := startNode(b, agentName, handler{message: firstTokenOnly})
+			agent := startNode(b, agentName, handler{onMessage: firstTokenOnly})
 			entry := startEntry(b, agentVM(agent.Addr()))
 			held := 0.0
 			for b.Loop() {
@@ -110,9 +110,9 @@
 }
 
 func streamHeap(b *testing.B, entry *process.Entry, streams, prompt int) float64 {
-	request := []byte(chat(prompt))
+	request := []byte(chatRequest(prompt))
 	conns := make([]net.Conn, streams)
-	before := heap()
+	before := heapBytes()
 	for i := range conns {
 		conn, err := net.Dial("tcp", entry.Addr())
 		require.NoError(b, err)
@@ -125,42 +125,42 @@
 		_, err := io.ReadFull(conn, answer)
 		require.NoError(b, err)
 	}
-	held := heap() - before
+	held := heapBytes() - before
 	for _, conn := range conns {
 		conn.Close()
 	}
 	return held
 }
 
-// tokenStep is the design's time between two tokens.
+// tokenStep is the time between two tokens in the design.
 const tokenStep = 39 * time.Millisecond
 
-// BenchmarkCapacityRelay reports the processor time of streams whose tokens come one every
-// 39 ms: entry, agent and the callers' HTTP clients together, since all are in one process.
+// BenchmarkCapacityRelay reports the CPU time of streams with one token every 39 ms: that of the
+// entry, the agent and the callers' HTTP clients together, since all run in one process.
 func BenchmarkCapacityRelay(b *testing.B) {
 	for _, streams := range []int{50, 100, 200} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
 			const tokens = 50
 			agent := startAgent(b, agentName, serviceName, &pacedEngine{tokens: tokens, step: tokenStep})
 			entry := startEntry(b, agentVM(agent.Addr()))
-			rounds, used, begun := 0, cpu(), time.Now()
+			rounds, used, start := 0, cpuTime(), time.Now()
 			for b.Loop() {
 				rounds++
-				relayed(b, entry, streams)
+				relayAll(b, entry, streams)
 			}
-			spent, took := cpu()-used, time.Since(begun)
-			b.ReportMetric(float64(spent.Microseconds())/float64(rounds*streams*tokens), "cpu-us/token")
-			b.ReportMetric(100*spent.Seconds()/took.Seconds(), "cpu-%core")
+			usedTime, elapsed := cpuTime()-used, time.Since(start)
+			b.ReportMetric(float64(usedTime.Microseconds())/float64(rounds*streams*tokens), "cpu-us/token")
+			b.ReportMetric(100*usedTime.Seconds()/elapsed.Seconds(), "cpu-%core")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// relayed sends requests and reads their answers to the end.
-func relayed(b *testing.B, entry *process.Entry, streams int) {
+// relayAll sends requests concurrently and reads their responses to the end.
+func relayAll(b *testing.B, entry *process.Entry, streams int) {
 	var wait sync.WaitGroup
 	var failed atomic.Int64
-	body := chat(promptBytes)
+	body := chatRequest(promptBytes)
 	body = body[strings.Index(body, "{"):]
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: streams}}
 	defer client.CloseIdleConnections()
@@ -193,19 +193,19 @@
 	return err
 }
 
-// BenchmarkCapacityRequest reports the processor time of a request by the number of its
-// tokens, which come at once; entry, agent and the callers' HTTP clients together.
+// BenchmarkCapacityRequest reports the CPU time of a request by the number of its tokens, which are
+// generated at once: that of the entry, the agent and the callers' HTTP clients together.
 func BenchmarkCapacityRequest(b *testing.B) {
 	for _, tokens := range []int{1, 64, 512} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			agent := startAgent(b, agentName, serviceName, &pacedEngine{tokens: tokens})
 			entry := startEntry(b, agentVM(agent.Addr()))
-			rounds, used := 0, cpu()
+			rounds, used := 0, cpuTime()
 			for b.Loop() {
 				rounds++
-				relayed(b, entry, inFlight)
+				relayAll(b, entry, concurrentRequests)
 			}
-			b.ReportMetric(float64((cpu()-used).Microseconds())/float64(rounds*inFlight), "cpu-us/request")
+			b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(rounds*concurrentRequests), "cpu-us/request")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/entry/capacity/measure_test.go
+++ b/entry/capacity/measure_test.go
@@ -1,6 +1,6 @@
-// Package capacity measures the slopes behind docs/CAPACITY.md: what one request, link,
-// replica, organisation or change costs in processor time, memory and bytes. Everything
-// runs in one process, over loopback or on decisions without any I/O.
+// Package capacity measures the unit costs in docs/CAPACITY.md: the CPU time, memory and bytes of one
+// request, link, replica, organisation or change. Everything runs in one process, over loopback or
+// without any I/O.
 package capacity
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The design size that the slopes are applied to.
+// The design size to which the unit costs are applied. designRequests is in requests per second.
 const (
 	designEntries  = 350
 	designAgents   = 1200
@@ -26,42 +26,42 @@
 	designRequests = 4300.0
 )
 
-// settle bounds every wait for something to happen; none of them is measured.
-const settle = 30 * time.Second
+// waitTimeout bounds every wait for a condition. Its value does not affect results.
+const waitTimeout = 30 * time.Second
 
-// pollEvery is the time between two looks at something awaited.
-const pollEvery = time.Millisecond
+// pollInterval is the interval between checks of an awaited condition.
+const pollInterval = time.Millisecond
 
-func await(t testing.TB, what string, done func() bool) {
+func waitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(settle); !done(); time.Sleep(pollEvery) {
+	for deadline := time.Now().Add(waitTimeout); !done(); time.Sleep(pollInterval) {
 		require.True(t, time.Now().Before(deadline), what)
 	}
 }
 
-// heap returns the bytes of live objects and of goroutines' stacks.
-func heap() float64 {
+// heapBytes returns the bytes of live heap objects and of goroutine stacks.
+func heapBytes() float64 {
 	var stats runtime.MemStats
-	// Twice: what a finalizer or a pool let go of at the first is free after the second.
+	// The second collection frees what finalizers and pools released during the first.
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// cpu returns the processor time that this process has used.
-func cpu() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
-	// Getrusage of the process itself never fails.
+	// Getrusage of the calling process never fails.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// frameHeaderBytes is the length and the type before each payload of a link.
+// frameHeaderBytes is the size of the length and type fields before each payload on a link.
 const frameHeaderBytes = 5
 
-// frameBytes is the size of a message on a link, its header included, for all messages
-// but Chunk and Ack, which links encode in a form of their own.
+// frameBytes returns the size of a message on a link, including its header. It doesn't apply to Chunk
+// and Ack, for which links use another encoding.
 func frameBytes(t testing.TB, message link.Message) int {
 	var counter byteCounter
 	encoder := msgpack.NewEncoder(&counter)
@@ -81,8 +81,8 @@
 // countingPipe forwards connections to an address and counts their bytes.
 type countingPipe struct {
 	listener net.Listener
-	// out counts the bytes from the dialler, back those to it.
-	out, back atomic.Int64
+	// bytesToTarget counts the bytes from the dialler, bytesFromTarget those to it.
+	bytesToTarget, bytesFromTarget atomic.Int64
 }
 
 func newCountingPipe(t testing.TB, to string) *countingPipe {
@@ -105,14 +105,15 @@
 			from.Close()
 			return
 		}
-		go forward(onward, from, &p.out)
-		go forward(from, onward, &p.back)
+		go forward(onward, from, &p.bytesToTarget)
+		go forward(from, onward, &p.bytesFromTarget)
 	}
 }
 
 func (p *countingPipe) addr() string { return p.listener.Addr().String() }
 
-// forward counts before it writes, so that what has arrived has been counted.
+// forward copies bytes and counts them before it writes them, so that all bytes that have arrived are
+// counted.
 func forward(to, from net.Conn, count *atomic.Int64) {
 	defer to.Close()
 	defer from.Close()
@@ -129,16 +130,16 @@
 	return w.Writer.Write(p)
 }
 
-// handler takes what a link node hears.
+// handler passes the messages that a link node receives to onMessage.
 type handler struct {
-	message func(c *link.Conn, message link.Message)
+	onMessage func(c *link.Conn, message link.Message)
 }
 
 func (handler) OnOpen(*link.Conn)         {}
 func (handler) OnClose(*link.Conn, error) {}
 func (h handler) OnMessage(c *link.Conn, message link.Message) {
-	if h.message != nil {
-		h.message(c, message)
+	if h.onMessage != nil {
+		h.onMessage(c, message)
 	}
 }
 
--- a/entry/capacity/platform_test.go
+++ b/entry/capacity/platform_test.go
@@ -10,14 +10,14 @@
 	"acaciacleat.example/core/lease"
 )
 
-// leasing is processes that contend for one lease whose row is in a table that works.
-type leasing struct {
+// leaseSimulation simulates processes that contend for one lease, with a table without faults.
+type leaseSimulation struct {
 	row           lease.Row
 	reads, writes int
 }
 
-// act carries out what a machine wants next and returns when it wants to be asked again.
-func (l *leasing) act(m *lease.Machine, now time.Duration) time.Duration {
+// runMachine performs a machine's actions until it waits, and returns when to run it again.
+func (l *leaseSimulation) runMachine(m *lease.Machine, now time.Duration) time.Duration {
 	reading := lease.Reading{Mono: now, Wall: now}
 	for {
 		switch action := m.Next(reading); action.Kind {
@@ -32,23 +32,23 @@
 	}
 }
 
-func (l *leasing) write(m *lease.Machine, now lease.Reading, order lease.ConditionalWrite) {
+func (l *leaseSimulation) write(m *lease.Machine, now lease.Reading, write lease.ConditionalWrite) {
 	l.writes++
-	if order.IfVersion != l.row.Version {
+	if write.IfVersion != l.row.Version {
 		m.HandleWrite(now, lease.Conflict, 0)
 		return
 	}
-	l.row = lease.Row{Version: l.row.Version + 1, Token: order.Token, Record: order.Record}
+	l.row = lease.Row{Version: l.row.Version + 1, Token: write.Token, Record: write.Record}
 	m.HandleWrite(now, lease.Applied, l.row.Version)
 }
 
-// BenchmarkCapacityLease reports the reads and writes that one lease costs the table a
-// second, by the number of processes that contend for it.
+// BenchmarkCapacityLease reports the table reads and writes per second for one lease, by the number of
+// processes that contend for it.
 func BenchmarkCapacityLease(b *testing.B) {
 	for _, processes := range []int{2, 8, 350} {
 		b.Run(fmt.Sprintf("processes=%d", processes), func(b *testing.B) {
 			const seconds = 300
-			l := leaseFor(processes, seconds*time.Second)
+			l := simulateLease(processes, seconds*time.Second)
 			b.ReportMetric(float64(l.reads)/seconds, "table-reads/s")
 			b.ReportMetric(float64(l.writes)/seconds, "table-writes/s")
 			b.ReportMetric(0, "ns/op")
@@ -56,8 +56,8 @@
 	}
 }
 
-func leaseFor(processes int, length time.Duration) *leasing {
-	l := &leasing{}
+func simulateLease(processes int, length time.Duration) *leaseSimulation {
+	l := &leaseSimulation{}
 	machines := make([]*lease.Machine, processes)
 	for i := range machines {
 		machines[i] = lease.New(fmt.Sprintf("entry-%04d", i), lease.DefaultSettings)
@@ -66,21 +66,21 @@
 	for now := time.Duration(0); now < length; now += 10 * time.Millisecond {
 		for i, m := range machines {
 			if wake[i] <= now {
-				wake[i] = l.act(m, now)
+				wake[i] = l.runMachine(m, now)
 			}
 		}
 	}
 	return l
 }
 
-// BenchmarkCapacityKeyed reports the table's work and the row's bytes for keyed calls that
-// meet no fault. A sweep deletes each row a day later.
+// BenchmarkCapacityKeyed reports the table operations and the row size of keyed calls without faults.
+// A sweep deletes each row a day later.
 func BenchmarkCapacityKeyed(b *testing.B) {
 	for _, calls := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprintf("calls=%d", calls), func(b *testing.B) {
 			writes, reads, bytes := 0, 0, 0
 			for i := range calls {
-				w, r, n := claim(uint64(i))
+				w, r, n := claimCost(uint64(i))
 				writes, reads, bytes = writes+w, reads+r, bytes+n
 			}
 			b.ReportMetric(float64(writes)/float64(calls), "writes/call")
@@ -91,7 +91,7 @@
 	}
 }
 
-func claim(i uint64) (writes, reads, bytes int) {
+func claimCost(i uint64) (writes, reads, bytes int) {
 	now := time.Unix(1_000, 0)
 	c := idempotency.NewClaim(idempotency.ClaimSpec{
 		ID: call.ID{byte(i), byte(i >> 8)}, Token: "0123456789abcdef0123456789abcdef", Deadline: now.Add(time.Minute),
--- a/entry/capacity/wire_test.go
+++ b/entry/capacity/wire_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Names as long as operators choose them.
+// Names of realistic length.
 const (
 	agentName        = "engine-1234"
 	modelName        = "assistant-1"
@@ -24,7 +24,7 @@
 
 var wireID = call.ID{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
 
-// busyLoad is the digest of an agent with work of several classes in hand.
+// busyLoad returns the load of an agent with queued and running requests of several classes.
 func busyLoad() routing.Load {
 	return routing.Load{
 		QueuedPrompt:   [call.NumClasses]int64{6_000, 90_000, 0, 0},
@@ -44,8 +44,9 @@
 	}
 }
 
-// offer is an offer of a chat without its body; digests grow with the prompt.
-func offer(digests int) *link.Offer {
+// sampleOffer returns an offer of a chat without its body. The number of prefix digests grows with the
+// length of the prompt.
+func sampleOffer(digests int) *link.Offer {
 	prefix := make([]uint64, digests)
 	for i := range prefix {
 		prefix[i] = 1<<63 + uint64(i)
@@ -58,13 +59,13 @@
 	}
 }
 
-// messages are those of a request and of control, as an ordinary day has them.
-func messages() map[string]link.Message {
+// sampleMessages returns typical request and control messages by name.
+func sampleMessages() map[string]link.Message {
 	reports := []link.LoadReport{busyReport(), busyReport(), busyReport()}
 	return map[string]link.Message{
-		"offer-1k":     offer(2),
-		"offer-8k":     offer(16),
-		"offer-1M":     offer(64),
+		"offer-1k":     sampleOffer(2),
+		"offer-8k":     sampleOffer(16),
+		"offer-1M":     sampleOffer(64),
 		"accepted":     &link.Accepted{ID: wireID, Attempt: 1, Queued: 5, Load: busyReport()},
 		"refused":      &link.Refused{ID: wireID, Attempt: 1, Code: result.QueueFull, Execution: result.NotRun, Better: agentName, Stamp: 1 << 50, Load: busyReport()},
 		"end":          &link.End{ID: wireID, Attempt: 1, Seq: 373, Execution: result.Ran, FinishReason: "stop", PromptTokens: 8_000, CachedTokens: 4_000, CompletionTokens: 372, QueueMs: 12.5, FirstMs: 210.5, Load: busyReport()},
@@ -80,40 +81,40 @@
 	}
 }
 
-// pair is a link whose bytes are counted.
-type pair struct {
-	pipe *countingPipe
-	conn *link.Conn
-	got  atomic.Int64
-	// opened is what the opening of the link cost in both directions.
-	opened int64
+// countedLink is a link whose bytes and received messages are counted.
+type countedLink struct {
+	pipe     *countingPipe
+	conn     *link.Conn
+	received atomic.Int64
+	// openingBytes is the number of bytes that opening the link took, in both directions.
+	openingBytes int64
 }
 
-func newPair(t testing.TB) *pair {
-	p := &pair{}
-	count := func(*link.Conn, link.Message) { p.got.Add(1) }
-	far := startNode(t, agentName, handler{message: count})
+func newCountedLink(t testing.TB) *countedLink {
+	p := &countedLink{}
+	count := func(*link.Conn, link.Message) { p.received.Add(1) }
+	far := startNode(t, agentName, handler{onMessage: count})
 	near := startNode(t, "entry-123", handler{})
 	p.pipe = newCountingPipe(t, far.Addr())
 	conn, err := near.Dial(t.Context(), agentName, p.pipe.addr())
 	require.NoError(t, err)
 	p.conn = conn
-	p.opened = p.pipe.out.Load() + p.pipe.back.Load()
+	p.openingBytes = p.pipe.bytesToTarget.Load() + p.pipe.bytesFromTarget.Load()
 	return p
 }
 
-// send returns the bytes that a message took on the link.
-func (p *pair) send(t testing.TB, message link.Message) int64 {
-	before, got := p.pipe.out.Load(), p.got.Load()
+// send sends a message and returns its size on the link in bytes.
+func (p *countedLink) send(t testing.TB, message link.Message) int64 {
+	before, got := p.pipe.bytesToTarget.Load(), p.received.Load()
 	require.NoError(t, p.conn.Send(message))
-	await(t, "the message did not arrive", func() bool { return p.got.Load() > got })
-	return p.pipe.out.Load() - before
+	waitFor(t, "the message did not arrive", func() bool { return p.received.Load() > got })
+	return p.pipe.bytesToTarget.Load() - before
 }
 
-// TestFrameBytesAreThoseOfALink checks the sizes that the other measurements use.
+// Verifies frameBytes, which the other measurements use, against the bytes on a real link.
 func TestFrameBytesAreThoseOfALink(t *testing.T) {
-	p := newPair(t)
-	for name, message := range messages() {
+	p := newCountedLink(t)
+	for name, message := range sampleMessages() {
 		if name == "chunk" || name == "ack" {
 			continue
 		}
@@ -121,25 +122,25 @@
 	}
 }
 
-// BenchmarkCapacityWire reports the bytes of each message on a link, and of the opening of
-// a link, both ways and without TCP's and IP's headers.
+// BenchmarkCapacityWire reports the size of each message on a link, and the bytes that opening a link
+// takes in both directions, without TCP and IP headers.
 func BenchmarkCapacityWire(b *testing.B) {
-	p := newPair(b)
-	all := messages()
+	p := newCountedLink(b)
+	all := sampleMessages()
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		b.Run(name, func(b *testing.B) { reportSize(b, p.send(b, all[name])) })
 	}
-	b.Run("open", func(b *testing.B) { reportSize(b, p.opened) })
+	b.Run("open", func(b *testing.B) { reportSize(b, p.openingBytes) })
 }
 
-// reportSize reports a size alone: the time of one measurement means nothing.
+// reportSize reports a size and hides the time, which is meaningless for a single measurement.
 func reportSize(b *testing.B, size int64) {
 	b.ReportMetric(float64(size), "wire-B")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkCapacityLinks reports what it costs to open links and to keep them: the time
-// of a dial, the memory of one end of a link, and a look at all links, as each tick has.
+// BenchmarkCapacityLinks reports the cost of opening and keeping links: the CPU time of a dial, the
+// memory of one end of a link, and the time of an iteration over all links, which each tick does.
 func BenchmarkCapacityLinks(b *testing.B) {
 	for _, links := range []int{25, 50, 100} {
 		b.Run(fmt.Sprintf("links=%d", links), func(b *testing.B) {
@@ -148,17 +149,17 @@
 			for i := range peers {
 				peers[i] = startNode(b, fmt.Sprintf("engine-%04d", i), handler{})
 			}
-			before, used := heap(), cpu()
+			before, used := heapBytes(), cpuTime()
 			for i, peer := range peers {
 				_, err := near.Dial(b.Context(), fmt.Sprintf("engine-%04d", i), peer.Addr())
 				require.NoError(b, err)
 			}
-			dialled := cpu() - used
-			held := heap() - before
+			dialTime := cpuTime() - used
+			held := heapBytes() - before
 			for b.Loop() {
 				near.Each(func(*link.Conn) {})
 			}
-			b.ReportMetric(float64(dialled.Microseconds())/float64(links), "cpu-us/dial")
+			b.ReportMetric(float64(dialTime.Microseconds())/float64(links), "cpu-us/dial")
 			b.ReportMetric(held/float64(2*links), "heap-B/link")
 		})
 	}
