--- a/entry/sweep/sweep.go
+++ b/entry/sweep/sweep.go
@@ -1,8 +1,8 @@
-// Package sweep deletes the rows of keyed calls whose time is over. Which entry sweeps a
-// service, and which rows may go, is decided by core/idempotency; this is its shell.
+// Package sweep deletes expired rows of keyed calls from the table. It performs the I/O;
+// core/idempotency decides which entry sweeps a service and which rows may be deleted.
 //
-// What goes wrong without it: each keyed call leaves a row for good, the table grows
-// without bound, and a key stays taken long after the day for which it is promised.
+// Without sweeps, each keyed call would leave a row forever: the table would grow without bound, and a
+// key would stay in use long after the guaranteed day.
 package sweep
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/rs/zerolog"
 )
 
-// The bounds of a sweep. Ten pages a second are 5,000 rows: an interval is enough for the
-// rows that 50 keyed calls a second leave in a day, at a two-hundredth of the 2,000 reads
-// a second that the table serves. Where there are more rows a sweep takes longer than its
-// interval and rows go later, which does no harm.
+// The bounds of a sweep. At ten pages (5,000 rows) per second, one sweep interval is enough for the
+// rows that 50 keyed calls per second leave in a day, and uses 1/200 of the 2,000 reads per second
+// that the table serves. With more rows, a sweep takes longer than its interval and rows are deleted
+// later, which is harmless.
 const (
 	pageRows  = 500
 	pagePause = 100 * time.Millisecond
@@ -30,27 +30,27 @@
 
 // Config configures a Sweeper.
 type Config struct {
-	// Self is this entry's VM.
+	// Self is the VM of this entry.
 	Self  string
 	Store table.Store
-	// Services returns the names of all services, Entries the VMs of the live entries,
-	// this one included.
+	// Services returns the names of all services. Entries returns the VMs of the live entries,
+	// including this one.
 	Services func() []string
 	Entries  func() []string
-	// Token makes client tokens, each of them once.
+	// Token returns a new unique client token for a transaction.
 	Token func() string
 	Log   zerolog.Logger
 }
 
-// Sweeper deletes old rows for as long as Run runs.
+// Sweeper deletes expired rows for as long as Run runs.
 type Sweeper struct{ config Config }
 
 // New returns a Sweeper.
 func New(config Config) *Sweeper { return &Sweeper{config: config} }
 
-// Run sweeps once in each idempotency.SweepInterval until ctx ends.
+// Run sweeps once per idempotency.SweepInterval until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) {
-	for pause(ctx, idempotency.SweepInterval) {
+	for sleep(ctx, idempotency.SweepInterval) {
 		s.sweepAll(ctx)
 	}
 }
@@ -73,8 +73,8 @@
 	}
 }
 
-// sweep reads a service's rows page by page and returns how many it deleted. A page may
-// come from a replica that lags: a row is deleted on condition of its version only.
+// sweep reads the rows of a service page by page and returns how many it deleted. A page may come from
+// a stale replica, so that each delete is conditional on the row's version.
 func (s *Sweeper) sweep(ctx context.Context, service string) (deleted int, err error) {
 	after := ""
 	for {
@@ -83,12 +83,12 @@
 			return deleted, err
 		}
 		after = rows[len(rows)-1].Key.Row
-		n, err := s.deleteAll(ctx, sweepable(rows, time.Now()))
+		n, err := s.deleteAll(ctx, sweepableRows(rows, time.Now()))
 		deleted += n
 		if err != nil {
 			return deleted, err
 		}
-		if !pause(ctx, pagePause) {
+		if !sleep(ctx, pagePause) {
 			return deleted, ctx.Err()
 		}
 	}
@@ -100,20 +100,20 @@
 	return s.config.Store.Scan(ctx, idempotency.Table, service+"/", after, pageRows, table.Stale)
 }
 
-// sweepable returns the rows that may be deleted. A row that can't be read stays: it may
-// be of a newer version of the system, whose entries will sweep it.
-func sweepable(rows []table.Row, now time.Time) []table.Row {
-	var old []table.Row
+// sweepableRows returns the rows that may be deleted. It skips rows that can't be decoded: a newer
+// version of the system may have written them, whose entries will sweep them.
+func sweepableRows(rows []table.Row, now time.Time) []table.Row {
+	var expired []table.Row
 	for _, stored := range rows {
 		row, err := idempotency.DecodeRow(stored.Value)
 		if err == nil && idempotency.Sweepable(&row, now) {
-			old = append(old, stored)
+			expired = append(expired, stored)
 		}
 	}
-	return old
+	return expired
 }
 
-// deleteAll deletes rows in batches and returns how many went.
+// deleteAll deletes rows in batches and returns how many were deleted.
 func (s *Sweeper) deleteAll(ctx context.Context, rows []table.Row) (deleted int, err error) {
 	for len(rows) > 0 {
 		batch := rows[:min(batchRows, len(rows))]
@@ -127,8 +127,8 @@
 	return deleted, nil
 }
 
-// deleteBatch deletes rows in one transaction; when one of them has changed, which fails
-// them all, each in its own.
+// deleteBatch deletes rows in one transaction. If a row has changed, the whole transaction fails, and
+// deleteBatch deletes each row in its own transaction, skipping changed rows.
 func (s *Sweeper) deleteBatch(ctx context.Context, rows []table.Row) (deleted int, err error) {
 	err = s.delete(ctx, rows)
 	switch {
@@ -162,8 +162,8 @@
 	return err
 }
 
-// pause waits; false when ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d; false if ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/entry/sweep/sweep_test.go
+++ b/entry/sweep/sweep_test.go
@@ -19,14 +19,15 @@
 const (
 	service = "parts"
 	self    = "entry-00"
-	// overDue is when every row of a lifetime from now is gone at the latest.
-	overDue = idempotency.DefaultRowLifetime + idempotency.SweepMargin + 2*idempotency.SweepInterval
+	// sweptAfter is the time after which a row written now has been deleted.
+	sweptAfter = idempotency.DefaultRowLifetime + idempotency.SweepMargin + 2*idempotency.SweepInterval
 )
 
 func newTable() *platform.Table { return platform.NewTable(new(faults.Table)) }
 
-// claim writes a key's row as a claim does, now.
-func claim(t *testing.T, store table.Store, key string, version uint64) uint64 {
+// writeRow writes the row of a key as a claim does at the present time, on condition of the row's
+// version, and returns its new version.
+func writeRow(t *testing.T, store table.Store, key string, version uint64) uint64 {
 	t.Helper()
 	row := idempotency.Row{
 		ID:      call.ID{1},
@@ -44,15 +45,15 @@
 	return versions[0]
 }
 
-func rowsLeft(t *testing.T, store table.Store) int {
+func countRows(t *testing.T, store table.Store) int {
 	t.Helper()
 	rows, err := store.Scan(t.Context(), idempotency.Table, "", "", 10*pageRows, table.Latest)
 	require.NoError(t, err)
 	return len(rows)
 }
 
-// run starts a sweeper of the one service; stop must be called in the same bubble.
-func run(store table.Store, entries ...string) (stop func()) {
+// startSweeper starts a sweeper for the service; stop must be called in the same synctest bubble.
+func startSweeper(store table.Store, entries ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := New(Config{
 		Self:     self,
@@ -65,42 +66,41 @@
 	return cancel
 }
 
-// Symptom: the table of keys grows without bound.
-// Sequence: keyed calls are made, more than a page of them; their day passes.
-// Cause: nobody deletes the rows.
-func TestRowsAreDeletedAfterTheirTimeAndNotBefore(t *testing.T) {
+// More than a page of rows expire. They must be deleted, lest the table grow without bound, but not
+// before their lifetime and the sweep margin have passed.
+func TestRowsAreDeletedOnlyAfterTheirLifetime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newTable()
 		const rows = pageRows + batchRows + 1
 		for i := range rows {
-			claim(t, store, fmt.Sprint(i), 0)
+			writeRow(t, store, fmt.Sprint(i), 0)
 		}
-		defer run(store, self)()
+		defer startSweeper(store, self)()
 		time.Sleep(idempotency.DefaultRowLifetime + idempotency.SweepMargin)
 		synctest.Wait()
-		require.Equal(t, rows, rowsLeft(t, store))
-		time.Sleep(overDue - idempotency.DefaultRowLifetime - idempotency.SweepMargin)
+		require.Equal(t, rows, countRows(t, store))
+		time.Sleep(sweptAfter - idempotency.DefaultRowLifetime - idempotency.SweepMargin)
 		synctest.Wait()
-		require.Zero(t, rowsLeft(t, store))
+		require.Zero(t, countRows(t, store))
 	})
 }
 
-func TestOnlyTheChosenEntrySweeps(t *testing.T) {
+func TestOnlyTheAssignedEntrySweeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newTable()
-		claim(t, store, "key", 0)
+		writeRow(t, store, "key", 0)
 		other := "entry-01"
 		for i := 1; idempotency.Sweeper(service, []string{self, other}) == self; i++ {
 			other = fmt.Sprintf("entry-%02d", i)
 		}
-		defer run(store, self, other)()
-		time.Sleep(2 * overDue)
+		defer startSweeper(store, self, other)()
+		time.Sleep(2 * sweptAfter)
 		synctest.Wait()
-		require.Equal(t, 1, rowsLeft(t, store))
+		require.Equal(t, 1, countRows(t, store))
 	})
 }
 
-// reboundTable rebinds a row after it was read by a scan and before it is deleted.
+// reboundTable calls rebind after each scan, before the rows are deleted.
 type reboundTable struct {
 	table.Store
 	rebind func(rows []table.Row)
@@ -112,33 +112,31 @@
 	return rows, err
 }
 
-// Symptom: a call with a key runs twice.
-// Sequence: a sweep reads an old row; a try with its key binds it anew; the sweep deletes
-// it; a repeat finds no row.
-// Cause: a delete that does not ask for the version that was read. The other rows of the
-// batch must still go.
-func TestRowThatWasReboundStays(t *testing.T) {
+// A sweep reads an expired row, and before it deletes the row, an attempt with the same key rebinds it.
+// A delete without a condition on the version would remove the row, and a repeat of the call would run
+// again. The other rows of the batch must still be deleted.
+func TestReboundRowIsNotDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newTable()
-		version := claim(t, store, "rebound", 0)
-		claim(t, store, "old", 0)
+		version := writeRow(t, store, "rebound", 0)
+		writeRow(t, store, "old", 0)
 		once := func(rows []table.Row) {
-			if len(rows) == 0 || version == 0 || !time.Now().After(expiry(t, rows[0])) {
+			if len(rows) == 0 || version == 0 || !time.Now().After(sweepableFrom(t, rows[0])) {
 				return
 			}
-			claim(t, store, "rebound", version)
+			writeRow(t, store, "rebound", version)
 			version = 0
 		}
-		defer run(&reboundTable{Store: store, rebind: once}, self)()
-		time.Sleep(overDue)
+		defer startSweeper(&reboundTable{Store: store, rebind: once}, self)()
+		time.Sleep(sweptAfter)
 		synctest.Wait()
-		require.Equal(t, 1, rowsLeft(t, store))
+		require.Equal(t, 1, countRows(t, store))
 		require.Zero(t, version)
 	})
 }
 
-// expiry is when a row may be deleted.
-func expiry(t *testing.T, stored table.Row) time.Time {
+// sweepableFrom returns the time from which a row may be deleted.
+func sweepableFrom(t *testing.T, stored table.Row) time.Time {
 	row, err := idempotency.DecodeRow(stored.Value)
 	require.NoError(t, err)
 	return row.Expires.Add(idempotency.SweepMargin)
