--- a/entry/command/dev.go
+++ b/entry/command/dev.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprint(c.stdout, deployment.Greeting())
+	fmt.Fprint(c.stdout, deployment.UsageText())
 	commandline.DrainOnSignal(signals, deployment, devDrainLimit, config.Log)
 	return nil
 }
@@ -73,7 +73,7 @@
 		return err
 	}
 	defer standIns.Stop()
-	fmt.Fprint(c.stdout, standIns.Greeting())
+	fmt.Fprint(c.stdout, standIns.UsageText())
 	<-signals
 	return nil
 }
--- a/entry/command/load.go
+++ b/entry/command/load.go
@@ -111,7 +111,7 @@
 		return nil, mix.FaultsError(c.Mix, faults)
 	}
 	if c.Key != "" {
-		m.UseKey(c.Key)
+		m.UseSingleKey(c.Key)
 	}
 	return m, nil
 }
@@ -124,7 +124,7 @@
 		return nil, usage("give --target and --rate, or --dev: the capacity that a load is a share of is known of --dev's engines only")
 	}
 	plan.Load = 0
-	r, err := trial.Drive(ctx, plan, c.Label, c.Seed, c.Targets)
+	r, err := trial.RunOnTargets(ctx, plan, c.Label, c.Seed, c.Targets)
 	if err != nil {
 		return nil, err
 	}
@@ -143,10 +143,10 @@
 		Client: load.Config{
 			MaxInFlight:    c.MaxInFlight,
 			DefaultTimeout: c.Timeout,
-			Grace:          grace,
-			Drain:          drain,
+			GracePeriod:    grace,
+			DrainTimeout:   drain,
 		},
-		Done: func(r *report.Report) {
+		OnReport: func(r *report.Report) {
 			_ = r.Print(c.stdout)
 			fmt.Fprintln(c.stdout)
 		},
@@ -168,12 +168,12 @@
 func (c *loadCommand) showProgress(plan *trial.Plan) {
 	file, ok := c.stderr.(*os.File)
 	if !ok || !term.IsTerminal(int(file.Fd())) {
-		plan.Begin = func(label string, requests int) { fmt.Fprintf(c.stderr, "%s: %d requests\n", label, requests) }
+		plan.OnPassStart = func(label string, requests int) { fmt.Fprintf(c.stderr, "%s: %d requests\n", label, requests) }
 		return
 	}
 	var bar *progressbar.ProgressBar
-	plan.Begin = func(label string, requests int) { bar = newBar(c.stderr, label, requests) }
-	plan.Client.Progress = func(ended int) { _ = bar.Set(ended) }
+	plan.OnPassStart = func(label string, requests int) { bar = newBar(c.stderr, label, requests) }
+	plan.Client.OnProgress = func(ended int) { _ = bar.Set(ended) }
 }
 
 const barThrottle = 100 * time.Millisecond
@@ -195,7 +195,7 @@
 	if c.Rate > 0 {
 		plan.Load = 0
 	} else {
-		plan.Rate = trial.Rate(plan.Mix, deployments.Shape.Engines, trial.Engine(c.Dev.Speed), plan.Load)
+		plan.Rate = trial.ArrivalRate(plan.Mix, deployments.Shape.Engines, trial.EngineConfig(c.Dev.Speed), plan.Load)
 	}
 	return trial.Compare(ctx, plan, deployments)
 }
--- a/entry/dev/dev.go
+++ b/entry/dev/dev.go
@@ -380,8 +380,8 @@
 	d.Stop()
 }
 
-// Greeting returns a text with the addresses of the deployment and example calls.
-func (d *Deployment) Greeting() string {
+// UsageText returns a text with the addresses of the deployment and example calls.
+func (d *Deployment) UsageText() string {
 	var b strings.Builder
 	base := "http://" + d.Entries[0].Addr()
 	fmt.Fprintf(&b, "acaciacleat is running: %d engines, %d plain services, %d entries\n\n", len(d.Engines), len(d.Plains), len(d.Entries))
--- a/entry/dev/standins.go
+++ b/entry/dev/standins.go
@@ -127,8 +127,8 @@
 // Stop stops all stand-ins at once.
 func (s *StandIns) Stop() { s.servers.close() }
 
-// Greeting returns a text with the URLs of the stand-ins and an example of a VM list.
-func (s *StandIns) Greeting() string {
+// UsageText returns a text with the URLs of the stand-ins and an example of a VM list.
+func (s *StandIns) UsageText() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "stand-ins are running: %d engines of model %s, %d plain services\n\n", len(s.Engines), ModelName, len(s.Plains))
 	for _, service := range []string{platform.PathTable, platform.PathObjects, platform.PathVMs, platform.PathWeights} {
--- a/entry/load/exchange.go
+++ b/entry/load/exchange.go
@@ -32,7 +32,7 @@
 
 // exchange sends one request, reads its response to the end and fills in result.
 func (r *runner) exchange(request *schedule.Request, result *Result) {
-	ctx, cancel := context.WithDeadlineCause(r.requestContext, r.sendTime(request).Add(r.timeout(request)+r.config.Grace), errUnanswered)
+	ctx, cancel := context.WithDeadlineCause(r.requestContext, r.sendTime(request).Add(r.timeout(request)+r.config.GracePeriod), errUnanswered)
 	defer cancel()
 	result.Lag = r.sinceSendTime(request)
 	err := r.roundTrip(ctx, request, result)
--- a/entry/load/mix/mix.go
+++ b/entry/load/mix/mix.go
@@ -118,8 +118,8 @@
 	return prompt / shares, answer / shares
 }
 
-// UseKey replaces the organisations by a single one with the given key, for entries that accept
+// UseSingleKey replaces the organisations by a single one with the given key, for entries that accept
 // only one key.
-func (m *Mix) UseKey(key string) {
+func (m *Mix) UseSingleKey(key string) {
 	m.Organisations = []Organisation{{Name: "one", Key: key, Weight: 1}}
 }
--- a/entry/load/run.go
+++ b/entry/load/run.go
@@ -27,16 +27,16 @@
 	// MaxInFlight bounds the number of requests in flight. A request beyond it is not sent
 	// and is reported as failed with CodeInFlight.
 	MaxInFlight int
-	// DefaultTimeout applies to a request without a deadline. Grace is how long after its
+	// DefaultTimeout applies to a request without a deadline. GracePeriod is how long after its
 	// deadline a request may still complete before it fails with CodeUnanswered.
 	DefaultTimeout time.Duration
-	Grace          time.Duration
-	// Drain bounds the wait for responses after the run is interrupted.
-	Drain time.Duration
+	GracePeriod    time.Duration
+	// DrainTimeout bounds the wait for responses after the run is interrupted.
+	DrainTimeout time.Duration
 	// Transport sends the requests; nil for a transport created for the run.
 	Transport http.RoundTripper
-	// Progress, if not nil, is called after each request ends; calls are serialised.
-	Progress func(ended int)
+	// OnProgress, if not nil, is called after each request ends; calls are serialised.
+	OnProgress func(ended int)
 	// KeyPrefix prefixes the Idempotency-Key of calls. It must differ between runs, so that no
 	// call gets the response of another run's call.
 	KeyPrefix string
@@ -82,7 +82,7 @@
 
 // Run sends the requests at their scheduled times and returns a result for each request that was
 // due before ctx ended, in the order of the requests. Once ctx ends it sends no more requests,
-// waits at most Drain for responses and cancels the rest.
+// waits at most DrainTimeout for responses and cancels the rest.
 func Run(ctx context.Context, config Config, requests []schedule.Request) []Result {
 	r := newRunner(config, len(requests))
 	defer r.close()
@@ -163,17 +163,17 @@
 
 func (r *runner) requestEnded() {
 	r.inFlight.Add(-1)
-	if r.config.Progress == nil {
+	if r.config.OnProgress == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ended++
-	r.config.Progress(r.ended)
+	r.config.OnProgress(r.ended)
 }
 
-// awaitResponses waits for the requests in flight. Each ends at its deadline plus Grace at the
-// latest; after ctx ends, all are cancelled once Drain has passed.
+// awaitResponses waits for the requests in flight. Each ends at its deadline plus GracePeriod at the
+// latest; after ctx ends, all are cancelled once DrainTimeout has passed.
 func (r *runner) awaitResponses(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -185,7 +185,7 @@
 		return
 	case <-ctx.Done():
 	}
-	timer := time.NewTimer(r.config.Drain)
+	timer := time.NewTimer(r.config.DrainTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
--- a/entry/load/run_test.go
+++ b/entry/load/run_test.go
@@ -67,8 +67,8 @@
 		Mix:            &mix.Mix{Model: "assistant-1", Organisations: []mix.Organisation{{Name: "one", Key: "k", Weight: 1}}},
 		MaxInFlight:    100,
 		DefaultTimeout: 10 * time.Second,
-		Grace:          time.Second,
-		Drain:          2 * time.Second,
+		GracePeriod:    time.Second,
+		DrainTimeout:   2 * time.Second,
 		Transport:      server,
 	}
 }
--- a/entry/load/trial/shape.go
+++ b/entry/load/trial/shape.go
@@ -40,9 +40,9 @@
 // Shapes maps names on the command line to shapes.
 var Shapes = map[string]Shape{"faixa-verde": FaixaVerde, "omuti": Omuti}
 
-// Engine returns the configuration of a stand-in engine that prefills and decodes speed times
+// EngineConfig returns the configuration of a stand-in engine that prefills and decodes speed times
 // faster than the default.
-func Engine(speed float64) standinengine.Config {
+func EngineConfig(speed float64) standinengine.Config {
 	faster := func(d time.Duration) time.Duration { return time.Duration(float64(d) / speed) }
 	return standinengine.Config{
 		EngineTokens: standinengine.DefaultEngineTokens,
@@ -53,13 +53,13 @@
 	}
 }
 
-// Rate returns the arrival rate in requests per second, plain calls included, that offers the given
-// load: the fraction of the engines' time that the generations of the mix need.
+// ArrivalRate returns the arrival rate in requests per second, plain calls included, that offers the
+// given load: the fraction of the engines' time that the generations of the mix need.
 //
 // A prompt token takes the inverse of the prefill rate. An answer token takes its share of a decode
 // step, in a batch of as many requests as fit into an engine's memory. Prefix cache hits are not
 // taken into account.
-func Rate(m *mix.Mix, engines int, e standinengine.Config, load float64) float64 {
+func ArrivalRate(m *mix.Mix, engines int, e standinengine.Config, load float64) float64 {
 	prompt, answer := m.MeanTokens()
 	batch := min(max(float64(e.EngineTokens)/(prompt+answer), 1), float64(e.MaxBatch))
 	decode := e.DecodeStep.Seconds()/batch + e.DecodePerSeq.Seconds()
--- a/entry/load/trial/trial.go
+++ b/entry/load/trial/trial.go
@@ -31,10 +31,10 @@
 	CompareAlone bool
 	// Client configures how requests are sent. Its Targets, Mix and KeyPrefix are overwritten.
 	Client load.Config
-	// Begin, if not nil, is called before the requests of each pass are sent.
-	Begin func(label string, requests int)
-	// Done, if not nil, receives each report as soon as it is complete.
-	Done func(*report.Report)
+	// OnPassStart, if not nil, is called before the requests of each pass are sent.
+	OnPassStart func(label string, requests int)
+	// OnReport, if not nil, receives each report as soon as it is complete.
+	OnReport func(*report.Report)
 }
 
 // Deployments configures the deployments that Compare runs.
@@ -67,8 +67,8 @@
 	return reports, nil
 }
 
-// Drive runs the plan once against entries that are already running.
-func Drive(ctx context.Context, plan Plan, label string, seed uint64, targets []string) (*report.Report, error) {
+// RunOnTargets runs the plan once against entries that are already running.
+func RunOnTargets(ctx context.Context, plan Plan, label string, seed uint64, targets []string) (*report.Report, error) {
 	return plan.run(ctx, label, seed, 1, fixedTargets(targets))
 }
 
@@ -111,7 +111,7 @@
 	config.Zones = shape.Zones
 	config.Objective = shape.Objective
 	config.Policy = s.policy
-	config.Engine = Engine(s.deployments.Speed)
+	config.Engine = EngineConfig(s.deployments.Speed)
 	config.Organisations = s.plan.Mix.DocumentOrganisations()
 	config.Log = s.deployments.Log
 	d, err := dev.Start(config)
@@ -170,13 +170,13 @@
 	return p.report(ctx, run, results, alone), nil
 }
 
-// report builds the report of a pass and passes it to Done; alone may be nil.
+// report builds the report of a pass and passes it to OnReport; alone may be nil.
 func (p *Plan) report(ctx context.Context, run report.Run, results, alone []load.Result) *report.Report {
 	run.Interrupted = ctx.Err() != nil
 	r := report.New(run, results)
 	r.Slowdown = report.Compare(alone, results, p.Warmup)
-	if p.Done != nil {
-		p.Done(r)
+	if p.OnReport != nil {
+		p.OnReport(r)
 	}
 	return r
 }
@@ -199,8 +199,8 @@
 		return nil, err
 	}
 	defer stop()
-	if p.Begin != nil {
-		p.Begin(label, len(requests))
+	if p.OnPassStart != nil {
+		p.OnPassStart(label, len(requests))
 	}
 	config := p.Client
 	config.Targets = urls
--- a/entry/load/trial/trial_test.go
+++ b/entry/load/trial/trial_test.go
@@ -30,7 +30,7 @@
 		Duration:     time.Hour,
 		MaxRequests:  60,
 		CompareAlone: true,
-		Client:       load.Config{MaxInFlight: 100, DefaultTimeout: 30 * time.Second, Grace: 5 * time.Second},
+		Client:       load.Config{MaxInFlight: 100, DefaultTimeout: 30 * time.Second, GracePeriod: 5 * time.Second},
 	}
 }
 
@@ -47,7 +47,7 @@
 func TestPoliciesGetTheSameRequests(t *testing.T) {
 	plan := testPlan()
 	var passes []string
-	plan.Begin = func(label string, _ int) { passes = append(passes, label) }
+	plan.OnPassStart = func(label string, _ int) { passes = append(passes, label) }
 	reports, err := Compare(t.Context(), plan, testDeployments())
 	require.NoError(t, err)
 	require.Len(t, reports, 4)
@@ -71,7 +71,7 @@
 func TestInterruptReportsTheCurrentPass(t *testing.T) {
 	plan := testPlan()
 	ctx, cancel := context.WithCancel(t.Context())
-	plan.Client.Progress = func(int) { cancel() }
+	plan.Client.OnProgress = func(int) { cancel() }
 	reports, err := Compare(ctx, plan, testDeployments())
 	require.NoError(t, err)
 	require.Len(t, reports, 1)
@@ -88,8 +88,8 @@
 	// Ten requests fit into an engine's memory. Each takes 39,900/40,000 s of prefill and
 	// 100 × (15 ms/10 + 50 µs) of decoding.
 	const seconds = 0.9975 + 0.155
-	require.InEpsilon(t, 14*0.7/seconds, Rate(m, 14, Engine(1), 0.7), 1e-6)
-	require.InEpsilon(t, 10*14*0.7/seconds, Rate(m, 14, Engine(10), 0.7), 1e-6)
+	require.InEpsilon(t, 14*0.7/seconds, ArrivalRate(m, 14, EngineConfig(1), 0.7), 1e-6)
+	require.InEpsilon(t, 10*14*0.7/seconds, ArrivalRate(m, 14, EngineConfig(10), 0.7), 1e-6)
 	m.Plain.Share = 0.5
-	require.InEpsilon(t, 2*14*0.7/seconds, Rate(m, 14, Engine(1), 0.7), 1e-6)
+	require.InEpsilon(t, 2*14*0.7/seconds, ArrivalRate(m, 14, EngineConfig(1), 0.7), 1e-6)
 }
