--- a/soak/strike.go
+++ b/soak/strike.go
@@ -137,9 +137,9 @@
 		way.Reset()
 		return
 	case CallerSilent, StoreSilent, UpstreamSilent:
-		way.Swallow(relay.ToTarget, relay.FromTarget)
+		way.Drop(relay.ToTarget, relay.FromTarget)
 	case StoreOneWay, UpstreamOneWay:
-		way.Swallow(relay.FromTarget)
+		way.Drop(relay.FromTarget)
 	case StoreSlow:
 		way.Delay(slowStore)
 	case UpstreamSlow:
--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// words is the vocabulary of answers, one word a token. Its size is a power of two.
+// words is the vocabulary of answers, one token per word. Its size is a power of two.
 var words = [...]string{
 	"span ", "prune ", "brake ", "pump ", "lift ", "line ", "tower ", "check ",
 	"bamboo ", "seal ", "hoist ", "route ", "valve ", "crew ", "log ", "clear ",
@@ -14,7 +14,7 @@
 	"one ", "two ", "three ", "due ", "late ", "open ", "shut ", "done. ",
 }
 
-// answer is the text that a model gives to a prompt: a pure function of both, so that a
+// answer is the answer of a model to a prompt. It is a pure function of both, so that a
 // continuation on any engine can be compared byte by byte with the whole answer.
 type answer struct {
 	seed uint64
@@ -34,7 +34,7 @@
 	return words[mix(a.seed+uint64(i))%uint64(len(words))]
 }
 
-// text returns the tokens from index from up to but not including to.
+// text returns the text of the tokens in the range [from, to).
 func (a answer) text(from, to int) string {
 	if to == from+1 {
 		return a.token(from)
@@ -46,15 +46,15 @@
 	return b.String()
 }
 
-// length returns the answer's natural length: a quarter of longest up to longest.
-func (a answer) length(longest int) int {
-	least := max(1, longest/4)
-	return least + int(mix(a.seed^lengthSalt)%uint64(longest-least+1))
+// length returns the answer's natural length, between a quarter of maximum and maximum.
+func (a answer) length(maximum int) int {
+	minimum := max(1, maximum/4)
+	return minimum + int(mix(a.seed^lengthSalt)%uint64(maximum-minimum+1))
 }
 
 const lengthSalt = 0x6c656e677468
 
-// mix is the finaliser of SplitMix64: neighbouring inputs give unrelated outputs.
+// mix is the finaliser of SplitMix64: similar inputs give unrelated outputs.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -6,23 +6,23 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// cache holds prefix blocks, least recently used last. It is guarded by Engine.mu.
+// cache holds prefix blocks, most recently used first. It is guarded by Engine.mu.
 type cache struct {
 	blocks map[uint64]*list.Element
 	order  *list.List
-	room   int64
-	// changed hears of each block that comes or goes.
-	changed func(block uint64, evicted bool)
+	limit  int64
+	// onChange is called for each block that is added or evicted.
+	onChange func(block uint64, evicted bool)
 }
 
-// entry is a cached block; parent is the block before it, 0 for the first of a prompt.
+// entry is a cached block. Its parent is the block before it, 0 for the first block of a prompt.
 type entry struct {
 	block  uint64
 	parent uint64
 }
 
-func newCache(room int64, changed func(uint64, bool)) *cache {
-	return &cache{blocks: map[uint64]*list.Element{}, order: list.New(), room: room, changed: changed}
+func newCache(limit int64, onChange func(uint64, bool)) *cache {
+	return &cache{blocks: map[uint64]*list.Element{}, order: list.New(), limit: limit, onChange: onChange}
 }
 
 func (c *cache) tokens() int64 { return int64(c.order.Len()) * peer.BlockTokens }
@@ -37,8 +37,8 @@
 	return n
 }
 
-// use marks blocks as used, the first block as the latest: a later block is of no use
-// without those before it, so it is the first to go.
+// use marks blocks as used, the first one as the most recent: a block is useless without the blocks
+// before it, so the last one is evicted first.
 func (c *cache) use(blocks []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if element := c.blocks[blocks[i]]; element != nil {
@@ -57,7 +57,7 @@
 }
 
 func (c *cache) put(e entry) {
-	if c.room < peer.BlockTokens {
+	if c.limit < peer.BlockTokens {
 		return
 	}
 	if element := c.blocks[e.block]; element != nil {
@@ -65,34 +65,34 @@
 		return
 	}
 	c.blocks[e.block] = c.order.PushFront(e)
-	c.changed(e.block, false)
+	c.onChange(e.block, false)
 	c.evict()
 }
 
-// shrink sets the room in tokens and evicts what no longer fits.
-func (c *cache) shrink(room int64) {
-	c.room = room
+// setLimit sets the limit in tokens and evicts the blocks beyond it.
+func (c *cache) setLimit(limit int64) {
+	c.limit = limit
 	c.evict()
 }
 
 func (c *cache) evict() {
-	for c.order.Len() > 0 && c.tokens() > c.room {
+	for c.order.Len() > 0 && c.tokens() > c.limit {
 		last := c.order.Back()
 		block := last.Value.(entry).block
 		c.order.Remove(last)
 		delete(c.blocks, block)
-		c.changed(block, true)
+		c.onChange(block, true)
 	}
 }
 
 func (c *cache) clear() {
-	room := c.room
-	c.shrink(0)
-	c.room = room
+	limit := c.limit
+	c.setLimit(0)
+	c.limit = limit
 }
 
-// chain returns the entries from a prompt's first block to block; ok is false when one of
-// them is not cached.
+// chain returns the entries from a prompt's first block to block; ok is false if one of them is not
+// cached.
 func (c *cache) chain(block uint64) (entries []entry, ok bool) {
 	for block != 0 {
 		element := c.blocks[block]
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -12,7 +12,7 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// The operations that faults name. OpStream takes the faults with AfterTokens.
+// Names of the operations in Fault. OpStream is for faults with AfterTokens.
 const (
 	OpGenerate    = "generate"
 	OpStream      = "stream"
@@ -26,12 +26,12 @@
 	OpHealth      = "health"
 )
 
-// Stats count what an engine did, which a real engine can't be asked.
+// Stats counts what an engine did, which a real engine does not report.
 type Stats struct {
-	// Runs tells how often each request id began to run.
+	// Runs counts how often each request ID began to run.
 	Runs map[string]int `json:"runs"`
-	// HeldTokens is the memory held now by requests and reservations, CachedTokens
-	// what the prefix cache has on top.
+	// HeldTokens is the memory held by requests and reservations, CachedTokens the size of the
+	// prefix cache in addition to it.
 	HeldTokens   int64 `json:"held_tokens"`
 	CachedTokens int64 `json:"cached_tokens"`
 	Running      int   `json:"running"`
@@ -47,13 +47,13 @@
 
 // Engine is one stand-in engine. It is safe for concurrent use.
 type Engine struct {
-	config  Config
-	mux     *http.ServeMux
-	faults  faults.Table
-	streams streamFaults
-	group   *http.Client
-	// orders has room for the one order that is carried out.
-	orders chan struct{}
+	config      Config
+	mux         *http.ServeMux
+	faults      faults.Table
+	streams     streamFaults
+	groupClient *http.Client
+	// orderSlot has capacity for the one order that is being executed.
+	orderSlot chan struct{}
 
 	mu           sync.Mutex
 	model        string
@@ -65,7 +65,7 @@
 	closed       bool
 	looping      bool
 	drained      chan struct{}
-	used         int64
+	usedTokens   int64
 	arrivals     uint64
 	waiting      []*sequence
 	running      []*sequence
@@ -77,14 +77,14 @@
 	stats        Stats
 }
 
-// New returns an engine that serves its configured model. It needs no Close.
+// New returns an engine that serves its configured model. It does not need to be closed.
 func New(config Config) *Engine {
 	config = config.withDefaults()
 	e := &Engine{
 		config:       config,
 		mux:          http.NewServeMux(),
-		group:        newGroupClient(),
-		orders:       make(chan struct{}, 1),
+		groupClient:  newGroupClient(),
+		orderSlot:    make(chan struct{}, 1),
 		model:        config.Model,
 		version:      config.Version,
 		role:         config.Role,
@@ -101,7 +101,7 @@
 		e.events.add(block, evicted, time.Now())
 	})
 	e.routes()
-	e.touch()
+	e.recordState()
 	return e
 }
 
@@ -121,7 +121,7 @@
 	e.handle(OpImport, "POST "+peer.PathImport, e.importKV)
 	e.handle(OpHealth, "GET "+peer.PathHealth, func(http.ResponseWriter, *http.Request) {})
 	e.mux.HandleFunc("PUT /faults", httpfaults.Put(e.SetFaults))
-	e.mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { answerJSON(w, e.Stats()) })
+	e.mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Stats()) })
 }
 
 func (e *Engine) handle(operation, pattern string, h http.HandlerFunc) {
@@ -137,7 +137,7 @@
 	defer e.mu.Unlock()
 	stats := e.stats
 	stats.Runs = maps.Clone(e.stats.Runs)
-	stats.HeldTokens = e.used
+	stats.HeldTokens = e.usedTokens
 	stats.CachedTokens = e.cache.tokens()
 	stats.Running = len(e.running)
 	stats.Waiting = len(e.waiting)
@@ -145,8 +145,8 @@
 	return stats
 }
 
-// Close acts as the engine's death: streams break, memory and reservations are gone, and
-// whatever comes later is refused.
+// Close simulates the engine's failure: streams break, memory and reservations are released, and
+// later requests are refused.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,20 +160,20 @@
 	e.cache.clear()
 }
 
-// changed does what every change of memory asks for: the cache gives way, waiting requests
-// get their chance, and a load order that waits for the engine to empty goes on.
-func (e *Engine) changed() {
-	e.cache.shrink(e.cacheRoom())
-	e.kick()
+// memoryChanged handles a change of the used memory: it adjusts the cache, admits waiting requests,
+// and resumes a load order that waits for the engine to drain. The caller holds e.mu.
+func (e *Engine) memoryChanged() {
+	e.cache.setLimit(e.cacheLimit())
+	e.startLoop()
 	if len(e.sequences) == 0 && e.drained != nil {
 		close(e.drained)
 		e.drained = nil
 	}
-	e.touch()
+	e.recordState()
 }
 
-func (e *Engine) cacheRoom() int64 {
-	return min(e.config.CacheTokens, e.config.EngineTokens-e.used)
+func (e *Engine) cacheLimit() int64 {
+	return min(e.config.CacheTokens, e.config.EngineTokens-e.usedTokens)
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
@@ -181,40 +181,40 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// cancelAll ends the runs of a request and its reservation, or only the one run named.
+// cancelAll cancels all runs of a request and its reservation, or only the given run.
 func (e *Engine) cancelAll(id, run string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, seq := range e.sequences {
 		if seq.id == id && (run == "" || run == seq.run) {
-			e.stop(seq, cancelled)
+			e.stopLocked(seq, cancelled)
 		}
 	}
 	if run == "" && e.dropReservation(id) {
-		e.changed()
+		e.memoryChanged()
 	}
 }
 
-// end stops a sequence that may have ended already.
-func (e *Engine) end(seq *sequence, o outcome) {
+// stopSequence stops a sequence that may already have ended.
+func (e *Engine) stopSequence(seq *sequence, o outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stop(seq, o)
+	e.stopLocked(seq, o)
 }
 
-func (e *Engine) stop(seq *sequence, o outcome) {
+func (e *Engine) stopLocked(seq *sequence, o outcome) {
 	if seq.end == nil && o.kind == typeCancelled {
 		e.stats.Cancelled++
 	}
 	e.finish(seq, o)
 }
 
-func answerJSON(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// refuse answers that the call was refused and had no effect.
+// refuse responds that the call was refused and had no effect.
 func refuse(w http.ResponseWriter, status int, kind, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(peer.HeaderExecution, peer.ExecutionNotRun)
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -19,62 +19,62 @@
 	"pgregory.net/rapid"
 )
 
-// ask is a generation as a test writes it.
-type ask struct {
-	id       string
-	prompt   string
-	max      int
-	priority int
-	timeLeft time.Duration
-	given    peer.Continuation
+// generateRequest describes a generation.
+type generateRequest struct {
+	id           string
+	prompt       string
+	maxTokens    int
+	priority     int
+	timeLeft     time.Duration
+	continueFrom peer.Continuation
 }
 
-// got is what came of it.
-type got struct {
-	status int
-	text   string
-	reason string
-	usage  peer.Usage
-	failed string
-	first  time.Duration // time to the first token
-	lasted time.Duration
+// generateResult is the parsed answer to a generation.
+type generateResult struct {
+	status           int
+	text             string
+	reason           string
+	usage            peer.Usage
+	errorType        string
+	timeToFirstToken time.Duration
+	duration         time.Duration
 }
 
-// recorder keeps the answer and notes when its first token came.
+// recorder records the response and the time of its first token.
 type recorder struct {
 	*httptest.ResponseRecorder
-	first time.Time
+	firstTokenAt time.Time
 }
 
 func (r *recorder) Write(p []byte) (int, error) {
-	if r.first.IsZero() && strings.HasPrefix(string(p), "data:") {
-		r.first = time.Now()
+	if r.firstTokenAt.IsZero() && strings.HasPrefix(string(p), "data:") {
+		r.firstTokenAt = time.Now()
 	}
 	return r.ResponseRecorder.Write(p)
 }
 
-func generate(ctx context.Context, e *Engine, a ask) got {
-	fields := map[string]any{"model": DefaultModel, "prompt": a.prompt, "stream": true, "max_tokens": a.max}
-	if a.given.Tokens > 0 {
-		fields["continue_from"] = a.given
+func generate(ctx context.Context, e *Engine, a generateRequest) generateResult {
+	fields := map[string]any{"model": DefaultModel, "prompt": a.prompt, "stream": true, "max_tokens": a.maxTokens}
+	if a.continueFrom.Tokens > 0 {
+		fields["continue_from"] = a.continueFrom
 	}
 	body, _ := json.Marshal(fields)
 	r := httptest.NewRequestWithContext(ctx, "POST", peer.PathCompletions, strings.NewReader(string(body)))
 	r.Header.Set(peer.HeaderRequestID, a.id)
 	r.Header.Set(peer.HeaderPriority, strconv.Itoa(a.priority))
-	// A request that never gets memory must fail its test and not hang it.
-	timeLeft := or(a.timeLeft, time.Hour)
+	// A request that never gets memory must fail its test instead of blocking it.
+	timeLeft := orDefault(a.timeLeft, time.Hour)
 	r.Header.Set(peer.HeaderTimeLeft, strconv.FormatInt(timeLeft.Milliseconds(), 10))
 	w := &recorder{ResponseRecorder: httptest.NewRecorder()}
 	begin := time.Now()
 	e.ServeHTTP(w, r)
 	g := parse(w.Body.String())
-	g.status, g.first, g.lasted = w.Code, w.first.Sub(begin), time.Since(begin)
+	g.status, g.timeToFirstToken, g.duration = w.Code, w.firstTokenAt.Sub(begin), time.Since(begin)
 	return g
 }
 
-func parse(stream string) got {
-	var g got
+func parse(stream string) generateResult {
+	var g generateResult
 	lines := bufio.NewScanner(strings.NewReader(stream))
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -93,7 +93,7 @@
 			g.usage = *chunk.Usage
 		}
 		if chunk.Error != nil {
-			g.failed = chunk.Error.Type
+			g.errorType = chunk.Error.Type
 		}
 	}
 	return g
@@ -106,7 +106,7 @@
 	return w.Code
 }
 
-// words of a prompt of the given length in tokens, different for each salt.
+// promptOf returns a prompt of the given length in tokens, different for each salt.
 func promptOf(salt string, tokens int) string {
 	return salt + strings.Repeat("abcd", tokens-peer.TokensOf(len(salt)))
 }
@@ -114,14 +114,14 @@
 func TestContinuationAtEachIndexGivesTheWholeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{AnswerTokens: 80})
-		whole := generate(t.Context(), e, ask{id: "a", prompt: "is the brake worn?"})
+		whole := generate(t.Context(), e, generateRequest{id: "a", prompt: "is the brake worn?"})
 		require.Equal(t, "stop", whole.reason)
 		pieces := strings.SplitAfter(strings.TrimSuffix(whole.text, " "), " ")
 		require.Len(t, pieces, whole.usage.CompletionTokens)
 		delivered := ""
 		for i, piece := range pieces {
 			other := New(Config{AnswerTokens: 80})
-			rest := generate(t.Context(), other, ask{id: "a", prompt: "is the brake worn?", given: peer.Continuation{Text: delivered, Tokens: i}})
+			rest := generate(t.Context(), other, generateRequest{id: "a", prompt: "is the brake worn?", continueFrom: peer.Continuation{Text: delivered, Tokens: i}})
 			require.Equal(t, whole.text, delivered+rest.text, "continued after %d tokens", i)
 			require.Equal(t, whole.usage, rest.usage)
 			require.Equal(t, whole.reason, rest.reason)
@@ -130,16 +130,15 @@
 				require.Equal(t, delivered, whole.text[:len(delivered)])
 			}
 		}
-		foreign := generate(t.Context(), e, ask{id: "a", prompt: "another prompt", given: peer.Continuation{Text: delivered, Tokens: len(pieces)}})
+		foreign := generate(t.Context(), e, generateRequest{id: "a", prompt: "another prompt", continueFrom: peer.Continuation{Text: delivered, Tokens: len(pieces)}})
 		require.Equal(t, http.StatusBadRequest, foreign.status)
 	})
 }
 
-// Symptom: an engine whose memory is full although nothing runs on it.
-// Sequence: any mix of requests, reservations, cancels, closed connections, deadlines
-// and expiries.
-// Cause: an end that frees nothing, or two ends that free twice.
-func TestMemoryReturnsToZero(t *testing.T) {
+// After any mix of requests, reservations, cancellations, closed connections, deadlines and
+// expiries all memory is released. It would not be if an end released nothing or two ends released
+// the same memory.
+func TestAllMemoryIsReleased(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		// rapid fails by a panic, which it must see on its own goroutine.
 		var failed any
@@ -162,19 +161,19 @@
 	})
 	ids := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	tokens := rapid.IntRange(1, 5000)
-	results := make(chan got, 64)
-	asked := 0
+	results := make(chan generateResult, 64)
+	requested := 0
 	for range rapid.IntRange(1, 30).Draw(t, "operations") {
 		id := ids.Draw(t, "id")
 		switch rapid.IntRange(0, 4).Draw(t, "operation") {
 		case 0, 1:
-			asked++
-			a := ask{id: id, prompt: promptOf(id, tokens.Draw(t, "prompt")+1), max: rapid.IntRange(1, 60).Draw(t, "max")}
+			requested++
+			a := generateRequest{id: id, prompt: promptOf(id, tokens.Draw(t, "prompt")+1), maxTokens: rapid.IntRange(1, 60).Draw(t, "max")}
 			a.priority = rapid.IntRange(0, 2).Draw(t, "priority")
 			a.timeLeft = time.Duration(rapid.IntRange(0, 800).Draw(t, "time left")) * time.Millisecond
-			leaves := time.Duration(rapid.IntRange(1, 2000).Draw(t, "connection closes")) * time.Millisecond
+			disconnectAfter := time.Duration(rapid.IntRange(1, 2000).Draw(t, "connection closes")) * time.Millisecond
 			go func() {
-				ctx, cancel := context.WithTimeout(context.Background(), leaves)
+				ctx, cancel := context.WithTimeout(context.Background(), disconnectAfter)
 				defer cancel()
 				results <- generate(ctx, e, a)
 			}()
@@ -186,9 +185,9 @@
 			time.Sleep(time.Duration(rapid.IntRange(1, 300).Draw(t, "pause")) * time.Millisecond)
 		}
 		synctest.Wait()
-		checkBook(t, e)
+		checkAccounting(t, e)
 	}
-	for range asked {
+	for range requested {
 		g := <-results
 		if g.reason != "" {
 			require.Equal(t, g.usage.CompletionTokens, strings.Count(g.text, " "))
@@ -203,12 +202,12 @@
 	require.False(t, e.looping)
 }
 
-// checkBook compares the sum of what is held with the engine's own count.
-func checkBook(t *rapid.T, e *Engine) {
+// checkAccounting compares the sum of the allocations with the engine's counter.
+func checkAccounting(t *rapid.T, e *Engine) {
 	report := e.laggingReport()
 	sum := int64(0)
-	for _, held := range report.Allocations {
-		sum += held.Tokens
+	for _, allocation := range report.Allocations {
+		sum += allocation.Tokens
 	}
 	require.Equal(t, sum, report.UsedTokens)
 	require.LessOrEqual(t, report.UsedTokens+report.CachedTokens, report.CapacityTokens)
@@ -218,22 +217,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{EventDelay: time.Second})
 		prompt := promptOf("circuit history ", 100_000)
-		cold := generate(t.Context(), e, ask{id: "a", prompt: prompt, max: 2})
-		warm := generate(t.Context(), e, ask{id: "b", prompt: prompt + "and?", max: 2})
+		cold := generate(t.Context(), e, generateRequest{id: "a", prompt: prompt, maxTokens: 2})
+		warm := generate(t.Context(), e, generateRequest{id: "b", prompt: prompt + "and?", maxTokens: 2})
 		require.Zero(t, cold.usage.CachedTokens)
 		require.Equal(t, 100_000/peer.BlockTokens*peer.BlockTokens, warm.usage.CachedTokens)
-		require.InDelta(t, 2.5, cold.first.Seconds(), 0.01, "100k tokens at 40k a second")
-		require.Less(t, warm.first, 50*time.Millisecond)
-		require.Less(t, len(e.events.after(0, time.Now())), 195, "late events are not seen yet")
+		require.InDelta(t, 2.5, cold.timeToFirstToken.Seconds(), 0.01, "100k tokens at 40k a second")
+		require.Less(t, warm.timeToFirstToken, 50*time.Millisecond)
+		require.Less(t, len(e.events.after(0, time.Now())), 195, "delayed events are not visible yet")
 		time.Sleep(time.Second)
 		events := e.events.after(0, time.Now())
 		require.Len(t, events, 195)
 		require.Equal(t, peer.PrefixBlocks(DefaultModel, prompt)[7], events[7].Block)
 
 		e.setReservation("r", DefaultEngineTokens-1024, time.Minute)
-		require.Equal(t, int64(1024), e.Stats().CachedTokens, "the cache gives way")
-		again := generate(t.Context(), e, ask{id: "c", prompt: promptOf("circuit history ", 1000), max: 2})
-		require.NotZero(t, again.usage.CachedTokens, "the beginning of a prefix stays longest")
+		require.Equal(t, int64(1024), e.Stats().CachedTokens, "the cache shrinks")
+		again := generate(t.Context(), e, generateRequest{id: "c", prompt: promptOf("circuit history ", 1000), maxTokens: 2})
+		require.NotZero(t, again.usage.CachedTokens, "the beginning of a prefix is evicted last")
 	})
 }
 
@@ -254,13 +253,13 @@
 	for _, preempt := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			e := New(Config{EngineTokens: 10_000, Preempt: preempt})
-			long := make(chan got, 1)
+			long := make(chan generateResult, 1)
 			go func() {
-				long <- generate(t.Context(), e, ask{id: "long", prompt: promptOf("l", 9000), max: 500, priority: 5})
+				long <- generate(t.Context(), e, generateRequest{id: "long", prompt: promptOf("l", 9000), maxTokens: 500, priority: 5})
 			}()
 			time.Sleep(time.Second)
-			short := generate(t.Context(), e, ask{id: "short", prompt: promptOf("s", 2000), max: 10})
-			require.Equal(t, preempt, short.first < 500*time.Millisecond)
+			short := generate(t.Context(), e, generateRequest{id: "short", prompt: promptOf("s", 2000), maxTokens: 10})
+			require.Equal(t, preempt, short.timeToFirstToken < 500*time.Millisecond)
 			whole := <-long
 			require.Equal(t, newAnswer(DefaultModel, promptOf("l", 9000)).text(0, whole.usage.CompletionTokens), whole.text)
 			require.Equal(t, 1, e.Stats().Runs["long"])
@@ -268,23 +267,27 @@
 	}
 }
 
-// A batch shares the steps: a decode step costs little more for eight than for one, and
-// a long prompt slows those that decode beside it.
+// A batch shares the steps: a decode step takes only a little longer for eight requests than for
+// one, and a long prompt slows down the requests that decode beside it.
 func TestContinuousBatching(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{})
-		alone := generate(t.Context(), e, ask{id: "alone", prompt: "x", max: 50})
-		done := make(chan got, 8)
+		alone := generate(t.Context(), e, generateRequest{id: "alone", prompt: "x", maxTokens: 50})
+		done := make(chan generateResult, 8)
 		for i := range 8 {
-			go func() { done <- generate(t.Context(), e, ask{id: fmt.Sprint(i), prompt: "x", max: 50}) }()
+			go func() {
+				done <- generate(t.Context(), e, generateRequest{id: fmt.Sprint(i), prompt: "x", maxTokens: 50})
+			}()
 		}
 		for range 8 {
-			require.Less(t, (<-done).lasted, alone.lasted*11/10)
+			require.Less(t, (<-done).duration, alone.duration*11/10)
 		}
-		go func() { done <- generate(t.Context(), e, ask{id: "long", prompt: promptOf("l", 200_000), max: 1}) }()
+		go func() {
+			done <- generate(t.Context(), e, generateRequest{id: "long", prompt: promptOf("l", 200_000), maxTokens: 1})
+		}()
 		time.Sleep(time.Millisecond)
-		beside := generate(t.Context(), e, ask{id: "beside", prompt: "x", max: 50})
-		require.Greater(t, beside.lasted, 3*alone.lasted)
+		beside := generate(t.Context(), e, generateRequest{id: "beside", prompt: "x", maxTokens: 50})
+		require.Greater(t, beside.duration, 3*alone.duration)
 		<-done
 	})
 }
@@ -307,25 +310,25 @@
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{CheckFence: true, ModelBytes: 4e9, WeightRate: 1e9})
-		running := make(chan got, 1)
-		go func() { running <- generate(t.Context(), e, ask{id: "a", prompt: "x", max: 100}) }()
+		running := make(chan generateResult, 1)
+		go func() { running <- generate(t.Context(), e, generateRequest{id: "a", prompt: "x", maxTokens: 100}) }()
 		synctest.Wait()
 		loaded := make(chan int, 1)
 		begin := time.Now()
 		go func() { loaded <- order(e, peer.Order{Kind: peer.OrderLoadModel, Name: "assistant-2", Fence: 7}) }()
 		synctest.Wait()
-		require.Equal(t, http.StatusServiceUnavailable, generate(t.Context(), e, ask{id: "b", prompt: "x", max: 1}).status)
+		require.Equal(t, http.StatusServiceUnavailable, generate(t.Context(), e, generateRequest{id: "b", prompt: "x", maxTokens: 1}).status)
 		whole := <-running
-		require.Equal(t, 100, whole.usage.CompletionTokens, "what was taken finishes")
+		require.Equal(t, 100, whole.usage.CompletionTokens, "accepted requests finish")
 		require.Equal(t, http.StatusNoContent, <-loaded)
-		require.Equal(t, 4*time.Second, (time.Since(begin) - whole.lasted).Round(10*time.Millisecond))
-		require.Equal(t, http.StatusNotFound, generate(t.Context(), e, ask{id: "c", prompt: "x", max: 1}).status)
+		require.Equal(t, 4*time.Second, (time.Since(begin) - whole.duration).Round(10*time.Millisecond))
+		require.Equal(t, http.StatusNotFound, generate(t.Context(), e, generateRequest{id: "c", prompt: "x", maxTokens: 1}).status)
 		require.Equal(t, http.StatusConflict, order(e, peer.Order{Kind: peer.OrderRole, Name: "prefill", Fence: 6}))
 		require.Equal(t, http.StatusNoContent, order(e, peer.Order{Kind: peer.OrderRole, Name: "prefill", Fence: 7}))
 		require.Equal(t, uint64(7), e.laggingReport().Fence)
-		careless := New(Config{})
-		require.Equal(t, http.StatusNoContent, order(careless, peer.Order{Kind: peer.OrderRole, Name: "a", Fence: 9}))
-		require.Equal(t, http.StatusNoContent, order(careless, peer.Order{Kind: peer.OrderRole, Name: "b", Fence: 1}))
+		unchecked := New(Config{})
+		require.Equal(t, http.StatusNoContent, order(unchecked, peer.Order{Kind: peer.OrderRole, Name: "a", Fence: 9}))
+		require.Equal(t, http.StatusNoContent, order(unchecked, peer.Order{Kind: peer.OrderRole, Name: "b", Fence: 1}))
 	})
 }
 
@@ -336,10 +339,10 @@
 		list := `[{"operation":"generate","kind":"outage","count":1},{"operation":"stream","kind":"slow","delay":1000000000,"after_tokens":2}]`
 		e.ServeHTTP(w, httptest.NewRequest("PUT", "/faults", strings.NewReader(list)))
 		require.Equal(t, http.StatusNoContent, w.Code)
-		require.Equal(t, http.StatusServiceUnavailable, generate(t.Context(), e, ask{id: "a", prompt: "x", max: 4}).status)
-		slow := generate(t.Context(), e, ask{id: "a", prompt: "x", max: 4})
+		require.Equal(t, http.StatusServiceUnavailable, generate(t.Context(), e, generateRequest{id: "a", prompt: "x", maxTokens: 4}).status)
+		slow := generate(t.Context(), e, generateRequest{id: "a", prompt: "x", maxTokens: 4})
 		require.Equal(t, 4, strings.Count(slow.text, " "))
-		require.Greater(t, slow.lasted, time.Second)
+		require.Greater(t, slow.duration, time.Second)
 		w = httptest.NewRecorder()
 		e.ServeHTTP(w, httptest.NewRequest("GET", "/stats", nil))
 		var stats Stats
@@ -354,7 +357,7 @@
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
 		r := httptest.NewRequest("POST", peer.PathCompletions, strings.NewReader(string(body)))
-		if _, err := e.read(httptest.NewRecorder(), r, false); err != nil {
+		if _, err := e.parseRequest(httptest.NewRecorder(), r, false); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/standin/engine/events.go
+++ b/standin/engine/events.go
@@ -7,7 +7,7 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// eventsPerRead bounds one answer to GET PathCacheEvents.
+// eventsPerRead bounds the events in one answer to GET PathCacheEvents.
 const eventsPerRead = 4096
 
 // eventLog keeps the latest cache events. It is guarded by Engine.mu.
@@ -22,7 +22,7 @@
 	at time.Time
 }
 
-// add records an event. A lost one uses up its number, so that readers see a gap.
+// add records an event. A lost event uses up its sequence number, so that readers see a gap.
 func (l *eventLog) add(block uint64, evicted bool, now time.Time) {
 	l.seq++
 	if l.lost() {
@@ -39,7 +39,7 @@
 	return float64(mix(l.config.Seed+l.seq)>>32) < l.config.EventLoss*scale
 }
 
-// after returns the events with greater numbers that are old enough to be seen.
+// after returns the events with higher sequence numbers that are old enough to be visible.
 func (l *eventLog) after(seq uint64, now time.Time) []peer.CacheEvent {
 	first := sort.Search(len(l.events), func(i int) bool { return l.events[i].Seq > seq })
 	visible := now.Add(-l.config.EventDelay)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -6,16 +6,16 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// Fault is a fault of the common table. With the operation OpStream it breaks a stream
-// that has begun: Die closes the connection, Silent sends nothing more while the work
-// goes on, Slow delays each later event by Delay.
+// Fault extends faults.Fault. With the operation OpStream it applies to a stream that has begun:
+// Die closes the connection, Silent sends nothing more while generation goes on, Slow delays each
+// later event by Delay.
 type Fault struct {
 	faults.Fault
-	// AfterTokens is how many tokens the stream sends first.
+	// AfterTokens is how many tokens the stream sends before the fault applies.
 	AfterTokens int `json:"after_tokens,omitempty"`
 }
 
-// SetFaults replaces all faults and counts from zero.
+// SetFaults replaces all faults and resets their counters.
 func (e *Engine) SetFaults(list ...Fault) {
 	var calls []faults.Fault
 	var streams []Fault
@@ -30,8 +30,8 @@
 	e.streams.set(streams)
 }
 
-// streamFaults counts each fault of a stream by a table of its own, because the common
-// table's faults have no AfterTokens.
+// streamFaults counts each stream fault in a table of its own, since faults.Table does not support
+// AfterTokens.
 type streamFaults struct {
 	mu     sync.Mutex
 	list   []Fault
@@ -50,7 +50,7 @@
 	}
 }
 
-// next returns the fault that hits the stream that begins now.
+// next returns the fault that applies to a stream that begins now.
 func (s *streamFaults) next() (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -13,10 +13,10 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// maxBody bounds a request's body in bytes; a prompt of a million tokens is about 4 MB.
-const maxBody = 64 << 20
+// maxBodyBytes bounds a request's body in bytes; a prompt of a million tokens is about 4 MB.
+const maxBodyBytes = 64 << 20
 
-// refusal is why a request was not taken; nothing of it ran.
+// refusal is the reason why a request was not accepted; no part of it ran.
 type refusal struct {
 	status  int
 	kind    string
@@ -31,13 +31,13 @@
 }
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request, chat bool) {
-	seq, err := e.read(w, r, chat)
+	seq, err := e.parseRequest(w, r, chat)
 	if err != nil {
 		e.refuse(w, err)
 		return
 	}
-	held, err := e.holdGroup(r.Context(), seq, members(r))
-	defer held.leave()
+	group, err := e.checkGroup(r.Context(), seq, groupMembers(r))
+	defer group.release()
 	if err != nil {
 		e.refuse(w, err)
 		return
@@ -46,14 +46,14 @@
 		e.refuse(w, err)
 		return
 	}
-	// The run ends with the connection, however this handler is left.
-	defer e.end(seq, cancelled)
-	defer e.endAfter(seq, r.Header.Get(peer.HeaderTimeLeft))()
-	held.watch(func() { e.end(seq, memberLost) })
+	// The run ends with the connection, whichever way this handler returns.
+	defer e.stopSequence(seq, cancelled)
+	defer e.stopAfter(seq, r.Header.Get(peer.HeaderTimeLeft))()
+	group.watch(func() { e.stopSequence(seq, memberLost) })
 	fault, _ := e.streams.next()
 	out := newSSE(w, seq.id, seq.model, chat)
 	out.begin(seq.run)
-	e.relay(r, out, seq, fault)
+	e.streamTokens(r, out, seq, fault)
 }
 
 func (e *Engine) refuse(w http.ResponseWriter, r *refusal) {
@@ -63,11 +63,11 @@
 	refuse(w, r.status, r.kind, r.message)
 }
 
-// read makes a sequence of a request. The prompt's text is not kept.
-func (e *Engine) read(w http.ResponseWriter, r *http.Request, chat bool) (*sequence, *refusal) {
+// parseRequest returns the sequence of a request. It does not keep the prompt's text.
+func (e *Engine) parseRequest(w http.ResponseWriter, r *http.Request, chat bool) (*sequence, *refusal) {
 	var body bytes.Buffer
-	body.Grow(int(min(max(r.ContentLength, 0), maxBody)) + bytes.MinRead)
-	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
+	body.Grow(int(min(max(r.ContentLength, 0), maxBodyBytes)) + bytes.MinRead)
+	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		return nil, invalid("body: %v", err)
 	}
 	prompt, err := peer.ParsePrompt(body.Bytes(), chat)
@@ -77,54 +77,54 @@
 	if !prompt.Stream {
 		return nil, invalid("only streamed answers are served")
 	}
-	priority, err := strconv.Atoi(or(r.Header.Get(peer.HeaderPriority), "0"))
+	priority, err := strconv.Atoi(orDefault(r.Header.Get(peer.HeaderPriority), "0"))
 	if err != nil {
 		return nil, invalid("%s is not a number", peer.HeaderPriority)
 	}
-	seq := e.newSequence(prompt, 1+len(members(r)))
+	seq := e.newSequence(prompt, 1+len(groupMembers(r)))
 	seq.id = r.Header.Get(peer.HeaderRequestID)
 	seq.priority = priority
 	return seq, checkContinuation(seq, prompt.Continue)
 }
 
-func (e *Engine) newSequence(prompt peer.Prompt, share int) *sequence {
-	model := or(prompt.Model, e.servedModel())
+func (e *Engine) newSequence(prompt peer.Prompt, groupSize int) *sequence {
+	model := orDefault(prompt.Model, e.servedModel())
 	seq := &sequence{
-		answer: newAnswer(model, prompt.Text),
-		model:  model,
-		blocks: peer.PrefixBlocks(model, prompt.Text),
-		prompt: prompt.Tokens(),
-		start:  prompt.Continue.Tokens,
-		reason: "stop",
-		share:  share,
-		wake:   make(chan struct{}, 1),
-	}
-	most := or(prompt.MaxTokens, e.config.AnswerTokens)
-	seq.limit = seq.answer.length(e.config.AnswerTokens)
-	if most <= seq.limit {
-		seq.limit = most
-		seq.reason = "length"
-	}
-	seq.need = divideUp(int64(seq.prompt+most), int64(share))
+		answer:          newAnswer(model, prompt.Text),
+		model:           model,
+		blocks:          peer.PrefixBlocks(model, prompt.Text),
+		promptTokens:    prompt.Tokens(),
+		deliveredTokens: prompt.Continue.Tokens,
+		finishReason:    "stop",
+		groupSize:       groupSize,
+		wake:            make(chan struct{}, 1),
+	}
+	maxTokens := orDefault(prompt.MaxTokens, e.config.AnswerTokens)
+	seq.answerTokens = seq.answer.length(e.config.AnswerTokens)
+	if maxTokens <= seq.answerTokens {
+		seq.answerTokens = maxTokens
+		seq.finishReason = "length"
+	}
+	seq.memoryTokens = divideUp(int64(seq.promptTokens+maxTokens), int64(groupSize))
 	return seq
 }
 
-// checkContinuation refuses a continuation of some other answer. A real engine would go on
-// from any text, so a mix-up of two requests' streams would show only as a wrong answer.
-func checkContinuation(seq *sequence, given peer.Continuation) *refusal {
-	if given.Tokens < 0 || given.Tokens > seq.limit {
+// checkContinuation refuses a continuation of a different answer. A real engine would continue from
+// any text, so streams of two requests that were mixed up would show only as a wrong answer.
+func checkContinuation(seq *sequence, continuation peer.Continuation) *refusal {
+	if continuation.Tokens < 0 || continuation.Tokens > seq.answerTokens {
 		return invalid("continue_from.tokens is outside the answer")
 	}
-	if seq.answer.text(0, given.Tokens) != given.Text {
+	if seq.answer.text(0, continuation.Tokens) != continuation.Text {
 		return invalid("continue_from.text is not the beginning of this answer")
 	}
-	seq.produced.Store(int64(given.Tokens))
+	seq.produced.Store(int64(continuation.Tokens))
 	return nil
 }
 
 func divideUp(n, by int64) int64 { return (n + by - 1) / by }
 
-func members(r *http.Request) []string {
+func groupMembers(r *http.Request) []string {
 	list := r.Header.Get(peer.HeaderGroup)
 	if list == "" {
 		return nil
@@ -143,15 +143,15 @@
 	seq.arrival = e.arrivals
 	seq.run = strconv.FormatUint(e.arrivals, 10)
 	e.sequences[seq.run] = seq
-	if seq.start == seq.limit {
-		// The caller has the whole answer but for its end.
+	if seq.deliveredTokens == seq.answerTokens {
+		// Only the end of the answer is missing.
 		e.waiting = insert(e.waiting, seq)
 		e.finish(seq, outcome{usage: seq.usage()})
 		return nil
 	}
 	e.waiting = insert(e.waiting, seq)
-	e.kick()
-	e.touch()
+	e.startLoop()
+	e.recordState()
 	return nil
 }
 
@@ -162,7 +162,7 @@
 		return &refusal{http.StatusServiceUnavailable, peer.TypeBusy, "the engine takes no requests now"}
 	case seq.model != e.model && !adapter:
 		return &refusal{http.StatusNotFound, peer.TypeInvalid, "model " + strconv.Quote(seq.model) + " is not loaded"}
-	case seq.need > e.config.EngineTokens:
+	case seq.memoryTokens > e.config.EngineTokens:
 		return &refusal{http.StatusInsufficientStorage, peer.TypeMemory, "the request exceeds the engine's memory"}
 	case len(e.waiting) >= e.config.MaxQueue:
 		return &refusal{http.StatusServiceUnavailable, peer.TypeBusy, "the engine's queue is full"}
@@ -170,12 +170,12 @@
 	return nil
 }
 
-// relay sends tokens as they come. Tokens of several steps that pile up while a write
-// blocks go out in one event.
-func (e *Engine) relay(r *http.Request, out *sse, seq *sequence, fault Fault) {
+// streamTokens sends tokens as they are produced. Tokens of several steps that accumulate while a
+// write blocks are sent in one event.
+func (e *Engine) streamTokens(r *http.Request, out *sse, seq *sequence, fault Fault) {
 	keepAlive := time.NewTicker(e.config.KeepAlive)
 	defer keepAlive.Stop()
-	sent := seq.start
+	sent := seq.deliveredTokens
 	for {
 		select {
 		case <-seq.wake:
@@ -187,7 +187,7 @@
 		case <-r.Context().Done():
 			return
 		}
-		// The end is read before the tokens: after it there are no more.
+		// The end is read before the tokens, since none follow it.
 		ended := seq.ended.Load()
 		produced := int(seq.produced.Load())
 		if !sendTokens(r, out, seq, sent, produced, fault) {
@@ -201,10 +201,10 @@
 	}
 }
 
-// sendTokens sends the tokens from sent to produced; false means that the stream is over.
+// sendTokens sends the tokens from sent to produced; false means that the stream has ended.
 func sendTokens(r *http.Request, out *sse, seq *sequence, sent, produced int, fault Fault) bool {
-	breaks := seq.start + fault.AfterTokens
-	hit := fault.Kind != "" && produced >= breaks
+	breakAt := seq.deliveredTokens + fault.AfterTokens
+	hit := fault.Kind != "" && produced >= breakAt
 	if hit && fault.Kind == faults.Slow {
 		if httpfaults.Sleep(r.Context(), fault.Delay) != nil {
 			return false
@@ -212,7 +212,7 @@
 		hit = false
 	}
 	if hit {
-		produced = breaks
+		produced = breakAt
 	}
 	if produced > sent && out.text(seq.answer.text(sent, produced), produced-sent) != nil {
 		return false
@@ -221,7 +221,7 @@
 		return true
 	}
 	if fault.Kind == faults.Silent {
-		httpfaults.Silence(r)
+		httpfaults.Hang(r)
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -231,17 +231,17 @@
 		_ = out.fail(o)
 		return
 	}
-	_ = out.end(seq.reason, o.usage)
+	_ = out.end(seq.finishReason, o.usage)
 }
 
-// endAfter stops the run after the given number of milliseconds, if any, also when its
-// connection has gone silent. The returned function ends the wait.
-func (e *Engine) endAfter(seq *sequence, ms string) func() {
+// stopAfter stops the run after the given number of milliseconds, if any, even if its connection is
+// silent. The returned function stops the timer.
+func (e *Engine) stopAfter(seq *sequence, ms string) func() {
 	n, err := strconv.ParseInt(ms, 10, 64)
 	if err != nil {
 		return func() {}
 	}
-	timer := time.AfterFunc(time.Duration(n)*time.Millisecond, func() { e.end(seq, deadlinePast) })
+	timer := time.AfterFunc(time.Duration(n)*time.Millisecond, func() { e.stopSequence(seq, deadlineExceeded) })
 	return func() { timer.Stop() }
 }
 
--- a/standin/engine/group.go
+++ b/standin/engine/group.go
@@ -11,7 +11,7 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// memberTimeout bounds how long a group member may take to confirm a reservation.
+// memberTimeout bounds the time in which a group member must confirm a reservation.
 const memberTimeout = 2 * time.Second
 
 func newGroupClient() *http.Client {
@@ -21,38 +21,39 @@
 	}}
 }
 
-// heldGroup is the hold on the other engines of a group request.
-type heldGroup struct {
-	ctx    context.Context
-	leave  context.CancelFunc
-	bodies []io.ReadCloser
+// groupReservations holds the open watches on the reservations at the other engines of a group
+// request.
+type groupReservations struct {
+	ctx     context.Context
+	release context.CancelFunc
+	bodies  []io.ReadCloser
 }
 
-// holdGroup checks that each member has reserved its part of the memory. The caller calls
-// leave, also after a refusal.
-func (e *Engine) holdGroup(ctx context.Context, seq *sequence, urls []string) (*heldGroup, *refusal) {
+// checkGroup checks that each member has reserved its part of the memory. The caller calls release,
+// also after a refusal.
+func (e *Engine) checkGroup(ctx context.Context, seq *sequence, urls []string) (*groupReservations, *refusal) {
 	ctx, cancel := context.WithCancel(ctx)
-	held := &heldGroup{ctx: ctx, leave: cancel}
+	group := &groupReservations{ctx: ctx, release: cancel}
 	for _, base := range urls {
-		body, err := e.holdMember(ctx, base, seq)
+		body, err := e.checkMember(ctx, base, seq)
 		if err != nil {
-			return held, err
+			return group, err
 		}
-		held.bodies = append(held.bodies, body)
+		group.bodies = append(group.bodies, body)
 	}
-	return held, nil
+	return group, nil
 }
 
-// holdMember asks a member for the reservation under the request's id. The answer's body
-// ends when the member ends the reservation or is gone.
-func (e *Engine) holdMember(ctx context.Context, base string, seq *sequence) (io.ReadCloser, *refusal) {
+// checkMember requests the reservation with the request's ID from a member. The response body ends
+// when the member ends the reservation or fails.
+func (e *Engine) checkMember(ctx context.Context, base string, seq *sequence) (io.ReadCloser, *refusal) {
 	address := base + peer.PathReservations + "/" + url.PathEscape(seq.id) +
-		"?tokens=" + strconv.FormatInt(seq.need, 10)
+		"?tokens=" + strconv.FormatInt(seq.memoryTokens, 10)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return nil, invalid("group member %q: %v", base, err)
 	}
-	response, err := e.group.Do(r)
+	response, err := e.groupClient.Do(r)
 	if err != nil {
 		return nil, memberRefusal(base, err.Error())
 	}
@@ -63,8 +64,8 @@
 	return response.Body, nil
 }
 
-// watch calls lost when a member ends its reservation before leave is called.
-func (g *heldGroup) watch(lost func()) {
+// watch calls lost if a member ends its reservation before release is called.
+func (g *groupReservations) watch(lost func()) {
 	for _, body := range g.bodies {
 		go func() {
 			defer body.Close()
--- a/standin/engine/httpfaults/httpfaults.go
+++ b/standin/engine/httpfaults/httpfaults.go
@@ -11,7 +11,7 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// Wrap returns a handler that asks the table about each call of operation. A fault that
+// Wrap returns a handler that applies the table's faults to each call of operation. A fault that
 // breaks the connection does so with http.ErrAbortHandler.
 func Wrap(table *faults.Table, operation string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -34,27 +34,27 @@
 		}
 		next(w, r)
 	case faults.Silent:
-		Silence(r)
+		Hang(r)
 	case faults.AnswerLost:
-		next(&lost{header: http.Header{}}, r)
+		next(&discardingWriter{header: http.Header{}}, r)
 		panic(http.ErrAbortHandler)
 	case faults.Outage:
-		// A bare status: it does not prove to the caller that nothing ran.
+		// Without further headers, the status does not prove to the caller that nothing ran.
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 	default:
 		http.Error(w, "unknown fault "+string(fault.Kind), http.StatusInternalServerError)
 	}
 }
 
-// Silence sends nothing until the caller leaves. The body is read first, as net/http
-// notices that the caller left only after it.
-func Silence(r *http.Request) {
+// Hang sends nothing until the caller disconnects. It reads the body first, since net/http detects
+// a disconnect only after that.
+func Hang(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
 }
 
-// Sleep waits for d; it returns the context's error when that ends first.
+// Sleep waits for d; it returns the context's error if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -66,12 +66,12 @@
 	}
 }
 
-// lost takes an answer that never leaves the stand-in.
-type lost struct{ header http.Header }
+// discardingWriter is a response writer that discards the response.
+type discardingWriter struct{ header http.Header }
 
-func (l *lost) Header() http.Header         { return l.header }
-func (l *lost) Write(p []byte) (int, error) { return len(p), nil }
-func (l *lost) WriteHeader(int)             {}
+func (l *discardingWriter) Header() http.Header         { return l.header }
+func (l *discardingWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (l *discardingWriter) WriteHeader(int)             {}
 
 // Put returns the handler of PUT /faults: it reads a JSON list and passes it to set.
 func Put[F any](set func(...F)) http.HandlerFunc {
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -10,8 +10,8 @@
 	"acaciacleat.example/standin/engine/httpfaults"
 )
 
-// transfer is the form in which KV cache moves between engines: a prefix from its first
-// block on. Padding stands for the tensors.
+// transfer is the format in which KV cache is transferred between engines: the blocks of a prefix,
+// beginning with the first. Padding has the size of the tensors.
 type transfer struct {
 	Model   string   `json:"model"`
 	Version string   `json:"version"`
@@ -33,7 +33,7 @@
 	if e.transferDelay(r, t) != nil {
 		return
 	}
-	answerJSON(w, t)
+	writeJSON(w, t)
 }
 
 func (e *Engine) transferOf(block uint64) (transfer, bool) {
@@ -57,7 +57,7 @@
 }
 
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		refuse(w, http.StatusBadRequest, peer.TypeInvalid, err.Error())
 		return
@@ -70,27 +70,27 @@
 	if e.transferDelay(r, t) != nil {
 		return
 	}
-	if !e.take(t) {
+	if !e.importBlocks(t) {
 		refuse(w, http.StatusUnprocessableEntity, peer.TypeInvalid, "the blocks belong to another model or version")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take caches the blocks of another engine, as many from the prefix's start as there is
-// room for.
-func (e *Engine) take(t transfer) bool {
+// importBlocks caches the blocks of another engine, from the start of the prefix and as many as the
+// cache has room for.
+func (e *Engine) importBlocks(t transfer) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if t.Model != e.model || t.Version != e.version {
 		return false
 	}
-	fit := int(e.cacheRoom() / peer.BlockTokens)
+	fit := int(e.cacheLimit() / peer.BlockTokens)
 	blocks := t.Blocks[:min(len(t.Blocks), fit)]
 	for i := range blocks {
 		e.cache.add(blocks, i)
 	}
 	e.cache.use(blocks)
-	e.touch()
+	e.recordState()
 	return true
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// order carries out one order at a time and answers when it is done. An order whose caller
-// left is carried out all the same, as real engines do.
+// order executes an order, one at a time, and answers when it is done. Like in real engines, an
+// order is also executed if its caller disconnects.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var order peer.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
@@ -24,15 +24,15 @@
 		return
 	}
 	done := make(chan error, 1)
-	go func() { done <- e.carryOut(context.WithoutCancel(r.Context()), order) }()
+	go func() { done <- e.execute(context.WithoutCancel(r.Context()), order) }()
 	select {
 	case err := <-done:
-		answerOrder(w, err)
+		writeOrderResult(w, err)
 	case <-r.Context().Done():
 	}
 }
 
-func answerOrder(w http.ResponseWriter, err error) {
+func writeOrderResult(w http.ResponseWriter, err error) {
 	var refused *refusal
 	switch {
 	case err == nil:
@@ -46,7 +46,8 @@
 	}
 }
 
-// checkFence refuses numbers lower than the highest seen, if the engine looks at them.
+// checkFence refuses fencing tokens lower than the highest seen, if the engine is configured to
+// check them.
 func (e *Engine) checkFence(fence uint64) *refusal {
 	if !e.config.CheckFence {
 		return nil
@@ -60,10 +61,10 @@
 	return nil
 }
 
-func (e *Engine) carryOut(ctx context.Context, order peer.Order) error {
-	e.orders <- struct{}{}
-	defer func() { <-e.orders }()
-	// A later order with a higher number may have gone first meanwhile.
+func (e *Engine) execute(ctx context.Context, order peer.Order) error {
+	e.orderSlot <- struct{}{}
+	defer func() { <-e.orderSlot }()
+	// Meanwhile an order with a higher fencing token may have been executed.
 	if err := e.checkFence(order.Fence); err != nil {
 		return err
 	}
@@ -84,13 +85,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
-	e.touch()
+	e.recordState()
 }
 
-// loadModel takes no new requests, lets those taken finish, and replaces the model. The
-// cache and the adapters belong to the old model and go with it.
+// loadModel refuses new requests, waits for the accepted ones to finish, and replaces the model.
+// The cache and the adapters of the old model are dropped.
 func (e *Engine) loadModel(ctx context.Context, order peer.Order) error {
-	if e.serves(order) {
+	if e.servesModel(order) {
 		return nil
 	}
 	<-e.drain()
@@ -107,13 +108,13 @@
 	return nil
 }
 
-func (e *Engine) serves(order peer.Order) bool {
+func (e *Engine) servesModel(order peer.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.model == order.Name && e.version == order.Version
 }
 
-// drain stops the intake; the channel is closed when no request is left.
+// drain stops accepting requests; the returned channel is closed when none is left.
 func (e *Engine) drain() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// fetch takes the time that the weight store's rate gives for the artifact.
+// fetch waits for the time that a transfer of the artifact takes at the weight store's rate.
 func (e *Engine) fetch(ctx context.Context, order peer.Order, size int64) error {
 	rate := e.config.WeightRate
 	if store := e.config.Weights; store != nil {
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -10,24 +10,24 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// snapshot is the state from a time on, until the next snapshot.
+// snapshot is the engine's state from a time until the next snapshot.
 type snapshot struct {
 	at     time.Time
 	report peer.Report
 }
 
-// touch notes the state after a change, for reports that lag. The lock is held.
-func (e *Engine) touch() {
+// recordState records the state after a change, for reports that lag. The caller holds e.mu.
+func (e *Engine) recordState() {
 	if e.config.ReportLag == 0 {
 		return
 	}
 	now := time.Now()
 	e.history = append(e.history, snapshot{now, e.state()})
-	e.history = slices.Delete(e.history, 0, e.visible(now))
+	e.history = slices.Delete(e.history, 0, e.visibleIndex(now))
 }
 
-// visible returns the index of the newest snapshot that a report at now may show.
-func (e *Engine) visible(now time.Time) int {
+// visibleIndex returns the index of the newest snapshot that a report at now may show.
+func (e *Engine) visibleIndex(now time.Time) int {
 	limit := now.Add(-e.config.ReportLag)
 	i := len(e.history) - 1
 	for i > 0 && e.history[i].at.After(limit) {
@@ -43,22 +43,22 @@
 		Role:           e.role,
 		Adapters:       slices.Sorted(maps.Keys(e.adapters)),
 		CapacityTokens: e.config.EngineTokens,
-		UsedTokens:     e.used,
+		UsedTokens:     e.usedTokens,
 		CachedTokens:   e.cache.tokens(),
 		Allocations:    make([]peer.Allocation, 0, len(e.running)+len(e.reservations)),
 		Fence:          e.fence,
 	}
 	for _, seq := range e.running {
-		report.Allocations = append(report.Allocations, peer.Allocation{ID: seq.id, Tokens: seq.need})
+		report.Allocations = append(report.Allocations, peer.Allocation{ID: seq.id, Tokens: seq.memoryTokens})
 	}
 	for _, id := range slices.Sorted(maps.Keys(e.reservations)) {
-		held := peer.Allocation{ID: id, Tokens: e.reservations[id].tokens, Reserved: true}
-		report.Allocations = append(report.Allocations, held)
+		allocation := peer.Allocation{ID: id, Tokens: e.reservations[id].tokens, Reserved: true}
+		report.Allocations = append(report.Allocations, allocation)
 	}
 	return report
 }
 
-func (e *Engine) report(w http.ResponseWriter, _ *http.Request) { answerJSON(w, e.laggingReport()) }
+func (e *Engine) report(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.laggingReport()) }
 
 func (e *Engine) laggingReport() peer.Report {
 	e.mu.Lock()
@@ -66,13 +66,13 @@
 	if e.config.ReportLag == 0 {
 		return e.state()
 	}
-	report := e.history[e.visible(time.Now())].report
+	report := e.history[e.visibleIndex(time.Now())].report
 	report.AgeMs = e.config.ReportLag.Milliseconds()
 	return report
 }
 
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
-	seq, err := strconv.ParseUint(or(r.URL.Query().Get("after"), "0"), 10, 64)
+	seq, err := strconv.ParseUint(orDefault(r.URL.Query().Get("after"), "0"), 10, 64)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, peer.TypeInvalid, "after is not a number")
 		return
@@ -80,5 +80,5 @@
 	e.mu.Lock()
 	events := e.events.after(seq, time.Now())
 	e.mu.Unlock()
-	answerJSON(w, events)
+	writeJSON(w, events)
 }
--- a/standin/engine/reservation.go
+++ b/standin/engine/reservation.go
@@ -9,13 +9,13 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// reservation holds memory for a request that is still to come, or for the part of a
-// group request that another engine runs. It does not change; renewing replaces it.
+// reservation reserves memory for a future request, or for the part of a group request that another
+// engine runs. It is immutable; a renewal replaces it.
 type reservation struct {
 	tokens int64
 	timer  *time.Timer
-	// gone is closed when the reservation ends.
-	gone chan struct{}
+	// done is closed when the reservation ends.
+	done chan struct{}
 }
 
 func (e *Engine) reserve(w http.ResponseWriter, r *http.Request) {
@@ -35,34 +35,34 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// setReservation makes or renews a reservation; false means that there is no room.
+// setReservation creates or renews a reservation; false means that memory is insufficient.
 func (e *Engine) setReservation(id string, tokens int64, ttl time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.closed || e.used-e.reservedFor(id)+tokens > e.config.EngineTokens {
+	if e.closed || e.usedTokens-e.reservedFor(id)+tokens > e.config.EngineTokens {
 		return false
 	}
 	if old := e.reservations[id]; old != nil {
 		e.renew(old, id, tokens, ttl)
 		return true
 	}
-	made := &reservation{tokens: tokens, gone: make(chan struct{})}
-	made.timer = time.AfterFunc(ttl, func() { e.expire(id, made) })
-	e.reservations[id] = made
-	e.used += tokens
-	e.changed()
+	created := &reservation{tokens: tokens, done: make(chan struct{})}
+	created.timer = time.AfterFunc(ttl, func() { e.expire(id, created) })
+	e.reservations[id] = created
+	e.usedTokens += tokens
+	e.memoryChanged()
 	return true
 }
 
 func (e *Engine) renew(old *reservation, id string, tokens int64, ttl time.Duration) {
-	e.used += tokens - old.tokens
+	e.usedTokens += tokens - old.tokens
 	old.timer.Stop()
-	// A new timer and not a reset: the old one may be waiting for the lock by now, and
-	// its expire must not end the renewed reservation.
-	renewed := &reservation{tokens: tokens, gone: old.gone}
+	// A new timer instead of a reset: the old one may already wait for the lock, and its call of
+	// expire must not end the renewed reservation.
+	renewed := &reservation{tokens: tokens, done: old.done}
 	renewed.timer = time.AfterFunc(ttl, func() { e.expire(id, renewed) })
 	e.reservations[id] = renewed
-	e.changed()
+	e.memoryChanged()
 }
 
 func (e *Engine) expire(id string, expected *reservation) {
@@ -71,7 +71,7 @@
 	if e.reservations[id] == expected {
 		e.stats.Expired++
 		e.dropReservation(id)
-		e.changed()
+		e.memoryChanged()
 	}
 }
 
@@ -88,36 +88,36 @@
 	return 0
 }
 
-// dropReservation ends a reservation if there is one. The lock is held.
+// dropReservation ends a reservation and reports whether there was one. The caller holds e.mu.
 func (e *Engine) dropReservation(id string) bool {
 	r := e.reservations[id]
 	if r == nil {
 		return false
 	}
 	r.timer.Stop()
-	close(r.gone)
+	close(r.done)
 	delete(e.reservations, id)
-	e.used -= r.tokens
+	e.usedTokens -= r.tokens
 	return true
 }
 
-// watchReservation answers 200 if a reservation of at least ?tokens= exists, and keeps
-// the answer open until it ends.
+// watchReservation answers 200 if a reservation of at least the tokens in the query exists, and
+// keeps the response open until the reservation ends.
 func (e *Engine) watchReservation(w http.ResponseWriter, r *http.Request) {
 	tokens, err := strconv.ParseInt(r.URL.Query().Get("tokens"), 10, 64)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, peer.TypeInvalid, "tokens is not a number")
 		return
 	}
-	held := e.reservationOf(r.PathValue("id"))
-	if held == nil || held.tokens < tokens {
+	reserved := e.reservationOf(r.PathValue("id"))
+	if reserved == nil || reserved.tokens < tokens {
 		refuse(w, http.StatusNotFound, peer.TypeMemory, "no such reservation")
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(w).Flush()
 	select {
-	case <-held.gone:
+	case <-reserved.done:
 	case <-r.Context().Done():
 	}
 }
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -6,38 +6,38 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// sequence is one run of a request. Fields without a note are guarded by Engine.mu.
+// sequence is one run of a request. Unless noted otherwise, fields are guarded by Engine.mu.
 type sequence struct {
-	// Fixed at submission.
-	id       string
-	run      string
-	priority int
-	arrival  uint64
-	answer   answer
-	model    string
-	blocks   []uint64
-	prompt   int
-	start    int // tokens delivered before this run
-	limit    int // length of the whole answer
-	reason   string
-	need     int64 // tokens of memory held here while it runs
-	share    int   // engines that work on the prompt
+	// Set at submission, then constant.
+	id              string
+	run             string
+	priority        int
+	arrival         uint64
+	answer          answer
+	model           string
+	blocks          []uint64
+	promptTokens    int
+	deliveredTokens int // tokens delivered by earlier runs
+	answerTokens    int // length of the whole answer
+	finishReason    string
+	memoryTokens    int64 // tokens of memory on this engine while it runs
+	groupSize       int   // number of engines that prefill the prompt
 
-	running   bool
-	started   bool
-	cached    int // prompt tokens found in the prefix cache
-	prefilled int
-	toPrefill int
-	end       *outcome
+	running         bool
+	started         bool
+	cachedTokens    int // prompt tokens found in the prefix cache
+	prefilledTokens int
+	prefillTarget   int
+	end             *outcome
 
-	// produced and ended are also read by the handler, without the lock.
+	// produced and ended are also read by the handler without the lock.
 	produced atomic.Int64
 	ended    atomic.Pointer[outcome]
-	// wake has room for one signal: something changed.
+	// wake has capacity for one signal that the sequence has changed.
 	wake chan struct{}
 }
 
-// outcome is how a sequence ended; an empty kind is the regular end.
+// outcome is how a sequence ended; an empty kind means success.
 type outcome struct {
 	kind    string
 	message string
@@ -45,10 +45,10 @@
 }
 
 var (
-	cancelled    = outcome{kind: typeCancelled, message: "the request was cancelled"}
-	deadlinePast = outcome{kind: peer.TypeDeadline, message: "the request's time passed"}
-	memberLost   = outcome{kind: peer.TypeFailed, message: "a group member lost the reservation"}
-	engineClosed = outcome{kind: peer.TypeFailed, message: "the engine stopped"}
+	cancelled        = outcome{kind: typeCancelled, message: "the request was cancelled"}
+	deadlineExceeded = outcome{kind: peer.TypeDeadline, message: "the request's time passed"}
+	memberLost       = outcome{kind: peer.TypeFailed, message: "a group member lost the reservation"}
+	engineClosed     = outcome{kind: peer.TypeFailed, message: "the engine stopped"}
 )
 
 const typeCancelled = "cancelled"
@@ -68,12 +68,12 @@
 	return s.arrival < other.arrival
 }
 
-func (s *sequence) decoding() bool { return s.prefilled >= s.toPrefill }
+func (s *sequence) decoding() bool { return s.prefilledTokens >= s.prefillTarget }
 
 func (s *sequence) usage() peer.Usage {
 	return peer.Usage{
-		PromptTokens:     s.prompt,
-		CachedTokens:     s.cached,
+		PromptTokens:     s.promptTokens,
+		CachedTokens:     s.cachedTokens,
 		CompletionTokens: int(s.produced.Load()),
 	}
 }
--- a/standin/engine/sse.go
+++ b/standin/engine/sse.go
@@ -8,7 +8,7 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// sse writes one streamed answer in the OpenAI shape.
+// sse writes one streamed answer in the format of the OpenAI API.
 type sse struct {
 	w     http.ResponseWriter
 	flush func()
@@ -71,7 +71,7 @@
 	return s.event(peer.ErrorBody{Error: peer.ErrorDetail{Type: o.kind, Message: o.message}})
 }
 
-// comment is a keep-alive: it shows that the connection lives while there is no token.
+// comment sends a keep-alive, which shows that the connection works while there are no tokens.
 func (s *sse) comment() error {
 	_, err := s.w.Write([]byte(": keep-alive\n\n"))
 	s.flush()
--- a/standin/engine/step.go
+++ b/standin/engine/step.go
@@ -7,25 +7,25 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// catchUp bounds how far the steps may lag behind their schedule on a busy machine
-// before the schedule is moved.
-const catchUp = 50 * time.Millisecond
+// maxScheduleLag is how far the steps may lag behind their schedule on a busy machine before the
+// schedule is shifted.
+const maxScheduleLag = 50 * time.Millisecond
 
 // step is one iteration over the batch.
 type step struct {
-	decode  []*sequence
-	prefill []chunk
-	lasts   time.Duration
+	decode   []*sequence
+	prefill  []chunk
+	duration time.Duration
 }
 
-// chunk is the part of a prompt that one step computes.
+// chunk is the part of a prompt that one step prefills.
 type chunk struct {
 	seq    *sequence
 	tokens int
 }
 
-// kick starts the step loop if there is work that it can do. The lock is held.
-func (e *Engine) kick() {
+// startLoop starts the step loop if it is not running and a request can run. The caller holds e.mu.
+func (e *Engine) startLoop() {
 	if e.looping || e.closed {
 		return
 	}
@@ -37,8 +37,8 @@
 	go e.loop()
 }
 
-// loop runs steps until nothing runs. Each step's end is scheduled from the one
-// before, so that the timer's error does not add up.
+// loop runs steps while requests run. It schedules the end of each step from that of the step
+// before, so that timer errors do not accumulate.
 func (e *Engine) loop() {
 	next := time.Now()
 	for {
@@ -46,8 +46,8 @@
 		if !ok {
 			return
 		}
-		next = next.Add(s.lasts)
-		if late := time.Since(next); late > catchUp {
+		next = next.Add(s.duration)
+		if late := time.Since(next); late > maxScheduleLag {
 			next = next.Add(late)
 		}
 		time.Sleep(time.Until(next))
@@ -67,8 +67,8 @@
 	return e.plan(), true
 }
 
-// plan gives the step's budget first to the requests that decode and then to prompts,
-// in order of priority. A group of n engines computes n tokens for the cost of one.
+// plan assigns the step's budget first to the requests that decode and then to prompts in order of
+// priority. A group of n engines prefills n tokens for the cost of one.
 func (e *Engine) plan() step {
 	var s step
 	budget := e.config.StepTokens
@@ -83,22 +83,22 @@
 		if seq.decoding() || budget <= 0 {
 			continue
 		}
-		tokens := min(seq.toPrefill-seq.prefilled, budget*seq.share)
+		tokens := min(seq.prefillTarget-seq.prefilledTokens, budget*seq.groupSize)
 		s.prefill = append(s.prefill, chunk{seq, tokens})
-		used := (tokens + seq.share - 1) / seq.share
-		budget -= used
-		cost += used
+		groupCost := (tokens + seq.groupSize - 1) / seq.groupSize
+		budget -= groupCost
+		cost += groupCost
 	}
-	s.lasts = e.stepTime(len(s.decode), cost)
+	s.duration = e.stepTime(len(s.decode), cost)
 	return s
 }
 
 func (e *Engine) stepTime(decoding, prefillTokens int) time.Duration {
-	lasts := time.Duration(float64(prefillTokens) / e.config.PrefillRate * float64(time.Second))
+	duration := time.Duration(float64(prefillTokens) / e.config.PrefillRate * float64(time.Second))
 	if decoding > 0 {
-		lasts += e.config.DecodeStep + time.Duration(decoding)*e.config.DecodePerSeq
+		duration += e.config.DecodeStep + time.Duration(decoding)*e.config.DecodePerSeq
 	}
-	return lasts
+	return duration
 }
 
 func (e *Engine) endStep(s step) {
@@ -116,11 +116,11 @@
 	}
 }
 
-// prefill notes computed prompt tokens. The step that ends a prompt gives a token too.
+// prefill records prefilled prompt tokens. The step that completes a prompt also produces a token.
 func (e *Engine) prefill(seq *sequence, tokens int) {
-	first := seq.prefilled / peer.BlockTokens
-	seq.prefilled += tokens
-	last := min(seq.prefilled/peer.BlockTokens, len(seq.blocks))
+	first := seq.prefilledTokens / peer.BlockTokens
+	seq.prefilledTokens += tokens
+	last := min(seq.prefilledTokens/peer.BlockTokens, len(seq.blocks))
 	for i := first; i < last; i++ {
 		e.cache.add(seq.blocks, i)
 	}
@@ -130,9 +130,9 @@
 }
 
 func (e *Engine) produce(seq *sequence, tokens int) {
-	produced := min(seq.limit, int(seq.produced.Load())+tokens)
+	produced := min(seq.answerTokens, int(seq.produced.Load())+tokens)
 	seq.produced.Store(int64(produced))
-	if produced == seq.limit {
+	if produced == seq.answerTokens {
 		e.stats.Completed++
 		e.finish(seq, outcome{usage: seq.usage()})
 		return
@@ -140,12 +140,12 @@
 	seq.signal()
 }
 
-// admit moves requests from the queue into the batch, in order and as far as memory
-// reaches. A request that does not fit holds back those behind it. The lock is held.
+// admit moves requests from the queue into the batch, in order and while memory suffices. A request
+// that does not fit blocks those behind it. The caller holds e.mu.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 {
 		head := e.waiting[0]
-		if !e.fits(head) && !e.makeRoom(head) {
+		if !e.fits(head) && !e.preemptFor(head) {
 			return
 		}
 		e.waiting = e.waiting[1:]
@@ -155,20 +155,20 @@
 
 func (e *Engine) fits(seq *sequence) bool {
 	reserved := e.reservedFor(seq.id)
-	return len(e.running) < e.config.MaxBatch && e.used-reserved+seq.need <= e.config.EngineTokens
+	return len(e.running) < e.config.MaxBatch && e.usedTokens-reserved+seq.memoryTokens <= e.config.EngineTokens
 }
 
-// makeRoom preempts running requests of lower priority, the lowest and latest first, if
-// that is enough for seq.
-func (e *Engine) makeRoom(seq *sequence) bool {
+// preemptFor preempts running requests of lower priority, beginning with the lowest and latest, if
+// that frees enough for seq.
+func (e *Engine) preemptFor(seq *sequence) bool {
 	if !e.config.Preempt {
 		return false
 	}
-	free := e.config.EngineTokens - e.used + e.reservedFor(seq.id)
+	free := e.config.EngineTokens - e.usedTokens + e.reservedFor(seq.id)
 	slots := e.config.MaxBatch - len(e.running)
 	var victims []*sequence
 	for i := len(e.running) - 1; i >= 0; i-- {
-		if free >= seq.need && slots > 0 {
+		if free >= seq.memoryTokens && slots > 0 {
 			break
 		}
 		victim := e.running[i]
@@ -176,10 +176,10 @@
 			break
 		}
 		victims = append(victims, victim)
-		free += victim.need
+		free += victim.memoryTokens
 		slots++
 	}
-	if free < seq.need || slots <= 0 {
+	if free < seq.memoryTokens || slots <= 0 {
 		return false
 	}
 	for _, victim := range victims {
@@ -190,32 +190,32 @@
 
 func (e *Engine) start(seq *sequence) {
 	e.dropReservation(seq.id)
-	e.used += seq.need
+	e.usedTokens += seq.memoryTokens
 	seq.running = true
 	e.running = insert(e.running, seq)
 	if !seq.started {
 		seq.started = true
 		e.stats.Runs[seq.id]++
 	}
-	seq.toPrefill = seq.prompt + int(seq.produced.Load())
+	seq.prefillTarget = seq.promptTokens + int(seq.produced.Load())
 	hits := e.cache.hit(seq.blocks)
-	// The last prompt token is always computed: it gives the first token of the answer.
-	seq.prefilled = min(hits*peer.BlockTokens, seq.toPrefill-1)
-	seq.cached = seq.prefilled
-	e.cache.shrink(e.cacheRoom())
-	e.touch()
+	// The last prompt token is always computed: it produces the first token of the answer.
+	seq.prefilledTokens = min(hits*peer.BlockTokens, seq.prefillTarget-1)
+	seq.cachedTokens = seq.prefilledTokens
+	e.cache.setLimit(e.cacheLimit())
+	e.recordState()
 }
 
 func (e *Engine) preempt(seq *sequence) {
 	e.stats.Preempted++
 	e.running = remove(e.running, seq)
 	seq.running = false
-	e.used -= seq.need
+	e.usedTokens -= seq.memoryTokens
 	e.waiting = insert(e.waiting, seq)
 }
 
-// finish ends a sequence in any state and frees what it holds; a second call does
-// nothing. The lock is held.
+// finish ends a sequence in any state and releases its memory; a second call has no effect. The
+// caller holds e.mu.
 func (e *Engine) finish(seq *sequence, o outcome) {
 	if seq.end != nil {
 		return
@@ -224,7 +224,7 @@
 	if seq.running {
 		seq.running = false
 		e.running = remove(e.running, seq)
-		e.used -= seq.need
+		e.usedTokens -= seq.memoryTokens
 		e.cache.use(seq.blocks)
 	} else {
 		e.waiting = remove(e.waiting, seq)
@@ -232,7 +232,7 @@
 	delete(e.sequences, seq.run)
 	seq.ended.Store(&o)
 	seq.signal()
-	e.changed()
+	e.memoryChanged()
 }
 
 func insert(list []*sequence, seq *sequence) []*sequence {
--- a/standin/faults/faults.go
+++ b/standin/faults/faults.go
@@ -1,4 +1,4 @@
-// Package faults is the table of faults that every stand-in takes.
+// Package faults provides the table of faults that every stand-in takes.
 package faults
 
 import (
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Kind is what goes wrong.
+// Kind is the kind of a fault.
 type Kind string
 
 // The kinds of fault.
 const (
-	// Die closes the connection before the call has any effect.
+	// Die closes the connection before the call takes effect.
 	Die Kind = "die"
 	// Slow delays the call by Fault.Delay.
 	Slow Kind = "slow"
-	// Silent takes the call, has no effect and never answers.
+	// Silent accepts the call, has no effect and never answers.
 	Silent Kind = "silent"
-	// AnswerLost lets the call take effect and then closes the connection.
+	// AnswerLost lets the call take effect and closes the connection without an answer.
 	AnswerLost Kind = "answer-lost"
 	// Outage refuses the call with an error status and no effect.
 	Outage Kind = "outage"
@@ -28,14 +28,14 @@
 	// Operation names the stand-in's operation; "*" means all.
 	Operation string `json:"operation"`
 	Kind      Kind   `json:"kind"`
-	// Skip is the number of calls let through first, Count the number hit after
-	// that; Count 0 means all.
+	// Skip is the number of calls that pass before the fault applies, Count the number of calls
+	// that it then applies to; Count 0 means all.
 	Skip  int           `json:"skip,omitempty"`
 	Count int           `json:"count,omitempty"`
 	Delay time.Duration `json:"delay,omitempty"`
 }
 
-// Table holds the faults in force. The zero value has none. It is safe for concurrent use.
+// Table holds the active faults. The zero value has none. It is safe for concurrent use.
 type Table struct {
 	mu     sync.Mutex
 	faults []Fault
@@ -43,15 +43,15 @@
 	onHit  func(Fault)
 }
 
-// OnHit makes Next call f with each fault that hits, before the fault acts. A test uses
-// it to learn that a call has reached the stand-in without waiting for a time to pass.
+// OnHit makes Next call f with each fault that applies, before it takes effect. Tests use it to
+// learn without a timer that a call has reached the stand-in.
 func (t *Table) OnHit(f func(Fault)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.onHit = f
 }
 
-// Set replaces all faults and counts from zero.
+// Set replaces all faults and resets their counters.
 func (t *Table) Set(faults ...Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +59,7 @@
 	t.seen = make([]int, len(faults))
 }
 
-// Next returns the fault that hits the next call of operation; ok is false when none does.
+// Next returns the fault that applies to the next call of operation; ok is false if there is none.
 func (t *Table) Next(operation string) (fault Fault, ok bool) {
 	fault, onHit, ok := t.next(operation)
 	if ok && onHit != nil {
--- a/standin/faults/listener.go
+++ b/standin/faults/listener.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// Listener wraps a net.Listener so that its open connections can be made silent. It
-// stands for a device between the two ends that has forgotten its connections: nothing
-// arrives on them any more, neither end is told, and new connections work.
+// Listener wraps a net.Listener so that its open connections can be made silent. This simulates a
+// device on the path that has lost its connection state: nothing arrives on the open connections,
+// neither end gets an error, and new connections work.
 type Listener struct {
 	net.Listener
 
@@ -34,7 +34,7 @@
 	return conn, nil
 }
 
-// Silence makes all connections that are open now silent for good and returns how many.
+// Silence makes all open connections silent for good and returns their number.
 func (l *Listener) Silence() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,8 +50,8 @@
 	silent   atomic.Bool
 }
 
-// Read swallows what arrives on a silent connection. It returns once the connection is
-// closed, so that a test's server can stop.
+// Read discards what arrives on a silent connection. It returns when the connection is closed, so
+// that a test's server can stop.
 func (c *silentConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Write drops what is sent on a silent connection and reports success.
+// Write discards data for a silent connection and reports success.
 func (c *silentConn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,9 +1,9 @@
-// Package plain is a stand-in for a plain service, for tests and the dev mode. It
-// counts how often each call ran, which a real service can't be asked.
+// Package plain is a stand-in for a plain service, for tests and the dev mode. It counts how often
+// each call ran, which a real service does not report.
 //
-// The fault faults.AnswerLost runs a call and closes its connection without a byte of an
-// answer. On a kept-alive connection (Skip: 1) this is the break after which net/http's
-// transport may send the call a second time by itself.
+// The fault faults.AnswerLost runs a call and closes its connection without sending any byte. On a
+// kept-alive connection (Skip: 1) the transport of net/http may then send the call a second time by
+// itself.
 package plain
 
 import (
@@ -20,31 +20,31 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// Headers that identify a call: the id that the agent passes, and a test's own mark.
+// Headers that identify a call: the ID that the agent passes on, and a tag set by a test.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderCallTag   = "X-Call-Tag"
 )
 
-// The operations that faults name. OpRead are GET and HEAD calls, OpWrite all others.
+// Names of the operations in faults.Fault. OpRead are GET and HEAD calls, OpWrite all others.
 const (
 	OpRead   = "read"
 	OpWrite  = "write"
 	OpHealth = "health"
 )
 
-// maxBody bounds a call's body in bytes.
-const maxBody = 64 << 20
+// maxBodyBytes bounds the body of a call.
+const maxBodyBytes = 64 << 20
 
-// Config is the stand-in's behaviour.
+// Config is the configuration of the stand-in.
 type Config struct {
 	// ServiceTime is how long each call takes.
 	ServiceTime time.Duration
 }
 
-// Stats count what the service did.
+// Stats counts the calls that ran.
 type Stats struct {
-	// RunsByID and RunsByTag tell how often each call ran, by the two headers.
+	// RunsByID and RunsByTag count the runs of each call by the two headers.
 	RunsByID  map[string]int `json:"runs_by_id"`
 	RunsByTag map[string]int `json:"runs_by_tag"`
 	// Runs counts all calls that ran.
@@ -62,7 +62,7 @@
 	jobs  int
 }
 
-// New returns a service.
+// New returns a new service.
 func New(config Config) *Service {
 	s := &Service{
 		config: config,
@@ -71,16 +71,16 @@
 	}
 	s.mux.HandleFunc("GET /healthz", httpfaults.Wrap(&s.faults, OpHealth, func(http.ResponseWriter, *http.Request) {}))
 	s.mux.HandleFunc("PUT /faults", httpfaults.Put(s.SetFaults))
-	s.mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { answerJSON(w, s.Stats()) })
+	s.mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Stats()) })
 	s.handle("GET /parts", listParts)
 	s.handle("POST /jobs", s.postJob)
 	s.handle("/", echo)
 	return s
 }
 
-// handle serves a pattern with the faults of reads or writes and counts its runs.
+// handle registers a pattern, applies the faults of reads or writes, and counts the runs.
 func (s *Service) handle(pattern string, h http.HandlerFunc) {
-	run := s.counted(h)
+	run := s.countRuns(h)
 	read := httpfaults.Wrap(&s.faults, OpRead, run)
 	write := httpfaults.Wrap(&s.faults, OpWrite, run)
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
@@ -95,7 +95,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFaults replaces all faults and counts from zero.
+// SetFaults replaces all faults and resets their counters.
 func (s *Service) SetFaults(list ...faults.Fault) { s.faults.Set(list...) }
 
 // Stats returns the counters.
@@ -108,10 +108,10 @@
 	return stats
 }
 
-// counted counts a call once its whole body is here: from then on it has run.
-func (s *Service) counted(h http.HandlerFunc) http.HandlerFunc {
+// countRuns counts a call as run once its whole body has arrived.
+func (s *Service) countRuns(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -136,8 +136,7 @@
 	}
 }
 
-// Job is the answer to POST /jobs. Each run makes a new one, so a call that ran twice
-// leaves two jobs.
+// Job is the answer to POST /jobs. Each run creates a job, so a call that ran twice creates two.
 type Job struct {
 	Job int `json:"job"`
 }
@@ -148,7 +147,7 @@
 	job := Job{Job: s.jobs}
 	s.mu.Unlock()
 	w.Header().Set("Location", "/jobs/"+strconv.Itoa(job.Job))
-	answerJSONStatus(w, http.StatusCreated, job)
+	writeJSONStatus(w, http.StatusCreated, job)
 }
 
 // Part is one item of GET /parts.
@@ -163,9 +162,9 @@
 	{"SL-031", "seal kit"},
 }
 
-func listParts(w http.ResponseWriter, _ *http.Request) { answerJSON(w, parts) }
+func listParts(w http.ResponseWriter, _ *http.Request) { writeJSON(w, parts) }
 
-// echo answers with the call's body and type, and with ?status= as status.
+// echo answers with the call's body and content type, and with the status from the query.
 func echo(w http.ResponseWriter, r *http.Request) {
 	status := http.StatusOK
 	if text := r.URL.Query().Get("status"); text != "" {
@@ -188,9 +187,9 @@
 	return r
 }
 
-func answerJSON(w http.ResponseWriter, v any) { answerJSONStatus(w, http.StatusOK, v) }
+func writeJSON(w http.ResponseWriter, v any) { writeJSONStatus(w, http.StatusOK, v) }
 
-func answerJSONStatus(w http.ResponseWriter, status int, v any) {
+func writeJSONStatus(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/standin/platform/contract_test.go
+++ b/standin/platform/contract_test.go
@@ -26,26 +26,25 @@
 	vm       = vmlist.VM{ID: "vm-1", Role: vmlist.RoleAgent, Zone: "cwb-a", Link: "127.0.0.1:9", Service: "parts", Draining: true}
 )
 
-// peers are one implementation of each interface. That of table.Store is tested beside
-// its package.
-type peers struct {
+// clients holds one implementation of each interface. table.Store is tested beside its package.
+type clients struct {
 	*platform.Platform
 	objects objects.Store
 	vms     vmlist.Lister
 	weights weights.Store
 }
 
-// eachPeers runs a test against the services in the process and over HTTP.
-func eachPeers(t *testing.T, test func(t *testing.T, p peers)) {
+// forEachTransport runs a test against the services in the process and over HTTP.
+func forEachTransport(t *testing.T, test func(t *testing.T, p clients)) {
 	t.Run("memory", func(t *testing.T) {
 		p := platform.New(bytesPerSecond)
-		test(t, peers{p, p.Objects, p.VMs, p.Weights})
+		test(t, clients{p, p.Objects, p.VMs, p.Weights})
 	})
 	t.Run("http", func(t *testing.T) {
 		p := platform.New(bytesPerSecond)
 		server := httptest.NewServer(p.Handler())
 		t.Cleanup(server.Close)
-		test(t, peers{
+		test(t, clients{
 			Platform: p,
 			objects:  objects.NewHTTP(server.URL+platform.PathObjects, httpjson.Options{}),
 			vms:      vmlist.NewHTTP(server.URL+platform.PathVMs, httpjson.Options{}),
@@ -55,7 +54,7 @@
 }
 
 func TestObjects(t *testing.T) {
-	eachPeers(t, func(t *testing.T, p peers) {
+	forEachTransport(t, func(t *testing.T, p clients) {
 		for _, name := range []string{"plain", "a//b/../c?d=e&f", "número 1"} {
 			_, err := p.objects.Get(t.Context(), name)
 			require.ErrorIs(t, err, objects.ErrNotFound)
@@ -66,7 +65,7 @@
 				require.Equal(t, data, got)
 			}
 			require.NoError(t, p.objects.Delete(t.Context(), name))
-			require.NoError(t, p.objects.Delete(t.Context(), name), "deleting twice is no failure")
+			require.NoError(t, p.objects.Delete(t.Context(), name), "deleting a missing object is no error")
 			_, err = p.objects.Get(t.Context(), name)
 			require.ErrorIs(t, err, objects.ErrNotFound)
 		}
@@ -74,7 +73,7 @@
 }
 
 func TestVMs(t *testing.T) {
-	eachPeers(t, func(t *testing.T, p peers) {
+	forEachTransport(t, func(t *testing.T, p clients) {
 		list := func() []vmlist.VM {
 			vms, err := p.vms.List(t.Context())
 			require.NoError(t, err)
@@ -90,7 +89,7 @@
 }
 
 func TestWeights(t *testing.T) {
-	eachPeers(t, func(t *testing.T, p peers) {
+	forEachTransport(t, func(t *testing.T, p clients) {
 		_, err := p.weights.Describe(t.Context(), artifact.Name, artifact.Version)
 		require.ErrorIs(t, err, weights.ErrNotFound)
 		p.Weights.Add(artifact)
@@ -108,9 +107,8 @@
 	})
 }
 
-// Symptom: a service cannot be asked, or a put fails and the object may be there or
-// not. Sequence: one fault during each call; the caller repeats it. Cause: each fault
-// below. The repeat always succeeds.
+// Each call fails with the fault's error and succeeds when it is repeated. A failed Put has stored
+// the object only if just its answer was lost.
 func TestCallsUnderFaults(t *testing.T) {
 	cases := []struct {
 		fault         faults.Fault
@@ -124,7 +122,7 @@
 	}
 	for _, c := range cases {
 		t.Run(string(c.fault.Kind), func(t *testing.T) {
-			eachPeers(t, func(t *testing.T, p peers) {
+			forEachTransport(t, func(t *testing.T, p clients) {
 				p.Weights.Add(artifact)
 				calls := []struct {
 					operation string
@@ -167,9 +165,8 @@
 	}
 }
 
-// Symptom: a VM that has gone is still listed. Sequence: the VM goes; the list is read
-// just before and just after its lag has passed. Cause: the platform publishes late.
-func TestLagEnds(t *testing.T) {
+// The list shows a change exactly when its lag has passed, since the platform publishes late.
+func TestListShowsChangesAfterItsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform.New(1)
 		p.VMs.Set(vm)
@@ -184,9 +181,8 @@
 	})
 }
 
-// Symptom: loads are refused for a while. Sequence: two fetches are booked together;
-// a third is refused until the backlog is down to its bound. Cause: the fetches share
-// the store's rate.
+// Fetches share the store's rate: two run one after the other, and a third is refused until the
+// backlog is within its limit.
 func TestFetchesShareTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platform.New(bytesPerSecond).Weights
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -21,17 +21,17 @@
 const (
 	PathTable   = "/table"
 	PathObjects = "/objects"
-	// PathVMs also takes a PUT with the JSON list of the VMs that there truly are.
+	// PathVMs also takes a PUT with the current VMs as a JSON list.
 	PathVMs     = "/vms"
 	PathWeights = "/weights"
-	// PathFaults takes a PUT with the JSON list of the faults that shall be in force.
+	// PathFaults takes a PUT with the faults to apply as a JSON list.
 	PathFaults = "/faults"
 )
 
 const maxBodyBytes = 64 << 20
 
-// Handler serves the platform over HTTP. Unlike calls in the process, calls over HTTP
-// meet a fault as a real caller does: by a closed connection or a missing answer.
+// Handler serves the platform over HTTP. In contrast to calls within the process, a fault shows as
+// it does to a real client: as a closed connection or a missing answer.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	p.mountTable(mux)
@@ -89,7 +89,7 @@
 	}))
 }
 
-// call is one HTTP call, read in full.
+// call is one HTTP request with its whole body.
 type call struct {
 	request *http.Request
 	body    []byte
@@ -97,7 +97,8 @@
 
 func (c call) query(name string) string { return c.request.URL.Query().Get(name) }
 
-// serve answers one operation with what apply returns, under the faults in force.
+// serve returns a handler of one operation that applies the table of faults and answers with the
+// result of apply.
 func (p *Platform) serve(operation string, apply func(call) (any, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -108,10 +109,10 @@
 		fault, _ := p.Faults.Next(operation)
 		switch fault.Kind {
 		case faults.Die:
-			closeConnection()
+			abortConnection()
 		case faults.Silent:
 			<-r.Context().Done()
-			closeConnection()
+			abortConnection()
 		case faults.Outage:
 			writeError(w, httpjson.CodeNotApplied, "outage")
 			return
@@ -120,15 +121,14 @@
 		}
 		answer, err := apply(call{request: r, body: body})
 		if fault.Kind == faults.AnswerLost {
-			closeConnection()
+			abortConnection()
 		}
 		writeAnswer(w, answer, err)
 	})
 }
 
-// closeConnection ends the handler in the way by which net/http closes the connection
-// without an answer.
-func closeConnection() { panic(http.ErrAbortHandler) }
+// abortConnection makes net/http close the connection without an answer.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
 func (p *Platform) putFaults(w http.ResponseWriter, r *http.Request) {
 	if list, ok := readList[faults.Fault](w, r); ok {
@@ -142,7 +142,7 @@
 	}
 }
 
-// readList reads a JSON list and answers the request.
+// readList reads a JSON list and writes the response.
 func readList[T any](w http.ResponseWriter, r *http.Request) ([]T, bool) {
 	var list []T
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform stands in for the platform's services: the table service, the
-// object store, the list of VMs and the weight store. Each keeps its data in memory,
-// takes a table of faults, and can be called in the process or over HTTP; see Handler.
+// Package platform contains stand-ins for the platform's services: the table service, the object
+// store, the list of VMs and the weight store. Each keeps its data in memory, takes a table of
+// faults, and can be called in the process or over HTTP; see Handler.
 package platform
 
 import (
@@ -10,7 +10,7 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// Operations that faults name.
+// Names of the operations in faults.Fault.
 const (
 	OpTableGet        = "table.get"
 	OpTableScan       = "table.scan"
@@ -23,7 +23,7 @@
 	OpWeightsRate     = "weights.rate"
 )
 
-// Platform holds one of each service over one table of faults.
+// Platform holds one stand-in of each service; they share a table of faults.
 type Platform struct {
 	Faults  *faults.Table
 	Table   *Table
@@ -32,7 +32,7 @@
 	Weights *Weights
 }
 
-// New returns an empty platform whose weight store gives bytesPerSecond.
+// New returns an empty platform whose weight store has the given rate.
 func New(bytesPerSecond float64) *Platform {
 	f := &faults.Table{}
 	return &Platform{
@@ -44,25 +44,25 @@
 	}
 }
 
-// failures are the errors by which an operation shows a fault to its caller.
+// failures are the errors that a faulty operation returns.
 type failures struct {
-	// refused is the answer during an outage.
+	// refused is returned during an outage.
 	refused error
-	// lost stands for a call that was sent and had no answer.
+	// lost is returned if the call was sent and its answer is missing.
 	lost error
 }
 
-type outcome[T any] struct {
+type result[T any] struct {
 	value T
 	err   error
 }
 
-// inject runs apply under the fault that hits the operation, if any. A slow call takes
-// effect even if its caller has given up by then, as it would over a network.
+// inject calls apply under the fault that applies to the operation, if any. A slow call takes
+// effect even after its caller has given up, as it would over a network.
 func inject[T any](ctx context.Context, table *faults.Table, operation string, fail failures, apply func() (T, error)) (T, error) {
-	var none T
+	var zero T
 	if ctx.Err() != nil {
-		return none, fail.refused
+		return zero, fail.refused
 	}
 	fault, hit := table.Next(operation)
 	if !hit {
@@ -70,31 +70,31 @@
 	}
 	switch fault.Kind {
 	case faults.Outage:
-		return none, fail.refused
+		return zero, fail.refused
 	case faults.Die:
-		return none, fail.lost
+		return zero, fail.lost
 	case faults.AnswerLost:
 		_, _ = apply()
-		return none, fail.lost
+		return zero, fail.lost
 	case faults.Silent:
 		<-ctx.Done()
-		return none, fail.lost
+		return zero, fail.lost
 	default:
 		return applyLater(ctx, fault.Delay, fail, apply)
 	}
 }
 
 func applyLater[T any](ctx context.Context, delay time.Duration, fail failures, apply func() (T, error)) (T, error) {
-	answers := make(chan outcome[T], 1)
+	answers := make(chan result[T], 1)
 	time.AfterFunc(delay, func() {
 		value, err := apply()
-		answers <- outcome[T]{value, err}
+		answers <- result[T]{value, err}
 	})
 	select {
 	case answer := <-answers:
 		return answer.value, answer.err
 	case <-ctx.Done():
-		var none T
-		return none, fail.lost
+		var zero T
+		return zero, fail.lost
 	}
 }
--- a/standin/platform/rowset.go
+++ b/standin/platform/rowset.go
@@ -8,7 +8,7 @@
 	"acaciacleat.example/peers/table"
 )
 
-// rowSet holds the rows of one table with as much of their past as the replica needs.
+// rowSet holds the rows of one table and the earlier states that the lagging replica still shows.
 type rowSet struct {
 	// names are the keys of history in ascending order.
 	names   []string
@@ -38,7 +38,7 @@
 	return table.Row{}, false
 }
 
-// write adds a change and drops what no read as of replica or later can see.
+// write adds a change and drops the changes that no read at or after the replica's time can see.
 func (s *rowSet) write(c change, replica time.Time) {
 	name := c.row.Key.Row
 	changes, known := s.history[name]
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -19,8 +19,8 @@
 	tableCommitFailures = failures{refused: table.ErrUnavailable, lost: table.ErrUnknownOutcome}
 )
 
-// Table is the table service in memory. One counter gives all versions, so the version
-// of a row rises even over its deletion.
+// Table is the table service in memory. One counter provides all versions, so the version of a row
+// increases even across its deletion.
 type Table struct {
 	faults *faults.Table
 
@@ -28,19 +28,19 @@
 	tables   map[string]*rowSet
 	revision uint64
 	lag      time.Duration
-	tokens   map[string]tokenAnswer
-	// order holds the tokens, oldest first, so that old ones can be forgotten.
-	order []tokenAge
+	tokens   map[string]commitResult
+	// tokenOrder holds the tokens, oldest first, so that expired ones can be removed.
+	tokenOrder []tokenTime
 }
 
 var _ table.Store = (*Table)(nil)
 
-type tokenAnswer struct {
+type commitResult struct {
 	versions []uint64
 	err      error
 }
 
-type tokenAge struct {
+type tokenTime struct {
 	token string
 	at    time.Time
 }
@@ -50,12 +50,12 @@
 	return &Table{
 		faults: f,
 		tables: make(map[string]*rowSet),
-		tokens: make(map[string]tokenAnswer),
+		tokens: make(map[string]commitResult),
 	}
 }
 
-// SetReplicaLag sets by how much the replica that answers stale reads is behind. Writes
-// made before the lag was raised may be seen at once.
+// SetReplicaLag sets the lag of the replica that serves stale reads. Writes made before an increase
+// of the lag may be visible at once.
 func (t *Table) SetReplicaLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +90,7 @@
 	if err != nil {
 		return table.Row{}, err
 	}
-	row, ok := t.set(key.Table).read(key.Row, asOf)
+	row, ok := t.rowsOf(key.Table).read(key.Row, asOf)
 	if !ok {
 		return table.Row{}, table.ErrNotFound
 	}
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	rows := []table.Row{}
-	set := t.set(name)
+	set := t.rowsOf(name)
 	first, _ := slices.BinarySearch(set.names, max(prefix, after))
 	for _, rowName := range set.names[first:] {
 		if !strings.HasPrefix(rowName, prefix) || len(rows) == limit {
@@ -121,7 +121,7 @@
 	return rows, nil
 }
 
-// asOf returns the time whose state a read sees.
+// asOf returns the time whose state a read returns.
 func (t *Table) asOf(consistency table.Consistency) (time.Time, error) {
 	switch consistency {
 	case table.Latest:
@@ -134,47 +134,47 @@
 }
 
 func (t *Table) commit(tx table.Tx) ([]uint64, error) {
-	if err := check(tx); err != nil {
+	if err := validate(tx); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	t.forgetTokens(now)
-	if first, ok := t.tokens[tx.Token]; ok {
-		return slices.Clone(first.versions), first.err
+	t.expireTokens(now)
+	if recorded, ok := t.tokens[tx.Token]; ok {
+		return slices.Clone(recorded.versions), recorded.err
 	}
-	answer := t.apply(tx, now)
-	t.tokens[tx.Token] = answer
-	t.order = append(t.order, tokenAge{tx.Token, now})
-	return slices.Clone(answer.versions), answer.err
+	result := t.apply(tx, now)
+	t.tokens[tx.Token] = result
+	t.tokenOrder = append(t.tokenOrder, tokenTime{tx.Token, now})
+	return slices.Clone(result.versions), result.err
 }
 
-func (t *Table) forgetTokens(now time.Time) {
-	for len(t.order) > 0 && now.Sub(t.order[0].at) > table.TokenMemory {
-		delete(t.tokens, t.order[0].token)
-		t.order = t.order[1:]
+func (t *Table) expireTokens(now time.Time) {
+	for len(t.tokenOrder) > 0 && now.Sub(t.tokenOrder[0].at) > table.TokenMemory {
+		delete(t.tokens, t.tokenOrder[0].token)
+		t.tokenOrder = t.tokenOrder[1:]
 	}
 }
 
-func (t *Table) apply(tx table.Tx, now time.Time) tokenAnswer {
+func (t *Table) apply(tx table.Tx, now time.Time) commitResult {
 	for _, condition := range tx.Conditions {
-		row, _ := t.set(condition.Key.Table).read(condition.Key.Row, now)
+		row, _ := t.rowsOf(condition.Key.Table).read(condition.Key.Row, now)
 		if row.Version != condition.Version {
-			return tokenAnswer{err: table.ErrConflict}
+			return commitResult{err: table.ErrConflict}
 		}
 	}
 	versions := make([]uint64, 0, len(tx.Writes))
 	for _, write := range tx.Writes {
 		t.revision++
 		row := table.Row{Key: write.Key, Version: t.revision, Token: tx.Token, Value: bytes.Clone(write.Value)}
-		t.set(write.Key.Table).write(change{at: now, row: row, deleted: write.Delete}, now.Add(-t.lag))
+		t.rowsOf(write.Key.Table).write(change{at: now, row: row, deleted: write.Delete}, now.Add(-t.lag))
 		versions = append(versions, t.revision)
 	}
-	return tokenAnswer{versions: versions}
+	return commitResult{versions: versions}
 }
 
-func (t *Table) set(name string) *rowSet {
+func (t *Table) rowsOf(name string) *rowSet {
 	set, ok := t.tables[name]
 	if !ok {
 		set = &rowSet{history: make(map[string][]change)}
@@ -183,7 +183,7 @@
 	return set
 }
 
-func check(tx table.Tx) error {
+func validate(tx table.Tx) error {
 	if tx.Token == "" {
 		return errors.WithMessage(table.ErrInvalid, "no client token")
 	}
--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -12,14 +12,14 @@
 
 var vmFailures = failures{refused: vmlist.ErrUnavailable, lost: vmlist.ErrUnavailable}
 
-// VMs is the list of VMs. It shows what was set a settable time ago.
+// VMs is the list of VMs in memory. List returns the list as it was a configurable time ago.
 type VMs struct {
 	faults *faults.Table
 
 	mu  sync.Mutex
 	lag time.Duration
-	// past holds the lists set, oldest first; it always has one.
-	past []vmSnapshot
+	// history holds the lists set, oldest first; it is never empty.
+	history []vmSnapshot
 }
 
 var _ vmlist.Lister = (*VMs)(nil)
@@ -29,24 +29,24 @@
 	vms []vmlist.VM
 }
 
-// NewVMs returns an empty list that does not lag.
+// NewVMs returns an empty list without lag.
 func NewVMs(f *faults.Table) *VMs {
-	return &VMs{faults: f, past: []vmSnapshot{{vms: []vmlist.VM{}}}}
+	return &VMs{faults: f, history: []vmSnapshot{{vms: []vmlist.VM{}}}}
 }
 
-// SetLag sets by how much List is behind. Set it before the VMs that it shall delay.
+// SetLag sets the age of the lists that List returns. To delay a change, call it before Set.
 func (v *VMs) SetLag(lag time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lag = lag
 }
 
-// Set makes vms the true list; List shows it after the lag.
+// Set replaces the list; List returns it after the lag.
 func (v *VMs) Set(vms ...vmlist.VM) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	v.past = append(v.past, vmSnapshot{at: now, vms: append([]vmlist.VM{}, vms...)})
+	v.history = append(v.history, vmSnapshot{at: now, vms: append([]vmlist.VM{}, vms...)})
 	v.trim(now)
 }
 
@@ -59,17 +59,17 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	asOf := time.Now().Add(-v.lag)
-	for _, snapshot := range slices.Backward(v.past) {
+	for _, snapshot := range slices.Backward(v.history) {
 		if !snapshot.at.After(asOf) {
 			return slices.Clone(snapshot.vms), nil
 		}
 	}
-	return slices.Clone(v.past[0].vms), nil
+	return slices.Clone(v.history[0].vms), nil
 }
 
 func (v *VMs) trim(now time.Time) {
 	asOf := now.Add(-v.lag)
-	for len(v.past) > 1 && !v.past[1].at.After(asOf) {
-		v.past = v.past[1:]
+	for len(v.history) > 1 && !v.history[1].at.After(asOf) {
+		v.history = v.history[1:]
 	}
 }
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -9,19 +9,19 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// MaxBacklog is the longest queue of the weight store, in time at its full rate.
+// MaxBacklog is the longest queue of fetches in the weight store, in time at its full rate.
 const MaxBacklog = time.Minute
 
 var weightFailures = failures{refused: weights.ErrUnavailable, lost: weights.ErrUnavailable}
 
-// Weights is the weight store. All fetches share its rate, one after the other.
+// Weights is the weight store in memory. It executes all fetches one after another at its rate.
 type Weights struct {
 	faults *faults.Table
 	rate   float64
 
 	mu        sync.Mutex
 	artifacts map[weightKey]weights.Artifact
-	// freeAt is when the fetches reserved so far will be done.
+	// freeAt is the time at which the fetches reserved so far end.
 	freeAt time.Time
 }
 
@@ -29,26 +29,25 @@
 
 type weightKey struct{ name, version string }
 
-// NewWeights returns an empty weight store that gives bytesPerSecond, which is above 0.
+// NewWeights returns an empty weight store with the given rate, which must be above 0.
 func NewWeights(f *faults.Table, bytesPerSecond float64) *Weights {
 	return &Weights{faults: f, rate: bytesPerSecond, artifacts: make(map[weightKey]weights.Artifact)}
 }
 
-// Add puts an artifact into the store.
+// Add adds an artifact to the store.
 func (w *Weights) Add(artifact weights.Artifact) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.artifacts[weightKey{artifact.Name, artifact.Version}] = artifact
 }
 
-// Reserve books an engine's fetch of an artifact and returns how long it will take,
-// the fetches before it included. It fails with weights.ErrRateLimited while the
-// fetches booked take longer than MaxBacklog.
+// Reserve queues the fetch of an artifact and returns how long it takes, including the fetches
+// queued before it. While the queue is longer than MaxBacklog, it returns weights.ErrRateLimited.
 func (w *Weights) Reserve(name, version string) (time.Duration, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if w.limited(now) {
+	if w.overloaded(now) {
 		return 0, weights.ErrRateLimited
 	}
 	artifact, ok := w.artifacts[weightKey{name, version}]
@@ -63,7 +62,7 @@
 	return w.freeAt.Sub(now), nil
 }
 
-// Describe implements weights.Store. It is limited like Reserve.
+// Describe implements weights.Store. It is rate-limited like Reserve.
 func (w *Weights) Describe(ctx context.Context, name, version string) (weights.Artifact, error) {
 	return inject(ctx, w.faults, OpWeightsDescribe, weightFailures, func() (weights.Artifact, error) {
 		return w.describe(name, version)
@@ -80,7 +79,7 @@
 func (w *Weights) describe(name, version string) (weights.Artifact, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.limited(time.Now()) {
+	if w.overloaded(time.Now()) {
 		return weights.Artifact{}, weights.ErrRateLimited
 	}
 	artifact, ok := w.artifacts[weightKey{name, version}]
@@ -90,4 +89,4 @@
 	return artifact, nil
 }
 
-func (w *Weights) limited(now time.Time) bool { return w.freeAt.Sub(now) > MaxBacklog }
+func (w *Weights) overloaded(now time.Time) bool { return w.freeAt.Sub(now) > MaxBacklog }
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay stands between a dialler and a listener and breaks connections the way
-// a device on the path does: without telling either end.
+// Package relay forwards TCP connections and disrupts them as a device on the path does: without
+// notice to either end.
 package relay
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Direction is a way that bytes take through a relay.
+// Direction is a direction of data through a relay.
 type Direction uint8
 
 // The directions.
@@ -24,23 +24,24 @@
 	mu     sync.Mutex
 	target string
 	pairs  map[*pair]struct{}
-	// swallows and delay are the disruptions in force.
-	swallows [2]bool
+	// dropping and delay are the active disruptions.
+	dropping [2]bool
 	delay    time.Duration
-	// link, if not nil, is the link that all connections share.
+	// link, if not nil, limits the bandwidth of all connections together.
 	link *Link
 }
 
-// pair is one forwarded connection. A direction that has lost bytes stays silent for good:
-// what follows would reach the other side without what came before.
+// pair is one forwarded connection: near is the end at the dialler, far that at the target. A
+// direction that has lost data stays silent for good, since later data would otherwise arrive
+// without the data before it.
 type pair struct {
 	relay     *Relay
 	near, far net.Conn
 	mu        sync.Mutex
-	muted     [2]bool
+	silent    [2]bool
 }
 
-// New forwards connections on a port of its own to target until Close.
+// New listens on a free port and forwards connections to target until Close.
 func New(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,78 +52,78 @@
 	return r, nil
 }
 
-// Addr is the address that stands for the target.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetTarget makes new connections go to another target.
+// SetTarget sets the target of new connections.
 func (r *Relay) SetTarget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = target
 }
 
-// Swallow loses every byte in the directions given, on open and new connections, until
-// Restore. Connections stay open, and those that lost bytes stay silent.
-func (r *Relay) Swallow(directions ...Direction) {
+// Drop discards all data in the given directions, on open and new connections, until Restore.
+// Connections stay open; those that have lost data stay silent.
+func (r *Relay) Drop(directions ...Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range directions {
-		r.swallows[d] = true
+		r.dropping[d] = true
 	}
 }
 
-// Delay holds every byte back for d, until Restore.
+// Delay delays all data by d until Restore.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Over makes all bytes pass over a link, which other relays may share.
+// Over sets the link that all data passes, which other relays may share. Nil removes it.
 func (r *Relay) Over(link *Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.link = link
 }
 
-// Restore ends Swallow and Delay.
+// Restore ends the effects of Drop and Delay.
 func (r *Relay) Restore() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.swallows = [2]bool{}
+	r.dropping = [2]bool{}
 	r.delay = 0
 }
 
-// Reset closes the connections open now as a device does that has forgotten them: both
-// ends get a reset.
+// Reset resets all open connections at both ends, as a device does that has lost its connection
+// state.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
 		for _, c := range []net.Conn{p.near, p.far} {
 			if tcp, ok := c.(*net.TCPConn); ok {
-				_ = tcp.SetLinger(0) // A connection that has ended needs no reset.
+				_ = tcp.SetLinger(0) // Fails only if the connection is already closed.
 			}
 		}
 		p.close()
 	}
 }
 
-// Mute makes the connections open now swallow every byte both ways from now on. They
-// stay open, and new connections work. It returns how many there were.
+// Mute makes all open connections discard data in both directions for good. They stay open, and new
+// connections work. It returns their number.
 func (r *Relay) Mute() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
 		p.mu.Lock()
-		p.muted = [2]bool{true, true}
+		p.silent = [2]bool{true, true}
 		p.mu.Unlock()
 	}
 	return len(r.pairs)
 }
 
-// Cut closes the connections open now.
-func (r *Relay) Cut() {
+// CloseConnections closes all open connections.
+func (r *Relay) CloseConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
@@ -130,10 +131,10 @@
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
-	r.Cut()
+	r.CloseConnections()
 }
 
 func (r *Relay) accept() {
@@ -171,11 +172,11 @@
 const bufferBytes = 32 << 10
 
 func (p *pair) copy(direction Direction, to, from net.Conn) {
-	defer p.closeUnlessMuted(direction)
+	defer p.closeUnlessSilent(direction)
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && p.passes(direction, n) {
+		if n > 0 && p.admit(direction, n) {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -186,35 +187,34 @@
 	}
 }
 
-// passes tells whether n bytes that have come may go on, after the delay in force and their time on
-// the link.
-func (p *pair) passes(direction Direction, n int) bool {
+// admit waits for the active delay and the link, and reports whether n bytes may be forwarded.
+func (p *pair) admit(direction Direction, n int) bool {
 	swallowed, delay, link := p.relay.disruption(direction)
 	if link != nil {
-		delay += link.pass(direction, n)
+		delay += link.transferTime(direction, n)
 	}
 	if delay > 0 {
 		time.Sleep(delay)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.muted[direction] = p.muted[direction] || swallowed
-	return !p.muted[direction]
+	p.silent[direction] = p.silent[direction] || swallowed
+	return !p.silent[direction]
 }
 
-// disruption returns what is in force in a direction.
+// disruption returns the active disruptions of a direction.
 func (r *Relay) disruption(direction Direction) (swallowed bool, delay time.Duration, link *Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.swallows[direction], r.delay, r.link
+	return r.dropping[direction], r.delay, r.link
 }
 
-// closeUnlessMuted passes the end of one side on to the other, but not through a muted
-// connection: the other side must not learn of it.
-func (p *pair) closeUnlessMuted(direction Direction) {
+// closeUnlessSilent closes both ends when one is closed, unless the direction is silent: the other
+// end must not notice then.
+func (p *pair) closeUnlessSilent(direction Direction) {
 	swallowed, _, _ := p.relay.disruption(direction)
 	p.mu.Lock()
-	muted := swallowed || p.muted[direction]
+	muted := swallowed || p.silent[direction]
 	p.mu.Unlock()
 	if !muted {
 		p.close()
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// patience bounds every wait for something that must happen; look is how long it is watched
-// that something does not.
+// waitLimit bounds each wait for an expected event; silenceTime is how long a test waits to see
+// that nothing arrives.
 const (
-	patience = 10 * time.Second
-	look     = 50 * time.Millisecond
+	waitLimit   = 10 * time.Second
+	silenceTime = 50 * time.Millisecond
 )
 
-// echo answers each connection with what it gets, until the test ends.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that returns what it receives, until the test ends.
+func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -29,15 +29,15 @@
 			}
 			go func() {
 				defer conn.Close()
-				_, _ = io.Copy(conn, conn) // It ends with the connection.
+				_, _ = io.Copy(conn, conn) // Returns when the connection ends.
 			}()
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func open(t *testing.T) (*Relay, net.Conn) {
-	r, err := New(echo(t))
+func newEchoRelay(t *testing.T) (*Relay, net.Conn) {
+	r, err := New(startEchoServer(t))
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	return r, dial(t, r)
@@ -50,37 +50,37 @@
 	return conn
 }
 
-// exchange sends a word and returns what comes back within limit.
-func exchange(t *testing.T, conn net.Conn, word string, limit time.Duration) (string, error) {
+// exchange sends a text and returns what comes back within limit.
+func exchange(t *testing.T, conn net.Conn, text string, limit time.Duration) (string, error) {
 	t.Helper()
-	_, err := conn.Write([]byte(word))
+	_, err := conn.Write([]byte(text))
 	require.NoError(t, err)
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(limit)))
-	got := make([]byte, len(word))
+	got := make([]byte, len(text))
 	_, err = io.ReadFull(conn, got)
 	return string(got), err
 }
 
 func requireEcho(t *testing.T, conn net.Conn) {
 	t.Helper()
-	got, err := exchange(t, conn, "word", patience)
+	got, err := exchange(t, conn, "word", waitLimit)
 	require.NoError(t, err)
 	require.Equal(t, "word", got)
 }
 
 func requireSilence(t *testing.T, conn net.Conn) {
 	t.Helper()
-	_, err := exchange(t, conn, "word", look)
+	_, err := exchange(t, conn, "word", silenceTime)
 	var timeout net.Error
-	require.ErrorAs(t, err, &timeout, "the connection stands and nothing comes")
+	require.ErrorAs(t, err, &timeout, "the connection is open and no data arrives")
 	require.True(t, timeout.Timeout())
 }
 
-func TestSwallowedDirectionStaysSilentOnItsConnections(t *testing.T) {
+func TestDroppedDirectionStaysSilentOnItsConnections(t *testing.T) {
 	for _, direction := range []Direction{ToTarget, FromTarget} {
-		r, conn := open(t)
+		r, conn := newEchoRelay(t)
 		requireEcho(t, conn)
-		r.Swallow(direction)
+		r.Drop(direction)
 		requireSilence(t, conn)
 		requireSilence(t, dial(t, r))
 		r.Restore()
@@ -90,27 +90,27 @@
 }
 
 func TestDelayEndsWithRestore(t *testing.T) {
-	r, conn := open(t)
-	r.Delay(look)
+	r, conn := newEchoRelay(t)
+	r.Delay(silenceTime)
 	began := time.Now()
 	requireEcho(t, conn)
-	require.GreaterOrEqual(t, time.Since(began), 2*look, "both ways are slow")
+	require.GreaterOrEqual(t, time.Since(began), 2*silenceTime, "both directions are delayed")
 	r.Restore()
 	requireEcho(t, conn)
 }
 
 func TestResetEndsConnectionsAndNewOnesWork(t *testing.T) {
-	r, conn := open(t)
+	r, conn := newEchoRelay(t)
 	requireEcho(t, conn)
 	r.Reset()
-	require.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(waitLimit)))
 	_, err := conn.Read(make([]byte, 1))
 	require.ErrorContains(t, err, "reset by peer")
 	requireEcho(t, dial(t, r))
 }
 
 func TestNewConnectionsGoToTheNewTarget(t *testing.T) {
-	r, conn := open(t)
+	r, conn := newEchoRelay(t)
 	requireEcho(t, conn)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
