--- a/soak/book.go
+++ b/soak/book.go
@@ -7,224 +7,227 @@
 	"time"
 )
 
-// Check names what a violation breaks.
+// Check names the guarantee that a violation breaks.
 type Check string
 
 // The checks.
 const (
-	// Twice: a request that may run once has run again.
-	Twice Check = "twice"
-	// Refused: a request that was said not to have run has run.
-	Refused Check = "refused"
-	// Foreign: an answer is not that of its request, or not its upstream's.
-	Foreign Check = "foreign"
-	// Short: an answer ended like a whole one and is not.
-	Short Check = "short"
-	// Denied: a proper request was called wrong.
-	Denied Check = "denied"
-	// Unadvised: a refusal that promises not to have run does not say when to come back.
-	Unadvised Check = "unadvised"
-	// CutOff: a request was cut off where nothing but a planned stop was going on.
-	CutOff Check = "cut-off"
-	// Late: the final answer came long after the request's time.
-	Late Check = "late"
-	// Stale: a configuration is not in force in time; Back: an older one is again.
-	Stale Check = "stale"
-	Back  Check = "back"
-	// LeftAlone: an upstream that leaves still gets requests.
-	LeftAlone Check = "leaving"
-	// Outlived: a request waits for the answer of a life that is over.
-	Outlived Check = "outlived"
-	// Crashing: a request that ends upstreams reaches more and more of them.
-	Crashing Check = "crashing"
-	// Held: memory or places at upstreams are not given back.
-	Held Check = "held"
-	// Ended: a process has ended by itself, or badly, or not in its time.
-	Ended Check = "ended"
-	// Unwell: a request failed long after the last disruption.
-	Unwell Check = "unwell"
+	// RanTwice: a request that may run only once ran again.
+	RanTwice Check = "twice"
+	// RanAfterRefusal: a request ran although the caller was told that it had not run.
+	RanAfterRefusal Check = "refused"
+	// WrongAnswer: an answer belongs to another request or does not come from an upstream.
+	WrongAnswer Check = "foreign"
+	// TruncatedAnswer: an answer ended like a complete one although bytes are missing.
+	TruncatedAnswer Check = "short"
+	// Rejected: a valid request was rejected as invalid.
+	Rejected Check = "denied"
+	// NoRetryAfter: a refusal that promises that the request did not run has no Retry-After.
+	NoRetryAfter Check = "unadvised"
+	// ConnectionLost: a request was interrupted although no fault except a planned stop was active.
+	ConnectionLost Check = "cut-off"
+	// DeadlineMissed: the final answer came long after the request's deadline.
+	DeadlineMissed Check = "late"
+	// ConfigurationStale: a configuration was not applied in time. ConfigurationReverted: an older
+	// one was applied again.
+	ConfigurationStale    Check = "stale"
+	ConfigurationReverted Check = "back"
+	// UsedWhileDraining: a draining upstream still gets requests.
+	UsedWhileDraining Check = "leaving"
+	// StaleRequests: requests still wait for an answer from an earlier incarnation of an upstream.
+	StaleRequests Check = "outlived"
+	// CrashNotContained: a request that crashes upstreams keeps reaching further ones.
+	CrashNotContained Check = "crashing"
+	// NotReleased: memory or slots at upstreams are not released.
+	NotReleased Check = "held"
+	// ProcessFailed: a process exited by itself, with an error, or not within its time limit.
+	ProcessFailed Check = "ended"
+	// NotRecovered: a request failed long after the last disruption.
+	NotRecovered Check = "unwell"
 )
 
-// Violation is one promise broken.
+// Violation is one broken guarantee.
 type Violation struct {
 	AtMs   int    `json:"atMs"`
 	Check  Check  `json:"check"`
 	Detail string `json:"detail"`
 }
 
-// hop is where a disruption strikes.
+// hop is the part of a request's path that a disruption affects.
 type hop uint8
 
 const (
 	hopCallers hop = iota
 	hopStore
 	hopUpstreams
-	// hopProcess is struck by kills and pauses. Planned stops are no excuse.
+	// hopProcess is disrupted by kills and pauses. A planned stop is no disruption: it excuses no
+	// failure.
 	hopProcess
 )
 
-// everyEntry is struck by what strikes the store itself, or upstreams.
-const everyEntry = -1
+// allEntries marks a disruption of the store itself or of upstreams, which affects every entry.
+const allEntries = -1
 
-// disturbance is a time in which something was not as it should be.
-type disturbance struct {
+// disruption is a period in which a hop was disrupted.
+type disruption struct {
 	hop      hop
 	entry    int
 	from, to time.Time
 }
 
-// configuredAt tells when a version was acknowledged.
-type configuredAt struct {
+// acknowledgedVersion is a configuration version and the time at which the store acknowledged it.
+type acknowledgedVersion struct {
 	version uint64
 	at      time.Time
 }
 
-// book holds what was promised, what was disrupted and what was broken. It is safe for
-// concurrent use.
-type book struct {
-	begin time.Time
+// recorder collects the promises made to callers, the disruptions and the violations. It is safe
+// for concurrent use.
+type recorder struct {
+	startedAt time.Time
 
 	mu         sync.Mutex
 	violations []Violation
 	outcomes   map[string]int
-	// once holds the URIs of requests that may run once, unrun those that were said not to
-	// have run, with who said so.
-	once  map[string]struct{}
-	unrun map[string]string
-
-	disturbances []*disturbance
-	configured   []configuredAt
-	// quietFrom is when everything must work again; zero before it is known.
-	quietFrom time.Time
+	// once holds the URIs of requests that may run only once. notRun maps the URIs of requests that
+	// were reported as not run to the source of that report.
+	once   map[string]struct{}
+	notRun map[string]string
+
+	disruptions []*disruption
+	versions    []acknowledgedVersion
+	// successFrom is the time from which every request must succeed; zero before it is known.
+	successFrom time.Time
 }
 
-func newBook() *book {
-	return &book{
-		begin:    time.Now(),
-		outcomes: make(map[string]int),
-		once:     make(map[string]struct{}),
-		unrun:    make(map[string]string),
+func newRecorder() *recorder {
+	return &recorder{
+		startedAt: time.Now(),
+		outcomes:  make(map[string]int),
+		once:      make(map[string]struct{}),
+		notRun:    make(map[string]string),
 	}
 }
 
-// broken notes a violation.
-func (b *book) broken(check Check, format string, args ...any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.violations = append(b.violations, Violation{
-		AtMs: int(time.Since(b.begin).Milliseconds()), Check: check, Detail: fmt.Sprintf(format, args...),
+// addViolation records a violation.
+func (r *recorder) addViolation(check Check, format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, Violation{
+		AtMs: int(time.Since(r.startedAt).Milliseconds()), Check: check, Detail: fmt.Sprintf(format, args...),
 	})
 }
 
-// count notes how a request ended.
-func (b *book) count(outcome string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.outcomes[outcome]++
+// countOutcome counts how a request ended.
+func (r *recorder) countOutcome(outcome string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outcomes[outcome]++
 }
 
-// aftermath is how long a disruption is felt after its end: connections must be found dead
-// and opened anew.
-const aftermath = 1500 * time.Millisecond
+// reconnectTime is how long a disruption has effects after its end: dead connections must be
+// detected and reopened.
+const reconnectTime = 1500 * time.Millisecond
 
-// disturb notes that a disruption begins; the function returned notes its end.
-func (b *book) disturb(where hop, entry int) (over func()) {
-	d := &disturbance{hop: where, entry: entry, from: time.Now()}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.disturbances = append(b.disturbances, d)
+// beginDisruption records the begin of a disruption; the returned function records its end.
+func (r *recorder) beginDisruption(where hop, entry int) (end func()) {
+	d := &disruption{hop: where, entry: entry, from: time.Now()}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.disruptions = append(r.disruptions, d)
 	return func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		d.to = time.Now().Add(aftermath)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		d.to = time.Now().Add(reconnectTime)
 	}
 }
 
-// calm tells whether nothing disrupted an entry's hops between two times.
-func (b *book) calm(entry int, from, to time.Time, hops ...hop) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, d := range b.disturbances {
-		concerned := slices.Contains(hops, d.hop) && (d.entry == everyEntry || d.entry == entry)
-		if concerned && d.from.Before(to) && (d.to.IsZero() || d.to.After(from)) {
+// undisrupted reports whether no disruption affected the given hops of an entry between two times.
+func (r *recorder) undisrupted(entry int, from, to time.Time, hops ...hop) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, d := range r.disruptions {
+		relevant := slices.Contains(hops, d.hop) && (d.entry == allEntries || d.entry == entry)
+		if relevant && d.from.Before(to) && (d.to.IsZero() || d.to.After(from)) {
 			return false
 		}
 	}
 	return true
 }
 
-// isQuiet tells whether a request that began at a time must have been served.
-func (b *book) isQuiet(began time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return !b.quietFrom.IsZero() && began.After(b.quietFrom)
+// mustSucceed reports whether a request that began at a time must succeed.
+func (r *recorder) mustSucceed(start time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !r.successFrom.IsZero() && start.After(r.successFrom)
 }
 
-// mayRunOnce notes a request before it is sent.
-func (b *book) mayRunOnce(uri string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.once[uri] = struct{}{}
+// expectAtMostOnce records a request that may run only once. It is called before the request is
+// sent.
+func (r *recorder) expectAtMostOnce(uri string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.once[uri] = struct{}{}
 }
 
-// saidNotRun notes that a request was answered as not run.
-func (b *book) saidNotRun(uri, who string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.unrun[uri] = who
+// recordNotRun records that a request was reported as not run.
+func (r *recorder) recordNotRun(uri, source string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.notRun[uri] = source
 }
 
-// judgeRuns compares what ran with what was promised. Each fault is told once.
-func (b *book) judgeRuns(runs map[string]int) {
-	b.mu.Lock()
+// checkRuns compares the runs with the promises. It reports each violation once.
+func (r *recorder) checkRuns(runs map[string]int) {
+	r.mu.Lock()
 	var twice, refused []string
 	for uri, n := range runs {
-		if _, once := b.once[uri]; once && n > 1 {
+		if _, once := r.once[uri]; once && n > 1 {
 			twice = append(twice, fmt.Sprintf("%s ran %d times", uri, n))
-			delete(b.once, uri)
+			delete(r.once, uri)
 		}
-		if who, said := b.unrun[uri]; said {
-			refused = append(refused, fmt.Sprintf("%s ran, though %s", uri, who))
-			delete(b.unrun, uri)
+		if source, promised := r.notRun[uri]; promised {
+			refused = append(refused, fmt.Sprintf("%s ran, though %s", uri, source))
+			delete(r.notRun, uri)
 		}
 	}
-	b.mu.Unlock()
+	r.mu.Unlock()
 	for _, detail := range twice {
-		b.broken(Twice, "%s", detail)
+		r.addViolation(RanTwice, "%s", detail)
 	}
 	for _, detail := range refused {
-		b.broken(Refused, "%s", detail)
+		r.addViolation(RanAfterRefusal, "%s", detail)
 	}
 }
 
-// configurationMade notes that a version was acknowledged.
-func (b *book) configurationMade(version uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.configured = append(b.configured, configuredAt{version, time.Now()})
+// recordVersion records that a version was acknowledged.
+func (r *recorder) recordVersion(version uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.versions = append(r.versions, acknowledgedVersion{version, time.Now()})
 }
 
-// inForce is the time in which a configuration must be in force.
-const inForce = 5 * time.Second
+// applyLimit is the time within which a configuration must be applied.
+const applyLimit = 5 * time.Second
 
-// judgeVersion judges the version that an entry's life obeys now.
-func (b *book) judgeVersion(e *entry, life *process, before, version uint64) {
+// checkVersion checks the configuration version that an entry's process applies now.
+func (r *recorder) checkVersion(e *entry, p *process, previous, version uint64) {
 	now := time.Now()
-	if version < before {
-		b.broken(Back, "entry %d obeys version %d after %d", e.index, version, before)
+	if version < previous {
+		r.addViolation(ConfigurationReverted, "entry %d obeys version %d after %d", e.index, version, previous)
 	}
-	if now.Sub(life.started) < inForce {
+	if now.Sub(p.started) < applyLimit {
 		return
 	}
-	b.mu.Lock()
-	var due configuredAt
-	for _, c := range b.configured {
-		if now.Sub(c.at) > inForce {
-			due = c
+	r.mu.Lock()
+	var expected acknowledgedVersion
+	for _, c := range r.versions {
+		if now.Sub(c.at) > applyLimit {
+			expected = c
 		}
 	}
-	b.mu.Unlock()
-	if due.version > version && b.calm(e.index, due.at, now, hopStore, hopProcess) {
-		b.broken(Stale, "entry %d obeys version %d; %d was made %s ago", e.index, version, due.version, now.Sub(due.at).Round(time.Millisecond))
+	r.mu.Unlock()
+	if expected.version > version && r.undisrupted(e.index, expected.at, now, hopStore, hopProcess) {
+		r.addViolation(ConfigurationStale, "entry %d obeys version %d; %d was made %s ago", e.index, version, expected.version, now.Sub(expected.at).Round(time.Millisecond))
 	}
 }
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -10,28 +10,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testCaller is a caller of one entry that nothing disturbs.
-func testCaller() *caller {
-	w := &world{book: newBook(), stops: make(map[*process]time.Time)}
-	life := &process{done: make(chan struct{}), started: time.Now().Add(-time.Minute)}
-	return &caller{world: w, entry: &entry{}, life: life, opened: time.Now().Add(-time.Second)}
+// newTestCaller returns a caller of one entry without disruptions.
+func newTestCaller() *caller {
+	h := &harness{recorder: newRecorder(), stopTimes: make(map[*process]time.Time)}
+	p := &process{done: make(chan struct{}), started: time.Now().Add(-time.Minute)}
+	return &caller{harness: h, entry: &entry{}, process: p, connectedAt: time.Now().Add(-time.Second)}
 }
 
-func testAnswer(status int, body string) *answer {
+func newTestAnswer(status int, body string) *answer {
 	now := time.Now()
 	a := &answer{
 		route: routes[1], uri: "/jobs/id", id: "id", began: now.Add(-time.Millisecond), ended: now, status: status, body: []byte(body),
-		timeGiven: routesTime,
-		header:    http.Header{"Retry-After": {"1"}},
+		deadline: plainDeadline,
+		header:   http.Header{"Retry-After": {"1"}},
 	}
 	standin.SetOrigin(a.header, a.id, "seal")
 	return a
 }
 
-const ownAnswer = "answer to /jobs/id"
+const expectedAnswer = "answer to /jobs/id"
 
-// Each check of an answer is shown to fail, and a good answer to pass all.
-func TestAnswersAreJudged(t *testing.T) {
+// Each check of an answer must detect its violation, and a correct answer must pass all checks.
+func TestAnswersAreChecked(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -39,114 +39,114 @@
 		change func(a *answer, c *caller)
 		want   Check
 	}{
-		{"own and whole", http.StatusOK, ownAnswer, nil, ""},
-		{"not whole", http.StatusOK, ownAnswer[:5], nil, Short},
-		{"of another", http.StatusOK, ownAnswer, func(a *answer, _ *caller) { standin.SetOrigin(a.header, "other", "seal") }, Foreign},
-		{"of no upstream", http.StatusOK, ownAnswer, func(a *answer, _ *caller) { standin.SetOrigin(a.header, a.id, "") }, Foreign},
-		{"called wrong", http.StatusNotFound, "", nil, Denied},
-		{"refused without advice", http.StatusServiceUnavailable, "", func(a *answer, _ *caller) { a.header.Del("Retry-After") }, Unadvised},
+		{"complete", http.StatusOK, expectedAnswer, nil, ""},
+		{"incomplete", http.StatusOK, expectedAnswer[:5], nil, TruncatedAnswer},
+		{"of another request", http.StatusOK, expectedAnswer, func(a *answer, _ *caller) { standin.SetOrigin(a.header, "other", "seal") }, WrongAnswer},
+		{"of no upstream", http.StatusOK, expectedAnswer, func(a *answer, _ *caller) { standin.SetOrigin(a.header, a.id, "") }, WrongAnswer},
+		{"rejected", http.StatusNotFound, "", nil, Rejected},
+		{"refused without Retry-After", http.StatusServiceUnavailable, "", func(a *answer, _ *caller) { a.header.Del("Retry-After") }, NoRetryAfter},
 		{"refused", http.StatusServiceUnavailable, "", nil, ""},
-		{"late", http.StatusOK, ownAnswer, func(a *answer, _ *caller) { a.began = a.began.Add(-routesTime - lateSlack) }, Late},
-		{"cut off", 0, "", func(a *answer, _ *caller) { a.err = errors.New("reset") }, CutOff},
-		{"cut off by a kill", 0, "", func(a *answer, c *caller) {
+		{"late", http.StatusOK, expectedAnswer, func(a *answer, _ *caller) { a.began = a.began.Add(-plainDeadline - deadlineSlack) }, DeadlineMissed},
+		{"connection lost", 0, "", func(a *answer, _ *caller) { a.err = errors.New("reset") }, ConnectionLost},
+		{"connection lost by a kill", 0, "", func(a *answer, c *caller) {
 			a.err = errors.New("reset")
-			c.world.book.disturb(hopProcess, 0)
+			c.harness.recorder.beginDisruption(hopProcess, 0)
 			a.ended = time.Now()
 		}, ""},
-		{"cut off by a stop", 0, "", func(a *answer, c *caller) {
+		{"connection lost by a stop", 0, "", func(a *answer, c *caller) {
 			a.err = errors.New("reset")
-			c.world.stops[c.life] = a.began
-		}, CutOff},
+			c.harness.stopTimes[c.process] = a.began
+		}, ConnectionLost},
 		{"after a stop", 0, "", func(a *answer, c *caller) {
 			a.err = errors.New("refused")
-			c.world.stops[c.life] = a.began.Add(-readyOff)
+			c.harness.stopTimes[c.process] = a.began.Add(-readyOffDelay)
 		}, ""},
-		{"broken off by an upstream", http.StatusOK, "", func(a *answer, c *caller) {
+		{"interrupted by an upstream", http.StatusOK, "", func(a *answer, c *caller) {
 			a.err = errors.New("reset")
-			c.world.book.disturb(hopUpstreams, everyEntry)
+			c.harness.recorder.beginDisruption(hopUpstreams, allEntries)
 			a.ended = time.Now()
 		}, ""},
-		{"broken off by nobody", http.StatusOK, "", func(a *answer, _ *caller) { a.err = errors.New("reset") }, CutOff},
-		{"failed when all is well", http.StatusBadGateway, "", func(_ *answer, c *caller) { c.world.book.settle(-time.Minute) }, Unwell},
+		{"interrupted without a disruption", http.StatusOK, "", func(a *answer, _ *caller) { a.err = errors.New("reset") }, ConnectionLost},
+		{"failed after recovery", http.StatusBadGateway, "", func(_ *answer, c *caller) { c.harness.recorder.requireSuccessAfter(-time.Minute) }, NotRecovered},
 		{"failed", http.StatusBadGateway, "", nil, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			c, a := testCaller(), testAnswer(test.status, test.body)
+			c, a := newTestCaller(), newTestAnswer(test.status, test.body)
 			if test.change != nil {
 				test.change(a, c)
 			}
-			c.judge(a)
-			requireBroken(t, c.world.book, test.want)
+			c.check(a)
+			requireViolation(t, c.harness.recorder, test.want)
 		})
 	}
 }
 
-func requireBroken(t *testing.T, b *book, want Check) {
+func requireViolation(t *testing.T, r *recorder, want Check) {
 	t.Helper()
 	if want == "" {
-		require.Empty(t, b.violations)
+		require.Empty(t, r.violations)
 		return
 	}
-	require.Len(t, b.violations, 1)
-	require.Equal(t, want, b.violations[0].Check)
+	require.Len(t, r.violations, 1)
+	require.Equal(t, want, r.violations[0].Check)
 }
 
-func TestRunsAreJudged(t *testing.T) {
-	b := newBook()
-	b.mayRunOnce("/jobs/a")
-	b.saidNotRun("/jobs/b", "entry 0")
-	b.judgeRuns(map[string]int{"/jobs/a": 1, "/lists/c": 3})
-	require.Empty(t, b.violations)
-	b.judgeRuns(map[string]int{"/jobs/a": 2})
-	requireBroken(t, b, Twice)
-	b.judgeRuns(map[string]int{"/jobs/a": 3, "/jobs/b": 1})
-	require.Len(t, b.violations, 2, "each fault is told once")
-	require.Equal(t, Refused, b.violations[1].Check)
+func TestRunsAreChecked(t *testing.T) {
+	r := newRecorder()
+	r.expectAtMostOnce("/jobs/a")
+	r.recordNotRun("/jobs/b", "entry 0")
+	r.checkRuns(map[string]int{"/jobs/a": 1, "/lists/c": 3})
+	require.Empty(t, r.violations)
+	r.checkRuns(map[string]int{"/jobs/a": 2})
+	requireViolation(t, r, RanTwice)
+	r.checkRuns(map[string]int{"/jobs/a": 3, "/jobs/b": 1})
+	require.Len(t, r.violations, 2, "each violation is reported once")
+	require.Equal(t, RanAfterRefusal, r.violations[1].Check)
 }
 
-func TestRunsOfACrashingRequestAreJudged(t *testing.T) {
+func TestRunsOfACrashingRequestAreChecked(t *testing.T) {
 	begin := time.Now()
 	runs := func(later int) []standin.Run {
 		var all []standin.Run
-		for i := range crashesKnown {
+		for i := range crashLimit {
 			all = append(all, standin.Run{ID: "a", At: begin.Add(time.Duration(i) * time.Second)})
 		}
 		for i := range later {
-			all = append(all, standin.Run{ID: "a", At: begin.Add(2*time.Second + knownAfter + time.Duration(i+1)*time.Millisecond)})
+			all = append(all, standin.Run{ID: "a", At: begin.Add(2*time.Second + crashNoticeLimit + time.Duration(i+1)*time.Millisecond)})
 		}
 		return all
 	}
-	sent := &arrivals{at: map[string]int{"a": 1}}
-	b := newBook()
-	b.judgeCrashes("/ask/fatal-1", runs(strayRuns), sent)
-	require.Empty(t, b.violations)
-	b.judgeCrashes("/ask/fatal-1", runs(strayRuns+1), sent)
-	requireBroken(t, b, Crashing)
+	sent := &sentRequests{entries: map[string]int{"a": 1}}
+	r := newRecorder()
+	r.checkCrashes("/ask/fatal-1", runs(maxLateRuns), sent)
+	require.Empty(t, r.violations)
+	r.checkCrashes("/ask/fatal-1", runs(maxLateRuns+1), sent)
+	requireViolation(t, r, CrashNotContained)
 
-	b = newBook()
-	b.disturb(hopStore, 1)
-	b.disturbances[0].from = begin
-	b.judgeCrashes("/ask/fatal-1", runs(strayRuns+1), sent)
-	require.Empty(t, b.violations, "an entry that something struck is excused")
+	r = newRecorder()
+	r.beginDisruption(hopStore, 1)
+	r.disruptions[0].from = begin
+	r.checkCrashes("/ask/fatal-1", runs(maxLateRuns+1), sent)
+	require.Empty(t, r.violations, "runs from a disrupted entry do not count")
 }
 
-func TestVersionsAreJudged(t *testing.T) {
-	life := &process{started: time.Now().Add(-time.Minute)}
+func TestVersionsAreChecked(t *testing.T) {
+	p := &process{started: time.Now().Add(-time.Minute)}
 	e := &entry{index: 1}
-	b := newBook()
-	b.judgeVersion(e, life, 3, 2)
-	requireBroken(t, b, Back)
+	r := newRecorder()
+	r.checkVersion(e, p, 3, 2)
+	requireViolation(t, r, ConfigurationReverted)
 
-	b = newBook()
-	b.configured = []configuredAt{{version: 4, at: time.Now().Add(-inForce - time.Second)}}
-	b.judgeVersion(e, life, 4, 4)
-	require.Empty(t, b.violations)
-	over := b.disturb(hopStore, 1)
-	b.judgeVersion(e, life, 3, 3)
-	require.Empty(t, b.violations, "an entry that is cut off is not held to it")
-	over()
-	b.disturbances = nil
-	b.judgeVersion(e, life, 3, 3)
-	requireBroken(t, b, Stale)
+	r = newRecorder()
+	r.versions = []acknowledgedVersion{{version: 4, at: time.Now().Add(-applyLimit - time.Second)}}
+	r.checkVersion(e, p, 4, 4)
+	require.Empty(t, r.violations)
+	end := r.beginDisruption(hopStore, 1)
+	r.checkVersion(e, p, 3, 3)
+	require.Empty(t, r.violations, "a disrupted entry may be late")
+	end()
+	r.disruptions = nil
+	r.checkVersion(e, p, 3, 3)
+	requireViolation(t, r, ConfigurationStale)
 }
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -15,131 +15,132 @@
 )
 
 const (
-	// fatalPrefix begins the paths of requests that end the engines that run them.
+	// fatalPrefix is the path prefix of requests that crash the engines that run them.
 	fatalPrefix = "/ask/fatal-"
-	// crashTail is how much longer than its event such a request comes again: well beyond the time
-	// in which entries must know it, and within the time that everything has to recover.
+	// crashTail is how long such a request repeats after the end of its event: longer than entries
+	// may take to recognise it, and within the time in which the system must recover.
 	crashTail = 5 * time.Second
-	// crashEvery is the pause between two of its arrivals, downFor how long an engine is away, and
-	// lapsesAfter the time until its earlier row is removed.
-	crashEvery  = 200 * time.Millisecond
-	downFor     = 500 * time.Millisecond
-	lapsesAfter = 1500 * time.Millisecond
-	// crashesKnown is the number of engines that it may end before it counts as known, knownAfter
-	// the time in which all entries must know it then, and strayRuns how often it may run later.
-	crashesKnown = 3
-	knownAfter   = 3 * time.Second
-	strayRuns    = 3
+	// crashInterval is the pause between two attempts, engineDowntime how long a crashed engine is
+	// down, and rowRemovalDelay the time until its former row is removed.
+	crashInterval   = 200 * time.Millisecond
+	engineDowntime  = 500 * time.Millisecond
+	rowRemovalDelay = 1500 * time.Millisecond
+	// crashLimit is the number of engines that the request may crash before entries must recognise
+	// it, crashNoticeLimit the time within which they must do so, and maxLateRuns how often it may
+	// run after that.
+	crashLimit       = 3
+	crashNoticeLimit = 3 * time.Second
+	maxLateRuns      = 3
 )
 
-// arrivals tells which entry a request was sent to, by the request's id.
-type arrivals struct {
-	mu sync.Mutex
-	at map[string]int
+// sentRequests maps request IDs to the entries that they were sent to.
+type sentRequests struct {
+	mu      sync.Mutex
+	entries map[string]int
 }
 
-func (a *arrivals) note(id string, entry int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.at[id] = entry
+func (s *sentRequests) record(id string, entry int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.entries[id] = entry
 }
 
-// crashing lets one request come again and again that ends the engines that run it, and judges
-// how many it has reached.
-func (w *world) crashing(ctx context.Context, path string, lasts time.Duration) {
-	defer w.book.disturb(hopUpstreams, everyEntry)()
-	sent := &arrivals{at: make(map[string]int)}
-	ctx, cancel := context.WithTimeout(ctx, lasts+crashTail)
+// sendCrashingRequests repeats a request that crashes the engines that run it, and checks how often
+// it ran.
+func (h *harness) sendCrashingRequests(ctx context.Context, path string, duration time.Duration) {
+	defer h.recorder.beginDisruption(hopUpstreams, allEntries)()
+	sent := &sentRequests{entries: make(map[string]int)}
+	ctx, cancel := context.WithTimeout(ctx, duration+crashTail)
 	defer cancel()
 	var callers sync.WaitGroup
-	random := rand.New(rand.NewPCG(w.plan.Seed, uint64(len(path))))
+	random := rand.New(rand.NewPCG(h.plan.Seed, uint64(len(path))))
 	for i := 0; ctx.Err() == nil; i++ {
-		e := w.entries[random.IntN(len(w.entries))]
+		e := h.entries[random.IntN(len(h.entries))]
 		id := fmt.Sprintf("fatal-%s-%d", path, i)
-		sent.note(id, e.index)
-		callers.Go(func() { w.ask(ctx, e, id, path) })
-		wait(ctx, crashEvery)
-		w.revive()
+		sent.record(id, e.index)
+		callers.Go(func() { h.sendCrashingRequest(ctx, e, id, path) })
+		wait(ctx, crashInterval)
+		h.restartCrashed()
 	}
 	callers.Wait()
-	wait(context.WithoutCancel(ctx), downFor)
-	w.revive()
-	w.book.judgeCrashes(path, w.runsOf(path), sent)
+	wait(context.WithoutCancel(ctx), engineDowntime)
+	h.restartCrashed()
+	h.recorder.checkCrashes(path, h.runsOf(path), sent)
 }
 
-// ask sends the request once. Whatever comes of it, upstreams tell what ran.
-func (w *world) ask(ctx context.Context, e *entry, id, path string) {
-	call := standin.Call{ID: id, Path: path, Body: "body", PromptTokens: 1000, OutputTokens: answerTokens, TimeLeft: callersTime}
+// sendCrashingRequest sends the request once and ignores its result: the upstreams record what ran.
+func (h *harness) sendCrashingRequest(ctx context.Context, e *entry, id, path string) {
+	call := standin.Call{ID: id, Path: path, Body: "body", PromptTokens: 1000, OutputTokens: maxOutputTokens, TimeLeft: streamDeadline}
 	request, err := call.Request(e.callers.Addr())
 	if err != nil {
-		w.book.broken(Unwell, "a request can't be made: %v", err)
+		h.recorder.addViolation(NotRecovered, "a request can't be made: %v", err)
 		return
 	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callersTime}
-	got, err := client.Do(request.WithContext(ctx))
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: streamDeadline}
+	response, err := client.Do(request.WithContext(ctx))
 	if err != nil {
 		return
 	}
-	defer got.Body.Close()
-	_, _ = io.Copy(io.Discard, got.Body) // It breaks off where an engine ended.
-	if promisesNotRun(got.StatusCode) && got.Header.Get("Retry-After") == "" {
-		w.book.broken(Unadvised, "%s at entry %d: %d without Retry-After", id, e.index, got.StatusCode)
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body) // The body is incomplete if an engine crashed.
+	if promisesNotRun(response.StatusCode) && response.Header.Get("Retry-After") == "" {
+		h.recorder.addViolation(NoRetryAfter, "%s at entry %d: %d without Retry-After", id, e.index, response.StatusCode)
 	}
 }
 
-// revive starts the engines again that have ended, under new ids.
-func (w *world) revive() {
-	for _, engine := range w.standins.Engines {
-		if time.Since(engine.DownSince()) < downFor || !engine.Down() {
+// restartCrashed restarts the crashed engines under new IDs.
+func (h *harness) restartCrashed() {
+	for _, engine := range h.standins.Engines {
+		if time.Since(engine.DownSince()) < engineDowntime || !engine.Down() {
 			continue
 		}
-		if turn := w.rows[engine]; turn.TryLock() {
-			w.reviveOne(engine)
-			turn.Unlock()
+		if lock := h.rowLocks[engine]; lock.TryLock() {
+			h.restartEngine(engine)
+			lock.Unlock()
 		}
 	}
 }
 
-// reviveOne is called with the lock of the engine's row held.
-func (w *world) reviveOne(engine *standin.Replica) {
+// restartEngine restarts an engine that is down. The caller holds the lock of the engine's row.
+func (h *harness) restartEngine(engine *standin.Replica) {
 	if !engine.Down() {
 		return
 	}
 	old := engine.ID
 	name, _, _ := strings.Cut(old, "+")
 	if err := engine.RestartAs(fmt.Sprintf("%s+%d", name, time.Now().UnixMilli())); err != nil {
-		w.book.broken(Unwell, "%s can't be started again: %v", old, err)
+		h.recorder.addViolation(NotRecovered, "%s can't be started again: %v", old, err)
 		return
 	}
-	engine.Register(w.standins.Store, "ready")
-	time.AfterFunc(lapsesAfter, func() { w.standins.Store.Remove("servers", old) })
+	engine.Register(h.standins.Store, "ready")
+	time.AfterFunc(rowRemovalDelay, func() { h.standins.Store.Remove("servers", old) })
 }
 
-// judgeCrashes judges how often a request ran once all entries must have known it; runs are in the
-// order of their times. A send of an entry that something struck shortly before doesn't count.
-func (b *book) judgeCrashes(path string, runs []standin.Run, sent *arrivals) {
-	if len(runs) <= crashesKnown {
+// checkCrashes checks how often a request ran after all entries must have recognised it. The runs
+// are in order of time; those from an entry that was disrupted shortly before do not count.
+func (r *recorder) checkCrashes(path string, runs []standin.Run, sent *sentRequests) {
+	if len(runs) <= crashLimit {
 		return
 	}
-	known := runs[crashesKnown-1].At.Add(knownAfter)
+	noticeDeadline := runs[crashLimit-1].At.Add(crashNoticeLimit)
 	sent.mu.Lock()
 	defer sent.mu.Unlock()
-	stray := 0
-	for _, run := range runs[crashesKnown:] {
-		calm := b.calm(sent.at[run.ID], run.At.Add(-knownAfter), run.At, hopStore, hopProcess)
-		if run.At.After(known) && calm {
-			stray++
+	late := 0
+	for _, run := range runs[crashLimit:] {
+		undisrupted := r.undisrupted(sent.entries[run.ID], run.At.Add(-crashNoticeLimit), run.At, hopStore, hopProcess)
+		if run.At.After(noticeDeadline) && undisrupted {
+			late++
 		}
 	}
-	if stray > strayRuns {
-		b.broken(Crashing, "%s ran %d times, %d of them %s after it had ended %d engines", path, len(runs), stray, knownAfter, crashesKnown)
+	if late > maxLateRuns {
+		r.addViolation(CrashNotContained, "%s ran %d times, %d of them %s after it had ended %d engines", path, len(runs), late, crashNoticeLimit, crashLimit)
 	}
 }
 
-// runsOf returns the runs of a path in the order of their times.
-func (w *world) runsOf(path string) []standin.Run {
+// runsOf returns the runs of a path in order of time.
+func (h *harness) runsOf(path string) []standin.Run {
 	var all []standin.Run
-	for _, engine := range w.standins.Engines {
+	for _, engine := range h.standins.Engines {
 		for _, run := range engine.Runs() {
 			if run.URI == path {
 				all = append(all, run)
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,7 +1,7 @@
-// Package soak runs gateways as processes of their own before stand-ins of the users'
-// platform, disrupts them from outside by a plan drawn from a seed, and checks from the
-// callers' and the upstreams' side what must hold whatever happens.
+// Package soak runs gateway processes against stand-ins of the users' platform, injects faults from
+// outside according to a plan drawn from a seed, and checks the guarantees that must hold under any
+// fault, as callers and upstreams observe them.
 //
-// The package starts processes, which no part of the served product does: it is a tool for
-// its developers and operators.
+// Unlike the served product, the package starts processes: it is a tool for developers and
+// operators.
 package soak
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -14,78 +14,80 @@
 	"github.com/pkg/errors"
 )
 
-// entry is an entry VM: a process at a time, and the relays before and behind it.
+// entry is an entry VM: its current process and the relays on its connections.
 type entry struct {
 	index   int
 	program string
 	file    string
 	log     string
-	// callers and store stand between callers and the entry, and the entry and the store.
+	// callers is the relay between callers and the entry, store that between the entry and the
+	// store.
 	callers, store *relay.Relay
 
-	// turn is held by whoever replaces the process.
-	turn sync.Mutex
+	// replaceMu is held while the process is replaced or sent signals.
+	replaceMu sync.Mutex
 
-	mu    sync.Mutex
-	life  *process
-	ready bool
-	// version is the one of the configuration that this life was last seen to obey.
+	mu      sync.Mutex
+	process *process
+	ready   bool
+	// version is the configuration version that the current process last reported.
 	version uint64
 }
 
 func (e *entry) start() error {
-	life, err := startProcess(e.program, e.file, e.log)
+	p, err := startProcess(e.program, e.file, e.log)
 	if err != nil {
 		return err
 	}
 	if e.callers == nil {
-		if e.callers, err = relay.New(life.addrs.Callers); err != nil {
+		if e.callers, err = relay.New(p.addrs.Callers); err != nil {
 			return errors.Wrap(err, "relay before an entry")
 		}
 	}
-	e.callers.SetTarget(life.addrs.Callers)
+	e.callers.SetTarget(p.addrs.Callers)
 	e.mu.Lock()
-	e.life, e.ready, e.version = life, false, 0
+	e.process, e.ready, e.version = p, false, 0
 	e.mu.Unlock()
 	return nil
 }
 
-// now returns the present life, and whether its balancer sends it new connections.
-func (e *entry) now() (life *process, ready bool) {
+// current returns the current process and whether the load balancer sends it new connections.
+func (e *entry) current() (p *process, ready bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life, e.ready
+	return e.process, e.ready
 }
 
-// away notes that a life takes no connections any more.
-func (e *entry) away(life *process) {
+// markNotReady records that a process accepts no more connections.
+func (e *entry) markNotReady(p *process) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life == life {
+	if e.process == p {
 		e.ready = false
 	}
 }
 
-// end ends the process by a signal and waits until it is gone. Whoever calls it holds turn.
-func (e *entry) end(s syscall.Signal) {
-	life, _ := e.now()
-	life.told.Store(true)
-	life.signal(s)
-	<-life.done
-	e.away(life)
+// terminate sends a signal that ends the process and waits for its exit. The caller holds
+// replaceMu.
+func (e *entry) terminate(s syscall.Signal) {
+	p, _ := e.current()
+	p.exitExpected.Store(true)
+	p.signal(s)
+	<-p.done
+	e.markNotReady(p)
 }
 
 const (
-	// lookEvery is how often an entry is asked for readiness and version, lookLimit bounds
-	// one question.
-	lookEvery = 100 * time.Millisecond
-	lookLimit = time.Second
+	// pollInterval is how often an entry's readiness and version are polled, pollTimeout bounds one
+	// poll.
+	pollInterval = 100 * time.Millisecond
+	pollTimeout  = time.Second
 )
 
-// watch keeps ready and version up to date and tells seen of each version.
-func (e *entry) watch(ctx context.Context, seen func(e *entry, life *process, before, version uint64)) {
-	client := &http.Client{Timeout: lookLimit}
-	ticker := time.NewTicker(lookEvery)
+// watch polls readiness and version and calls onVersion with each version read.
+func (e *entry) watch(ctx context.Context, onVersion func(e *entry, p *process, previous, version uint64)) {
+	client := &http.Client{Timeout: pollTimeout}
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -93,16 +95,16 @@
 			return
 		case <-ticker.C:
 		}
-		life, _ := e.now()
-		if life.ended() {
-			e.away(life)
+		p, _ := e.current()
+		if p.ended() {
+			e.markNotReady(p)
 			continue
 		}
-		ready := isReady(client, life.addrs.Ready)
-		version, ok := routesVersion(client, life.addrs.Metrics)
+		ready := isReady(client, p.addrs.Ready)
+		version, ok := routesVersion(client, p.addrs.Metrics)
 		e.mu.Lock()
-		same := e.life == life
-		before := e.version
+		same := e.process == p
+		previous := e.version
 		if same {
 			e.ready = ready
 			if ok {
@@ -111,28 +113,28 @@
 		}
 		e.mu.Unlock()
 		if same && ok {
-			seen(e, life, before, version)
+			onVersion(e, p, previous, version)
 		}
 	}
 }
 
 func isReady(client *http.Client, address string) bool {
-	answer, err := client.Get("http://" + address + "/readyz")
+	response, err := client.Get("http://" + address + "/readyz")
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-// routesVersion asks an entry for the version of the configuration in force there.
+// routesVersion reads the version of the applied configuration from an entry's metrics.
 func routesVersion(client *http.Client, address string) (uint64, bool) {
-	answer, err := client.Get("http://" + address + "/metrics")
+	response, err := client.Get("http://" + address + "/metrics")
 	if err != nil {
 		return 0, false
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, false
 	}
--- a/soak/gateway.go
+++ b/soak/gateway.go
@@ -6,37 +6,37 @@
 	"syscall"
 )
 
-// Gateway is a gateway process that nobody disturbs, for measurements.
+// Gateway is a gateway process without injected faults, for measurements.
 type Gateway struct {
-	life   *process
-	client *http.Client
+	process *process
+	client  *http.Client
 }
 
-// StartGateway runs program as the gateway vm, whose store is at address. It writes its
-// settings and its log, of the level given, into dir.
+// StartGateway runs program as the gateway on the given VM, with the address of the store and the
+// log level. It writes the settings and the log into dir.
 func StartGateway(program, dir, vm, store, level string) (*Gateway, error) {
 	file, err := writeSettings(dir, vm, store, level)
 	if err != nil {
 		return nil, err
 	}
-	life, err := startProcess(program, file, filepath.Join(dir, vm+".log"))
+	p, err := startProcess(program, file, filepath.Join(dir, vm+".log"))
 	if err != nil {
 		return nil, err
 	}
-	return &Gateway{life: life, client: &http.Client{Timeout: lookLimit}}, nil
+	return &Gateway{process: p, client: &http.Client{Timeout: pollTimeout}}, nil
 }
 
-// Callers returns the address for callers.
-func (g *Gateway) Callers() string { return g.life.addrs.Callers }
+// Callers returns the address of the callers' listener.
+func (g *Gateway) Callers() string { return g.process.addrs.Callers }
 
-// Ready tells whether the gateway takes callers.
-func (g *Gateway) Ready() bool { return isReady(g.client, g.life.addrs.Ready) }
+// Ready reports whether the gateway accepts callers.
+func (g *Gateway) Ready() bool { return isReady(g.client, g.process.addrs.Ready) }
 
-// PID returns the number of the process.
-func (g *Gateway) PID() int { return g.life.cmd.Process.Pid }
+// PID returns the process ID.
+func (g *Gateway) PID() int { return g.process.cmd.Process.Pid }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill kills the process and waits for its exit.
 func (g *Gateway) Kill() {
-	g.life.signal(syscall.SIGKILL)
-	<-g.life.done
+	g.process.signal(syscall.SIGKILL)
+	<-g.process.done
 }
--- a/soak/logcost_test.go
+++ b/soak/logcost_test.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// usualRate is the number of requests a second that an entry of the first deployments
-	// gets on the mean of a standard day.
-	usualRate = 15
-	// logRun is how long each load lasts.
-	logRun = 20 * time.Second
+	// baseRate is the mean number of requests per second that an entry of the first deployments
+	// gets on a standard day.
+	baseRate = 15
+	// loadDuration is the duration of each load.
+	loadDuration = 20 * time.Second
 )
 
-// BenchmarkLogging tells what logging costs: two gateways serve the same load at the same
-// time, one logging as it does by default and one writing errors only.
+// BenchmarkLogging measures the cost of logging: two gateways serve the same load at the same time,
+// one with the default log level and one that logs errors only.
 //
 //	go test -run '^$' -bench Logging -benchtime 1x ./soak
 func BenchmarkLogging(b *testing.B) {
 	for _, times := range []int{1, 3} {
 		b.Run(fmt.Sprintf("%dx", times), func(b *testing.B) {
 			for range b.N {
-				measureLogging(b, usualRate*times)
+				measureLogging(b, baseRate*times)
 			}
 		})
 	}
@@ -46,23 +46,23 @@
 	standins, err := standin.Start("127.0.0.1:0", 2, 2)
 	require.NoError(b, err)
 	defer standins.Stop()
-	loud := startGateway(b, program, standins.Address(), "info")
-	quiet := startGateway(b, program, standins.Address(), "error")
-	before := loud.LogBytes(b)
+	withInfo := startGateway(b, program, standins.Address(), "info")
+	errorsOnly := startGateway(b, program, standins.Address(), "error")
+	before := withInfo.LogBytes(b)
 	done := make(chan int)
-	for _, g := range []*loggedGateway{loud, quiet} {
+	for _, g := range []*loggedGateway{withInfo, errorsOnly} {
 		go func() { done <- g.load(b, rate) }()
 	}
 	requests := <-done + <-done
-	lines := strings.Count(loud.LogText(b), `"message":"request ended"`)
+	lines := strings.Count(withInfo.LogText(b), `"message":"request ended"`)
 	b.ReportMetric(float64(lines)/float64(requests/2), "lines/request")
-	b.ReportMetric(float64(loud.LogBytes(b)-before)/logRun.Seconds(), "B/s")
-	b.ReportMetric(float64(loud.Processor(b))/float64(quiet.Processor(b)), "cpu-ratio")
-	b.ReportMetric(float64(loud.Processor(b).Microseconds())/float64(requests/2), "cpu-us/request")
+	b.ReportMetric(float64(withInfo.LogBytes(b)-before)/loadDuration.Seconds(), "B/s")
+	b.ReportMetric(float64(withInfo.CPUTime(b))/float64(errorsOnly.CPUTime(b)), "cpu-ratio")
+	b.ReportMetric(float64(withInfo.CPUTime(b).Microseconds())/float64(requests/2), "cpu-us/request")
 	b.ReportMetric(0, "ns/op")
 }
 
-// loggedGateway is a gateway process with its log.
+// loggedGateway is a gateway process with its log file.
 type loggedGateway struct {
 	*soak.Gateway
 	log string
@@ -77,18 +77,18 @@
 	return &loggedGateway{Gateway: g, log: filepath.Join(dir, "entry-"+level+".log")}
 }
 
-// LogText returns what was logged.
+// LogText returns the text of the log.
 func (g *loggedGateway) LogText(b *testing.B) string {
 	text, err := os.ReadFile(g.log)
 	require.NoError(b, err)
 	return string(text)
 }
 
-// LogBytes returns the size of what was logged.
+// LogBytes returns the size of the log.
 func (g *loggedGateway) LogBytes(b *testing.B) int { return len(g.LogText(b)) }
 
-// Processor returns the processor time of the process's threads.
-func (g *loggedGateway) Processor(b *testing.B) time.Duration {
+// CPUTime returns the CPU time of the process's threads.
+func (g *loggedGateway) CPUTime(b *testing.B) time.Duration {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", g.PID()))
 	require.NoError(b, err)
 	var sum time.Duration
@@ -103,15 +103,15 @@
 	return sum
 }
 
-// load sends requests at a steady rate and returns how many there were.
+// load sends requests at a steady rate and returns their number.
 func (g *loggedGateway) load(b *testing.B, rate int) int {
-	ctx, cancel := context.WithTimeout(context.Background(), logRun)
+	ctx, cancel := context.WithTimeout(context.Background(), loadDuration)
 	defer cancel()
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
 	n := 0
-	var flying sync.WaitGroup
-	defer flying.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		select {
 		case <-ctx.Done():
@@ -126,7 +126,7 @@
 			b.Error(err)
 			return n
 		}
-		flying.Go(func() {
+		inFlight.Go(func() {
 			answer, err := http.DefaultClient.Do(request)
 			if err != nil {
 				b.Error(err)
--- a/soak/process.go
+++ b/soak/process.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// readyOff and drainLimit are the entries' own settings for a stop.
-	readyOff   = 600 * time.Millisecond
-	drainLimit = 4 * time.Second
-	// startLimit bounds the time until a process says where it listens.
+	// readyOffDelay and drainLimit are the entries' settings for a graceful stop.
+	readyOffDelay = 600 * time.Millisecond
+	drainLimit    = 4 * time.Second
+	// startLimit bounds the time until a process reports its addresses.
 	startLimit = 10 * time.Second
 )
 
-// process is one life of an entry.
+// process is one process of an entry.
 type process struct {
 	cmd     *exec.Cmd
 	addrs   addresses
 	started time.Time
-	// told is set before the run itself ends the process.
-	told atomic.Bool
-	// done is closed once the process has ended; exit is then its error.
-	done chan struct{}
-	exit error
+	// exitExpected is set before the harness ends the process.
+	exitExpected atomic.Bool
+	// done is closed when the process has ended; exitErr is then its error.
+	done    chan struct{}
+	exitErr error
 }
 
-// addresses are what a gateway says on its first line.
+// addresses is the log line in which a gateway reports its addresses.
 type addresses struct {
 	Message string `json:"message"`
 	Callers string `json:"callers"`
@@ -45,21 +45,21 @@
 	Metrics string `json:"metrics"`
 }
 
-// writeSettings writes the settings of the entry vm, whose store is at address and which
-// logs at the level given.
+// writeSettings writes the settings of the entry on the given VM, with the store's address and the
+// log level.
 func writeSettings(dir, vm, store, level string) (string, error) {
 	file := filepath.Join(dir, vm+".json")
 	s := settings.DefaultGateway()
 	s.VM = shared.VM{ID: vm, Zone: "zone-a"}
-	free := settings.Address{Listen: "127.0.0.1:0"}
-	s.Callers, s.Ready, s.Metrics, s.Link = free, free, free, free
+	anyPort := settings.Address{Listen: "127.0.0.1:0"}
+	s.Callers, s.Ready, s.Metrics, s.Link = anyPort, anyPort, anyPort, anyPort
 	s.Store.Address = store
 	s.Log.Level = level
-	s.Drain = settings.GatewayDrain{ReadyOffMs: int(readyOff.Milliseconds()), LimitS: drainLimit.Seconds()}
+	s.Drain = settings.GatewayDrain{ReadyOffMs: int(readyOffDelay.Milliseconds()), LimitS: drainLimit.Seconds()}
 	return file, saveSettings(file, s)
 }
 
-// saveSettings replaces a settings file as a whole: a process may read it at any moment.
+// saveSettings replaces a settings file atomically, since a process may read it at any time.
 func saveSettings(file string, s *settings.Gateway) error {
 	data, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
@@ -71,7 +71,7 @@
 	return errors.Wrap(os.Rename(file+".new", file), "replace settings")
 }
 
-// changeSettings makes a change that any entry may bear at any time.
+// changeSettings makes a change that an entry can reload at any time.
 func (e *entry) changeSettings() error {
 	s, err := shared.ReadFile(e.file, settings.ParseGateway)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return saveSettings(e.file, s)
 }
 
-// startProcess runs a gateway whose output goes to the file log, and waits until it listens.
+// startProcess starts a gateway, writes its output to the file log, and waits until it listens.
 func startProcess(program, file, log string) (*process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -98,7 +98,7 @@
 	}
 	p.started = time.Now()
 	first := make(chan addresses, 1)
-	go p.follow(lines, out, first)
+	go p.copyOutput(lines, out, first)
 	select {
 	case p.addrs = <-first:
 		return p, nil
@@ -110,8 +110,9 @@
 	}
 }
 
-// follow copies the output to out until the process ends, and passes on where it listens.
-func (p *process) follow(lines io.Reader, out *os.File, first chan<- addresses) {
+// copyOutput copies the output to out until the process ends, and sends the addresses that it
+// reports to first.
+func (p *process) copyOutput(lines io.Reader, out *os.File, first chan<- addresses) {
 	defer close(p.done)
 	defer out.Close()
 	scanner := bufio.NewScanner(lines)
@@ -123,13 +124,13 @@
 		}
 		fmt.Fprintf(out, "%s\n", scanner.Bytes())
 	}
-	p.exit = p.cmd.Wait()
+	p.exitErr = p.cmd.Wait()
 }
 
-// signal sends a signal; a process that has ended needs none.
+// signal sends a signal. A process that has already ended ignores it.
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// ended tells whether the process has ended.
+// ended reports whether the process has ended.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
--- a/soak/run.go
+++ b/soak/run.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64         `json:"seed"`
 	Events     int            `json:"events"`
@@ -36,15 +36,15 @@
 	}
 }
 
-// The names of what a run writes into its folder, beside each entry's settings and log.
+// Names of the files that a run writes into its directory, besides each entry's settings and log.
 const (
 	PlanFile   = "plan.json"
 	reportFile = "report.json"
 )
 
-// Run plays a plan with gateways of the given program, and writes the plan, the entries'
-// logs and the report into dir. An error means that the run could not be made; broken
-// promises are in the report.
+// Run executes a plan with gateway processes of the given program, and writes the plan, the
+// entries' logs and the report into dir. An error means that the run was not possible; violations
+// are in the report.
 func Run(ctx context.Context, plan *Plan, program, dir string) (*Report, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, errors.Wrap(err, "make the run's folder")
@@ -54,19 +54,19 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w, err := newWorld(ctx, plan, program, dir)
-	if w != nil {
-		defer w.close()
+	h, err := newHarness(ctx, plan, program, dir)
+	if h != nil {
+		defer h.close()
 	}
 	if err != nil {
 		return nil, err
 	}
-	w.play(ctx)
-	report := &Report{Seed: plan.Seed, Events: len(plan.Events), Outcomes: w.book.outcomes, Violations: w.book.violations}
-	return report, report.keep(filepath.Join(dir, reportFile))
+	h.execute(ctx)
+	report := &Report{Seed: plan.Seed, Events: len(plan.Events), Outcomes: h.recorder.outcomes, Violations: h.recorder.violations}
+	return report, report.save(filepath.Join(dir, reportFile))
 }
 
-func (r *Report) keep(file string) error {
+func (r *Report) save(file string) error {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return errors.Wrap(err, "encode the report")
@@ -74,66 +74,66 @@
 	return errors.Wrap(os.WriteFile(file, data, 0o644), "write the report")
 }
 
-// judgeEvery is how often upstreams' runs are compared with what was promised.
-const judgeEvery = time.Second
+// checkInterval is how often the runs at upstreams are compared with the promises.
+const checkInterval = time.Second
 
-// play runs the callers, the events and the checks.
-func (w *world) play(ctx context.Context) {
-	lasts := time.Duration(w.plan.LastsMs) * time.Millisecond
-	traffic, stopTraffic := context.WithTimeout(ctx, lasts)
+// execute runs the callers, the events and the checks.
+func (h *harness) execute(ctx context.Context) {
+	duration := time.Duration(h.plan.LastsMs) * time.Millisecond
+	traffic, stopTraffic := context.WithTimeout(ctx, duration)
 	defer stopTraffic()
-	w.book.begin = time.Now()
-	var callers, strikes sync.WaitGroup
-	for i := range w.plan.Callers {
-		c := &caller{world: w, number: i, random: rand.New(rand.NewPCG(w.plan.Seed, uint64(i)+1))}
+	h.recorder.startedAt = time.Now()
+	var callers, events sync.WaitGroup
+	for i := range h.plan.Callers {
+		c := &caller{harness: h, number: i, random: rand.New(rand.NewPCG(h.plan.Seed, uint64(i)+1))}
 		callers.Go(func() { c.run(traffic) })
 	}
-	go w.judgeRunning(traffic)
-	for _, event := range w.plan.Events {
-		strikes.Go(func() {
-			wait(traffic, time.Until(w.book.begin.Add(time.Duration(event.AtMs)*time.Millisecond)))
-			w.strike(ctx, event)
+	go h.checkRunsPeriodically(traffic)
+	for _, event := range h.plan.Events {
+		events.Go(func() {
+			wait(traffic, time.Until(h.recorder.startedAt.Add(time.Duration(event.AtMs)*time.Millisecond)))
+			h.apply(ctx, event)
 		})
 	}
-	strikes.Wait()
-	w.book.settle(recovery)
+	events.Wait()
+	h.recorder.requireSuccessAfter(recoveryLimit)
 	callers.Wait()
-	w.finish(ctx)
+	h.runFinalChecks(ctx)
 }
 
-// settle tells from when everything must work: some time from now on.
-func (b *book) settle(after time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.quietFrom = time.Now().Add(after)
+// requireSuccessAfter sets the time from which every request must succeed: delay from now.
+func (r *recorder) requireSuccessAfter(delay time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.successFrom = time.Now().Add(delay)
 }
 
-func (w *world) judgeRunning(ctx context.Context) {
-	ticker := time.NewTicker(judgeEvery)
+func (h *harness) checkRunsPeriodically(ctx context.Context) {
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			w.book.judgeRuns(w.runs())
+			h.recorder.checkRuns(h.runs())
 		}
 	}
 }
 
-// finish makes the checks that need the traffic's end, and stops all entries.
-func (w *world) finish(ctx context.Context) {
-	w.judgeConfiguration()
-	w.judgeHeld(ctx)
+// runFinalChecks runs the checks that need the end of the traffic, and stops all entries.
+func (h *harness) runFinalChecks(ctx context.Context) {
+	h.checkConfiguration()
+	h.checkReleased(ctx)
 	var stops sync.WaitGroup
-	for _, e := range w.entries {
+	for _, e := range h.entries {
 		stops.Go(func() {
-			e.turn.Lock()
-			defer e.turn.Unlock()
-			w.stop(e)
+			e.replaceMu.Lock()
+			defer e.replaceMu.Unlock()
+			h.stop(e)
 		})
 	}
 	stops.Wait()
-	w.book.judgeRuns(w.runs())
-	w.judgeLogs()
+	h.recorder.checkRuns(h.runs())
+	h.checkLogs()
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain lets the test's own program stand for the gateway's.
+// TestMain makes the test binary act as the gateway program.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "gateway" {
 		os.Exit(command.Main(os.Args[1:], os.Stdout, os.Stderr))
@@ -18,30 +18,30 @@
 	os.Exit(m.Run())
 }
 
-// A short run of the whole; longer ones are made by hand (docs/OPERATORS.md).
-func TestShortRunBreaksNoPromise(t *testing.T) {
+// A short run of a drawn plan; longer runs are started by hand (docs/OPERATORS.md).
+func TestShortRunHasNoViolations(t *testing.T) {
 	plan, err := soak.NewPlan(7, 15*time.Second, 3)
 	require.NoError(t, err)
 	require.NotEmpty(t, plan.Events)
-	requireKept(t, plan)
+	requireNoViolations(t, plan)
 }
 
-// Requests that crash engines come among kills, stops and an outage of the store.
-func TestCrashingRequestsAmongOtherFaultsBreakNoPromise(t *testing.T) {
+// Requests that crash engines overlap with kills, stops and an outage of the store.
+func TestCrashingRequestsAmongOtherFaultsCauseNoViolations(t *testing.T) {
 	plan, err := soak.ReadPlan("testdata/crashes.json")
 	require.NoError(t, err)
-	requireKept(t, plan)
+	requireNoViolations(t, plan)
 }
 
-// Configurations of a megabyte and more change while the ways to the store are narrow.
-func TestLargeConfigurationsOverNarrowWaysBreakNoPromise(t *testing.T) {
+// Configurations larger than a megabyte change while the bandwidth to the store is low.
+func TestLargeConfigurationsOverLowBandwidthCauseNoViolations(t *testing.T) {
 	plan, err := soak.ReadPlan("testdata/large.json")
 	require.NoError(t, err)
-	requireKept(t, plan)
+	requireNoViolations(t, plan)
 }
 
-// requireKept plays a plan and requires that no promise is broken.
-func requireKept(t *testing.T, plan *soak.Plan) {
+// requireNoViolations executes a plan and requires that it finds no violation.
+func requireNoViolations(t *testing.T, plan *soak.Plan) {
 	t.Helper()
 	program, err := os.Executable()
 	require.NoError(t, err)
--- a/soak/strike.go
+++ b/soak/strike.go
@@ -14,260 +14,261 @@
 )
 
 const (
-	// slowStore and slowUpstream are the delays of a way that is slow, in one direction;
-	// lateStore is that of a store that answers late.
-	slowStore    = 300 * time.Millisecond
-	slowUpstream = 40 * time.Millisecond
-	lateStore    = 700 * time.Millisecond
-	// narrowStore is the bandwidth of a narrow way, in bytes a second.
-	narrowStore = 1 << 20
-	// growBy is how many routes a configuration gets at a time, mostRoutes how many it may have: they
-	// make a table that no frame of a link holds.
-	growBy     = 4000
-	mostRoutes = 8000
-	// badRequests is how many requests the upstreams of a service treat wrong.
-	badRequests = 4
-	// lookAway is the time in which entries stop sending requests to an upstream that
-	// leaves: the platform's bound. leavesFor is how long it leaves at least.
-	lookAway  = 3 * time.Second
-	leavesFor = lookAway + time.Second
-	// toldOf is the time in which entries hear from the registry that an upstream has started
-	// again (they wait for its changes, and read them in some milliseconds).
-	toldOf = time.Second
+	// storeDelay and upstreamDelay delay slow connections in each direction; storeAnswerDelay is
+	// how long a slow store delays each call.
+	storeDelay       = 300 * time.Millisecond
+	upstreamDelay    = 40 * time.Millisecond
+	storeAnswerDelay = 700 * time.Millisecond
+	// lowStoreBandwidth is in bytes per second.
+	lowStoreBandwidth = 1 << 20
+	// routesPerGrow is the number of routes that Grow adds, maxExtraRoutes their largest total. It
+	// gives a table that does not fit into one frame of a link.
+	routesPerGrow  = 4000
+	maxExtraRoutes = 8000
+	// faultyRequests is how many requests to a service Misbehave affects.
+	faultyRequests = 4
+	// drainNoticeLimit is the platform's limit for entries to stop sending requests to a draining
+	// upstream, drainDuration the shortest time for which an upstream drains.
+	drainNoticeLimit = 3 * time.Second
+	drainDuration    = drainNoticeLimit + time.Second
+	// restartNoticeLimit is the time within which entries learn from the registry that an upstream
+	// has restarted (they wait for its changes and read them within milliseconds).
+	restartNoticeLimit = time.Second
 )
 
-// strike carries out one event and waits for its end.
-func (w *world) strike(ctx context.Context, event Event) {
-	lasts := time.Duration(event.ForMs) * time.Millisecond
+// apply executes one event and returns when it has ended.
+func (h *harness) apply(ctx context.Context, event Event) {
+	duration := time.Duration(event.ForMs) * time.Millisecond
 	switch event.Kind {
 	case Stop, Kill, Pause, Reload:
-		w.strikeProcess(ctx, event.Kind, w.entries[event.Target], lasts)
+		h.disruptProcess(ctx, event.Kind, h.entries[event.Target], duration)
 	case KillAll:
-		w.killAll(ctx, lasts)
+		h.killAll(ctx, duration)
 	case CallerReset, CallerSilent:
-		e := w.entries[event.Target]
-		w.strikeWay(ctx, event.Kind, e.callers, lasts, w.book.disturb(hopCallers, e.index))
+		e := h.entries[event.Target]
+		h.disruptConnections(ctx, event.Kind, e.callers, duration, h.recorder.beginDisruption(hopCallers, e.index))
 	case StoreReset, StoreSilent, StoreOneWay, StoreSlow:
-		e := w.entries[event.Target]
-		w.strikeWay(ctx, event.Kind, e.store, lasts, w.book.disturb(hopStore, e.index))
+		e := h.entries[event.Target]
+		h.disruptConnections(ctx, event.Kind, e.store, duration, h.recorder.beginDisruption(hopStore, e.index))
 	case UpstreamReset, UpstreamSilent, UpstreamOneWay, UpstreamSlow:
-		w.strikeWay(ctx, event.Kind, w.upstreams[event.Target], lasts, w.book.disturb(hopUpstreams, everyEntry))
-	case StoreOutage, StoreMute, StoreLosing, StoreLate, StoreForgets, StoreFeedsDie:
-		w.strikeStore(ctx, event.Kind, lasts)
-	case StoreNarrow:
-		w.narrow(ctx, w.entries[event.Target], lasts)
+		h.disruptConnections(ctx, event.Kind, h.upstreams[event.Target], duration, h.recorder.beginDisruption(hopUpstreams, allEntries))
+	case StoreOutage, StoreUnresponsive, StoreAnswersLost, StoreDelayed, StoreCompacted, StoreFeedsClosed:
+		h.disruptStore(ctx, event.Kind, duration)
+	case StoreLowBandwidth:
+		h.limitBandwidth(ctx, h.entries[event.Target], duration)
 	case Configure:
-		w.configure(0)
+		h.configure(0)
 	case Grow:
-		w.configure(growBy)
-	case Leave:
-		w.leave(ctx, w.standins.Replicas()[event.Target], lasts)
+		h.configure(routesPerGrow)
+	case Drain:
+		h.drainUpstream(ctx, h.standins.Replicas()[event.Target], duration)
 	case ForeignRows:
-		w.foreign(ctx, w.standins.Replicas()[event.Target], lasts)
-	case Reborn:
-		w.reborn(ctx, w.standins.Replicas()[event.Target], lasts)
+		h.addForeignRows(ctx, h.standins.Replicas()[event.Target], duration)
+	case Restart:
+		h.restartUpstream(ctx, h.standins.Replicas()[event.Target], duration)
 	case CrashingRequest:
-		w.crashing(ctx, fmt.Sprintf("%s%d", fatalPrefix, event.AtMs), lasts)
+		h.sendCrashingRequests(ctx, fmt.Sprintf("%s%d", fatalPrefix, event.AtMs), duration)
 	case Misbehave:
-		w.misbehave(ctx, event.Target, [2]standin.ReplicaFault{standin.ReplicaFault(event.How), event.other()}, lasts)
+		h.misbehave(ctx, event.Target, [2]standin.ReplicaFault{standin.ReplicaFault(event.Fault), event.secondFault()}, duration)
 	}
 }
 
-// misbehave makes the upstreams of a service treat their next requests wrong in two ways by
-// turns, whichever of them is asked: a second try then meets another misdeed than the first.
-func (w *world) misbehave(ctx context.Context, target int, misdeeds [2]standin.ReplicaFault, lasts time.Duration) {
-	defer w.book.disturb(hopUpstreams, everyEntry)()
-	replicas := w.standins.Plains
-	if target < len(w.standins.Engines) {
-		replicas = w.standins.Engines
+// misbehave applies two faults alternately to the next requests of a service, whichever of its
+// upstreams receives them, so that a retry meets another fault than the first attempt.
+func (h *harness) misbehave(ctx context.Context, target int, pair [2]standin.ReplicaFault, duration time.Duration) {
+	defer h.recorder.beginDisruption(hopUpstreams, allEntries)()
+	replicas := h.standins.Plains
+	if target < len(h.standins.Engines) {
+		replicas = h.standins.Engines
 	}
-	shared := standin.FaultQueue(slices.Repeat(misdeeds[:], badRequests/len(misdeeds))...)
+	shared := standin.FaultQueue(slices.Repeat(pair[:], faultyRequests/len(pair))...)
 	for _, replica := range replicas {
 		replica.ShareFaults(shared)
 	}
-	wait(ctx, lasts)
+	wait(ctx, duration)
 	for _, replica := range replicas {
 		replica.ClearFaults()
 	}
 }
 
-func (w *world) strikeProcess(ctx context.Context, kind Kind, e *entry, lasts time.Duration) {
-	e.turn.Lock()
-	defer e.turn.Unlock()
-	life, _ := e.now()
+func (h *harness) disruptProcess(ctx context.Context, kind Kind, e *entry, duration time.Duration) {
+	e.replaceMu.Lock()
+	defer e.replaceMu.Unlock()
+	p, _ := e.current()
 	switch kind {
 	case Stop:
-		w.stop(e)
-		w.replace(e)
+		h.stop(e)
+		h.replace(e)
 	case Kill:
-		defer w.book.disturb(hopProcess, e.index)()
-		e.end(syscall.SIGKILL)
-		wait(ctx, lasts)
-		w.replace(e)
+		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		e.terminate(syscall.SIGKILL)
+		wait(ctx, duration)
+		h.replace(e)
 	case Pause:
-		defer w.book.disturb(hopProcess, e.index)()
-		life.signal(syscall.SIGSTOP)
-		wait(ctx, lasts)
-		life.signal(syscall.SIGCONT)
+		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		p.signal(syscall.SIGSTOP)
+		wait(ctx, duration)
+		p.signal(syscall.SIGCONT)
 	case Reload:
 		if err := e.changeSettings(); err != nil {
-			w.book.broken(Ended, "the settings of entry %d can't be changed: %v", e.index, err)
+			h.recorder.addViolation(ProcessFailed, "the settings of entry %d can't be changed: %v", e.index, err)
 		}
-		life.signal(syscall.SIGHUP)
+		p.signal(syscall.SIGHUP)
 	}
 }
 
-func (w *world) killAll(ctx context.Context, lasts time.Duration) {
-	for _, e := range w.entries {
-		e.turn.Lock()
-		defer e.turn.Unlock()
-		defer w.book.disturb(hopProcess, e.index)()
-		e.end(syscall.SIGKILL)
+func (h *harness) killAll(ctx context.Context, duration time.Duration) {
+	for _, e := range h.entries {
+		e.replaceMu.Lock()
+		defer e.replaceMu.Unlock()
+		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		e.terminate(syscall.SIGKILL)
 	}
-	wait(ctx, lasts)
-	for _, e := range w.entries {
-		w.replace(e)
+	wait(ctx, duration)
+	for _, e := range h.entries {
+		h.replace(e)
 	}
 }
 
-func (w *world) strikeWay(ctx context.Context, kind Kind, way *relay.Relay, lasts time.Duration, over func()) {
-	defer over()
+func (h *harness) disruptConnections(ctx context.Context, kind Kind, r *relay.Relay, duration time.Duration, end func()) {
+	defer end()
 	switch kind {
 	case CallerReset, StoreReset, UpstreamReset:
-		way.Reset()
+		r.Reset()
 		return
 	case CallerSilent, StoreSilent, UpstreamSilent:
-		way.Drop(relay.ToTarget, relay.FromTarget)
+		r.Drop(relay.ToTarget, relay.FromTarget)
 	case StoreOneWay, UpstreamOneWay:
-		way.Drop(relay.FromTarget)
+		r.Drop(relay.FromTarget)
 	case StoreSlow:
-		way.Delay(slowStore)
+		r.Delay(storeDelay)
 	case UpstreamSlow:
-		way.Delay(slowUpstream)
+		r.Delay(upstreamDelay)
 	}
-	wait(ctx, lasts)
-	way.Restore()
+	wait(ctx, duration)
+	r.Restore()
 }
 
-// strikeStore makes the store itself fail. Of faults that overlap the last one acts.
-func (w *world) strikeStore(ctx context.Context, kind Kind, lasts time.Duration) {
-	defer w.book.disturb(hopStore, everyEntry)()
-	store := w.standins.Store
+// disruptStore injects a fault into the store itself. Of overlapping faults the latest is active.
+func (h *harness) disruptStore(ctx context.Context, kind Kind, duration time.Duration) {
+	defer h.recorder.beginDisruption(hopStore, allEntries)()
+	store := h.standins.Store
 	fault := faults.Fault{Operation: "*"}
 	switch kind {
-	case StoreForgets:
+	case StoreCompacted:
 		store.Compact()
 		return
 	case StoreOutage:
 		fault.Kind = faults.Outage
-	case StoreMute:
+	case StoreUnresponsive:
 		fault.Kind = faults.Silent
-	case StoreLosing:
+	case StoreAnswersLost:
 		fault.Kind = faults.AnswerLost
-	case StoreLate:
-		fault.Kind, fault.Delay = faults.Slow, lateStore
-	case StoreFeedsDie:
+	case StoreDelayed:
+		fault.Kind, fault.Delay = faults.Slow, storeAnswerDelay
+	case StoreFeedsClosed:
 		fault.Operation, fault.Kind = standin.OpFeed, faults.Die
 	}
-	w.mu.Lock()
-	w.storeFaults++
+	h.mu.Lock()
+	h.storeFaults++
 	store.Faults.Set(fault)
-	w.mu.Unlock()
-	wait(ctx, lasts)
-	w.mu.Lock()
-	w.storeFaults--
-	if w.storeFaults == 0 {
+	h.mu.Unlock()
+	wait(ctx, duration)
+	h.mu.Lock()
+	h.storeFaults--
+	if h.storeFaults == 0 {
 		store.Faults.Set()
 	}
-	w.mu.Unlock()
+	h.mu.Unlock()
 }
 
-// narrow gives an entry's way to the store little bandwidth for a while.
-func (w *world) narrow(ctx context.Context, e *entry, lasts time.Duration) {
-	e.store.Over(relay.NewLink(narrowStore))
-	wait(ctx, lasts)
+// limitBandwidth limits the bandwidth between an entry and the store for a while.
+func (h *harness) limitBandwidth(ctx context.Context, e *entry, duration time.Duration) {
+	e.store.Over(relay.NewLink(lowStoreBandwidth))
+	wait(ctx, duration)
 	e.store.Over(nil)
 }
 
-// configure makes a version of the configuration, with so many routes more.
-func (w *world) configure(more int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.routes = min(w.routes+more, mostRoutes)
-	w.standins.Configure(w.version, w.routes)
-	w.book.configurationMade(uint64(w.version))
+// configure writes a new version of the configuration with more extra routes.
+func (h *harness) configure(more int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.version++
+	h.extraRoutes = min(h.extraRoutes+more, maxExtraRoutes)
+	h.standins.Configure(h.version, h.extraRoutes)
+	h.recorder.recordVersion(uint64(h.version))
 }
 
-// allCalm tells whether nothing struck any entry or its way to the store between two times.
-func (w *world) allCalm(from, to time.Time) bool {
-	return !slices.ContainsFunc(w.entries, func(e *entry) bool {
-		return !w.book.calm(e.index, from.Add(-aftermath), to, hopStore, hopProcess)
+// allUndisrupted reports whether nothing disrupted any entry or its connections to the store
+// between two times.
+func (h *harness) allUndisrupted(from, to time.Time) bool {
+	return !slices.ContainsFunc(h.entries, func(e *entry) bool {
+		return !h.recorder.undisrupted(e.index, from.Add(-reconnectTime), to, hopStore, hopProcess)
 	})
 }
 
-// reborn starts an upstream again under its id, and again; the second time those who wait for
-// its answers are not told. It judges who still waits for an answer of the earlier life once
-// entries must know.
-func (w *world) reborn(ctx context.Context, replica *standin.Replica, lasts time.Duration) {
-	turn := w.rows[replica]
-	turn.Lock()
-	defer turn.Unlock()
-	defer w.book.disturb(hopUpstreams, everyEntry)()
+// restartUpstream restarts an upstream twice under its ID, the second time without closing the
+// connections of waiting requests. It checks that no request still waits for an earlier incarnation
+// once entries must know of the restart.
+func (h *harness) restartUpstream(ctx context.Context, replica *standin.Replica, duration time.Duration) {
+	lock := h.rowLocks[replica]
+	lock.Lock()
+	defer lock.Unlock()
+	defer h.recorder.beginDisruption(hopUpstreams, allEntries)()
 	for _, silent := range []bool{false, true} {
 		began := time.Now()
 		replica.Restart(began.UnixMilli(), silent)
-		replica.Register(w.standins.Store, "ready")
-		wait(ctx, lasts+toldOf)
-		if n := replica.StaleRequests(); n > 0 && ctx.Err() == nil && w.allCalm(began, time.Now()) {
-			w.book.broken(Outlived, "%d requests still wait for an earlier life of %s", n, replica.ID)
+		replica.Register(h.standins.Store, "ready")
+		wait(ctx, duration+restartNoticeLimit)
+		if n := replica.StaleRequests(); n > 0 && ctx.Err() == nil && h.allUndisrupted(began, time.Now()) {
+			h.recorder.addViolation(StaleRequests, "%d requests still wait for an earlier life of %s", n, replica.ID)
 		}
 	}
 }
 
-// judgeConfiguration asks each entry for the last version's own route and for that of the
-// version before.
-func (w *world) judgeConfiguration() {
-	w.mu.Lock()
-	version := w.version
-	w.mu.Unlock()
+// checkConfiguration requests the route of the last version and the route of the version before it
+// from each entry.
+func (h *harness) checkConfiguration() {
+	h.mu.Lock()
+	version := h.version
+	h.mu.Unlock()
 	if version == 1 {
-		return // There is none before.
+		return // There is no earlier version.
 	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callersPatience}
-	for _, e := range w.entries {
-		w.judgeRoute(client, e, version, http.StatusOK)
-		w.judgeRoute(client, e, version-1, http.StatusNotFound)
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clientTimeout}
+	for _, e := range h.entries {
+		h.checkRoute(client, e, version, http.StatusOK)
+		h.checkRoute(client, e, version-1, http.StatusNotFound)
 	}
 }
 
-func (w *world) judgeRoute(client *http.Client, e *entry, version, want int) {
+func (h *harness) checkRoute(client *http.Client, e *entry, version, want int) {
 	call := standin.Call{ID: fmt.Sprintf("version-%d-%d", e.index, version), Path: standin.VersionPath(version) + "x"}
 	request, err := call.Request(e.callers.Addr())
 	if err != nil {
-		w.book.broken(Unwell, "a request can't be made: %v", err)
+		h.recorder.addViolation(NotRecovered, "a request can't be made: %v", err)
 		return
 	}
 	got, err := client.Do(request)
 	if err != nil {
-		w.book.broken(Unwell, "entry %d does not answer for version %d: %v", e.index, version, err)
+		h.recorder.addViolation(NotRecovered, "entry %d does not answer for version %d: %v", e.index, version, err)
 		return
 	}
 	defer got.Body.Close()
 	if got.StatusCode != want {
-		w.book.broken(Stale, "entry %d answers %d for the route of version %d; want %d", e.index, got.StatusCode, version, want)
+		h.recorder.addViolation(ConfigurationStale, "entry %d answers %d for the route of version %d; want %d", e.index, got.StatusCode, version, want)
 	}
 }
 
-// leave marks an upstream as leaving, and judges who still sends it requests.
-func (w *world) leave(ctx context.Context, replica *standin.Replica, lasts time.Duration) {
-	w.unused(ctx, replica, lasts, func() { replica.Register(w.standins.Store, "draining") })
+// drainUpstream marks an upstream as draining and checks that it gets no more requests.
+func (h *harness) drainUpstream(ctx context.Context, replica *standin.Replica, duration time.Duration) {
+	h.checkUnused(ctx, replica, duration, func() { replica.Register(h.standins.Store, "draining") })
 }
 
-// foreign leaves rows that no upstream wrote, one of them in place of an upstream's own, and
-// judges who still sends that one requests.
-func (w *world) foreign(ctx context.Context, replica *standin.Replica, lasts time.Duration) {
-	store := w.standins.Store
+// addForeignRows adds rows of another writer to the registry, one of them in place of an upstream's
+// own, and checks that this upstream gets no more requests.
+func (h *harness) addForeignRows(ctx context.Context, replica *standin.Replica, duration time.Duration) {
+	store := h.standins.Store
 	rows := map[string]string{
 		"foreign-1-" + replica.ID: `"not base64!"`,
 		"foreign-2-" + replica.ID: `17`,
@@ -277,26 +278,26 @@
 		store.PutRaw("servers", key, []byte(value))
 		defer store.Remove("servers", key)
 	}
-	w.unused(ctx, replica, lasts, func() { store.PutRaw("servers", replica.ID, []byte(`"bm8gZW50cnk="`)) })
+	h.checkUnused(ctx, replica, duration, func() { store.PutRaw("servers", replica.ID, []byte(`"bm8gZW50cnk="`)) })
 }
 
-// unused makes an upstream one that may not be used, and judges who still sends it requests.
-// What runs there may be a try that an entry was frozen over, so entries must have been well.
-func (w *world) unused(ctx context.Context, replica *standin.Replica, lasts time.Duration, begin func()) {
-	turn := w.rows[replica]
-	turn.Lock()
-	defer turn.Unlock()
+// checkUnused makes an upstream unusable by calling begin and checks that it gets no more requests.
+// A paused entry may send an attempt late, so the check applies only if no entry was disrupted.
+func (h *harness) checkUnused(ctx context.Context, replica *standin.Replica, duration time.Duration, begin func()) {
+	lock := h.rowLocks[replica]
+	lock.Lock()
+	defer lock.Unlock()
 	began := time.Now()
 	begin()
-	defer replica.Register(w.standins.Store, "ready")
-	wait(ctx, leavesFor+lasts)
+	defer replica.Register(h.standins.Store, "ready")
+	wait(ctx, drainDuration+duration)
 	ended := time.Now()
-	if !w.allCalm(began, ended) {
+	if !h.allUndisrupted(began, ended) {
 		return
 	}
 	for _, run := range replica.Runs() {
-		if after := run.At.Sub(began); after > lookAway && run.At.Before(ended) {
-			w.book.broken(LeftAlone, "%s got %s %s after it began to leave", replica.ID, run.URI, after.Round(time.Millisecond))
+		if after := run.At.Sub(began); after > drainNoticeLimit && run.At.Before(ended) {
+			h.recorder.addViolation(UsedWhileDraining, "%s got %s %s after it began to leave", replica.ID, run.URI, after.Round(time.Millisecond))
 		}
 	}
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -17,177 +17,179 @@
 	"github.com/pkg/errors"
 )
 
-// world is one run: the stand-ins, the relays, the entries and their callers.
-type world struct {
+// harness holds the parts of one run: the stand-ins, the relays, the entries and the plan.
+type harness struct {
 	plan     *Plan
 	dir      string
-	book     *book
+	recorder *recorder
 	standins *standin.Deployment
-	// upstreams stand before the replicas, in their order.
+	// upstreams are the relays in front of the replicas, in the same order.
 	upstreams []*relay.Relay
 	entries   []*entry
 
-	// rows has a lock for each upstream's row in the registry: one event at a time changes it.
-	rows map[*standin.Replica]*sync.Mutex
+	// rowLocks has a lock for each upstream's row in the registry, so that events change it one at
+	// a time.
+	rowLocks map[*standin.Replica]*sync.Mutex
 
 	mu sync.Mutex
-	// stops holds when a life was told to stop gracefully.
-	stops   map[*process]time.Time
-	version int
-	// routes is how many the configuration has beside those of its own.
-	routes int
-	// storeFaults counts the store's own faults in force: the last to end restores it.
+	// stopTimes holds the time at which each process was told to stop gracefully.
+	stopTimes map[*process]time.Time
+	version   int
+	// extraRoutes is the number of generated routes in the configuration.
+	extraRoutes int
+	// storeFaults counts the active faults of the store itself: the store recovers when the last
+	// one ends.
 	storeFaults int
 }
 
-// newWorld starts everything and waits until all entries are ready.
-func newWorld(ctx context.Context, plan *Plan, program, dir string) (*world, error) {
-	w := &world{plan: plan, dir: dir, book: newBook(), stops: make(map[*process]time.Time), version: 1}
+// newHarness starts all parts and waits until all entries are ready.
+func newHarness(ctx context.Context, plan *Plan, program, dir string) (*harness, error) {
+	h := &harness{plan: plan, dir: dir, recorder: newRecorder(), stopTimes: make(map[*process]time.Time), version: 1}
 	var err error
-	if w.standins, err = standin.Start("127.0.0.1:0", plan.Engines, plan.Plains); err != nil {
+	if h.standins, err = standin.Start("127.0.0.1:0", plan.Engines, plan.Plains); err != nil {
 		return nil, err
 	}
-	w.standins.Configure(w.version, w.routes)
-	if err := w.startUpstreams(); err != nil {
-		return w, err
+	h.standins.Configure(h.version, h.extraRoutes)
+	if err := h.startUpstreams(); err != nil {
+		return h, err
 	}
 	for i := range plan.Entries {
-		if err := w.startEntry(i, program); err != nil {
-			return w, err
+		if err := h.startEntry(i, program); err != nil {
+			return h, err
 		}
 	}
-	for _, e := range w.entries {
-		go e.watch(ctx, w.book.judgeVersion)
-		go w.guard(ctx, e)
+	for _, e := range h.entries {
+		go e.watch(ctx, h.recorder.checkVersion)
+		go h.supervise(ctx, e)
 	}
-	return w, w.awaitReady(ctx)
+	return h, h.awaitReady(ctx)
 }
 
-func (w *world) startUpstreams() error {
-	for _, engine := range w.standins.Engines {
-		engine.Events, engine.EventInterval = streamEvents, eventEvery
+func (h *harness) startUpstreams() error {
+	for _, engine := range h.standins.Engines {
+		engine.Events, engine.EventInterval = streamEvents, eventInterval
 		engine.CrashOn(func(run standin.Run) bool { return strings.HasPrefix(run.URI, fatalPrefix) })
 	}
-	w.rows = make(map[*standin.Replica]*sync.Mutex)
-	for _, replica := range w.standins.Replicas() {
-		w.rows[replica] = &sync.Mutex{}
-		// Each caller finds a slot wherever it is sent: entries that have not heard of each
-		// other yet may choose alike, and a refusal for that is no fault.
-		replica.Slots = max(replica.Slots, w.plan.Callers)
+	h.rowLocks = make(map[*standin.Replica]*sync.Mutex)
+	for _, replica := range h.standins.Replicas() {
+		h.rowLocks[replica] = &sync.Mutex{}
+		// Enough slots for all callers: entries that do not know of each other yet may choose the
+		// same replica, and a refusal for that reason would be no violation.
+		replica.Slots = max(replica.Slots, h.plan.Callers)
 		r, err := relay.New(replica.Address())
 		if err != nil {
 			return errors.Wrap(err, "relay before an upstream")
 		}
-		w.upstreams = append(w.upstreams, r)
+		h.upstreams = append(h.upstreams, r)
 		replica.Advertise = r.Addr()
-		replica.Register(w.standins.Store, "ready")
+		replica.Register(h.standins.Store, "ready")
 	}
 	return nil
 }
 
-func (w *world) startEntry(i int, program string) error {
-	store, err := relay.New(w.standins.Address())
+func (h *harness) startEntry(i int, program string) error {
+	store, err := relay.New(h.standins.Address())
 	if err != nil {
 		return errors.Wrap(err, "relay before the store")
 	}
 	vm := fmt.Sprintf("entry-%d", i)
-	file, err := writeSettings(w.dir, vm, store.Addr(), shared.DefaultLog.Level)
+	file, err := writeSettings(h.dir, vm, store.Addr(), shared.DefaultLog.Level)
 	if err != nil {
 		return err
 	}
-	e := &entry{index: i, program: program, file: file, log: filepath.Join(w.dir, vm+".log"), store: store}
-	w.entries = append(w.entries, e)
+	e := &entry{index: i, program: program, file: file, log: filepath.Join(h.dir, vm+".log"), store: store}
+	h.entries = append(h.entries, e)
 	return e.start()
 }
 
-// readyLimit bounds the time until all entries are ready at the begin.
+// readyLimit bounds the time until all entries are ready at the start of a run.
 const readyLimit = 30 * time.Second
 
-func (w *world) awaitReady(ctx context.Context) error {
+func (h *harness) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyLimit)
 	defer cancel()
 	for ctx.Err() == nil {
-		if w.ready() == len(w.entries) {
+		if h.ready() == len(h.entries) {
 			return nil
 		}
-		wait(ctx, lookEvery)
+		wait(ctx, pollInterval)
 	}
-	return errors.Errorf("%d of %d entries became ready", w.ready(), len(w.entries))
+	return errors.Errorf("%d of %d entries became ready", h.ready(), len(h.entries))
 }
 
-func (w *world) ready() int {
+func (h *harness) ready() int {
 	n := 0
-	for _, e := range w.entries {
-		if _, ready := e.now(); ready {
+	for _, e := range h.entries {
+		if _, ready := e.current(); ready {
 			n++
 		}
 	}
 	return n
 }
 
-// guard notes the end of a process that nobody told to end, and replaces it.
-func (w *world) guard(ctx context.Context, e *entry) {
+// supervise records each unexpected exit of an entry's process and replaces the process.
+func (h *harness) supervise(ctx context.Context, e *entry) {
 	for {
-		life, _ := e.now()
+		p, _ := e.current()
 		select {
 		case <-ctx.Done():
 			return
-		case <-life.done:
+		case <-p.done:
 		}
-		if !life.told.Load() {
-			w.book.broken(Ended, "entry %d ended by itself: %v", e.index, life.exit)
-			over := w.book.disturb(hopProcess, e.index)
-			w.replace(e)
-			over()
+		if !p.exitExpected.Load() {
+			h.recorder.addViolation(ProcessFailed, "entry %d ended by itself: %v", e.index, p.exitErr)
+			end := h.recorder.beginDisruption(hopProcess, e.index)
+			h.replace(e)
+			end()
 		}
 		for ctx.Err() == nil {
-			if next, _ := e.now(); next != life {
+			if next, _ := e.current(); next != p {
 				break
 			}
-			wait(ctx, lookEvery)
+			wait(ctx, pollInterval)
 		}
 	}
 }
 
-// replace starts a new life of an entry whose process has ended.
-func (w *world) replace(e *entry) {
+// replace starts a new process of an entry whose process has ended.
+func (h *harness) replace(e *entry) {
 	if err := e.start(); err != nil {
-		w.book.broken(Ended, "entry %d can't be started again: %v", e.index, err)
+		h.recorder.addViolation(ProcessFailed, "entry %d can't be started again: %v", e.index, err)
 	}
 }
 
-// stoppedAt tells whether and when a life was told to stop.
-func (w *world) stoppedAt(life *process) (bool, time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at, stopped := w.stops[life]
+// stoppedAt reports whether and when a process was told to stop.
+func (h *harness) stoppedAt(p *process) (bool, time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	at, stopped := h.stopTimes[p]
 	return stopped, at
 }
 
-// exitSlack is what a stop may take beyond its limit.
+// exitSlack is how far a stop may exceed its time limit.
 const exitSlack = time.Second
 
-// stop ends an entry gracefully and judges how it ended.
-func (w *world) stop(e *entry) {
-	life, _ := e.now()
+// stop stops an entry gracefully and checks how its process exits.
+func (h *harness) stop(e *entry) {
+	p, _ := e.current()
 	began := time.Now()
-	w.mu.Lock()
-	w.stops[life] = began
-	w.mu.Unlock()
-	e.end(syscall.SIGTERM)
+	h.mu.Lock()
+	h.stopTimes[p] = began
+	h.mu.Unlock()
+	e.terminate(syscall.SIGTERM)
 	took := time.Since(began)
-	if !w.book.calm(e.index, began, time.Now(), hopProcess) {
+	if !h.recorder.undisrupted(e.index, began, time.Now(), hopProcess) {
 		return
 	}
-	if life.exit != nil || took > drainLimit+exitSlack {
-		w.book.broken(Ended, "entry %d was told to stop and ended after %s: %v", e.index, took.Round(time.Millisecond), life.exit)
+	if p.exitErr != nil || took > drainLimit+exitSlack {
+		h.recorder.addViolation(ProcessFailed, "entry %d was told to stop and ended after %s: %v", e.index, took.Round(time.Millisecond), p.exitErr)
 	}
 }
 
-// runs counts what all upstreams ran, by URI.
-func (w *world) runs() map[string]int {
+// runs counts the runs at all upstreams by URI.
+func (h *harness) runs() map[string]int {
 	all := make(map[string]int)
-	for _, replica := range w.standins.Replicas() {
+	for _, replica := range h.standins.Replicas() {
 		for _, run := range replica.Runs() {
 			all[run.URI]++
 		}
@@ -195,62 +197,62 @@
 	return all
 }
 
-// freeLimit bounds the time until upstreams have back what requests held. It is less than
-// the time after which reserved memory expires by itself (3.5 s).
-const freeLimit = 2 * time.Second
+// releaseLimit bounds the time until upstreams have released everything that requests held. It is
+// less than the time after which reserved memory expires by itself (3.5 s).
+const releaseLimit = 2 * time.Second
 
-// judgeHeld waits until upstreams have all their places and memory back.
-func (w *world) judgeHeld(ctx context.Context) {
-	deadline := time.Now().Add(freeLimit)
-	for ctx.Err() == nil && time.Now().Before(deadline) && w.held() != "" {
-		wait(ctx, lookEvery)
+// checkReleased waits until upstreams have released all slots and memory.
+func (h *harness) checkReleased(ctx context.Context) {
+	deadline := time.Now().Add(releaseLimit)
+	for ctx.Err() == nil && time.Now().Before(deadline) && h.unreleased() != "" {
+		wait(ctx, pollInterval)
 	}
-	if held := w.held(); held != "" {
-		w.book.broken(Held, "%s after the last request had ended", held)
+	if detail := h.unreleased(); detail != "" {
+		h.recorder.addViolation(NotReleased, "%s after the last request had ended", detail)
 	}
 }
 
-func (w *world) held() string {
-	for _, replica := range w.standins.Replicas() {
-		if tickets, active := replica.Reserved(), replica.Active(); len(tickets) > 0 || active > 0 {
-			return fmt.Sprintf("%s holds %d reservations and runs %d requests", replica.ID, len(tickets), active)
+func (h *harness) unreleased() string {
+	for _, replica := range h.standins.Replicas() {
+		if reservations, active := replica.Reserved(), replica.Active(); len(reservations) > 0 || active > 0 {
+			return fmt.Sprintf("%s holds %d reservations and runs %d requests", replica.ID, len(reservations), active)
 		}
 	}
 	return ""
 }
 
-// marks of a process that met a fault of its own.
-var marks = [][]byte{[]byte("panic:"), []byte("fatal error:"), []byte("DATA RACE")}
+// failureMarks are texts in the log of a process that has crashed or has a data race.
+var failureMarks = [][]byte{[]byte("panic:"), []byte("fatal error:"), []byte("DATA RACE")}
 
-func (w *world) judgeLogs() {
-	for _, e := range w.entries {
+func (h *harness) checkLogs() {
+	for _, e := range h.entries {
 		text, err := os.ReadFile(e.log)
 		if err != nil {
-			w.book.broken(Ended, "the log of entry %d can't be read: %v", e.index, err)
+			h.recorder.addViolation(ProcessFailed, "the log of entry %d can't be read: %v", e.index, err)
 			continue
 		}
-		for _, mark := range marks {
+		for _, mark := range failureMarks {
 			if bytes.Contains(text, mark) {
-				w.book.broken(Ended, "the log of entry %d has %q", e.index, mark)
+				h.recorder.addViolation(ProcessFailed, "the log of entry %d has %q", e.index, mark)
 			}
 		}
 	}
 }
 
-// close ends all processes and stand-ins at once.
-func (w *world) close() {
-	for _, e := range w.entries {
-		if life, _ := e.now(); life != nil && !life.ended() {
-			life.signal(syscall.SIGCONT)
-			e.end(syscall.SIGKILL)
+// close kills all processes and stops the relays and stand-ins.
+func (h *harness) close() {
+	for _, e := range h.entries {
+		if p, _ := e.current(); p != nil && !p.ended() {
+			p.signal(syscall.SIGCONT)
+			e.terminate(syscall.SIGKILL)
 		}
 		e.store.Close()
 		if e.callers != nil {
 			e.callers.Close()
 		}
 	}
-	for _, r := range w.upstreams {
+	for _, r := range h.upstreams {
 		r.Close()
 	}
-	w.standins.Stop()
+	h.standins.Stop()
 }
