--- a/peers/httpjson/httpjson_test.go
+++ b/peers/httpjson/httpjson_test.go
@@ -210,7 +210,7 @@
 	narrow, err := relay.New(server.Listener.Addr().String())
 	require.NoError(t, err)
 	defer narrow.Close()
-	narrow.Over(relay.NewLink(bytesPerSecond))
+	narrow.SetLink(relay.NewLink(bytesPerSecond))
 	client := New("http://"+narrow.Addr(), Options{Timeout: 250 * time.Millisecond})
 	body, err := client.Do(t.Context(), Request{Method: http.MethodGet, Path: "/"})
 	require.NoError(t, err)
--- a/soak/strike.go
+++ b/soak/strike.go
@@ -184,9 +184,9 @@
 
 // limitBandwidth limits the bandwidth between an entry and the store for a while.
 func (h *harness) limitBandwidth(ctx context.Context, e *entry, duration time.Duration) {
-	e.store.Over(relay.NewLink(lowStoreBandwidth))
+	e.store.SetLink(relay.NewLink(lowStoreBandwidth))
 	wait(ctx, duration)
-	e.store.Over(nil)
+	e.store.SetLink(nil)
 }
 
 // configure writes a new version of the configuration with more extra routes.
--- a/standin/relay/link.go
+++ b/standin/relay/link.go
@@ -20,8 +20,8 @@
 // NewLink returns a link with the given bandwidth in each direction.
 func NewLink(bytesPerSecond int) *Link { return &Link{bytesPerSecond: float64(bytesPerSecond)} }
 
-// Passed returns the number of bytes transferred in a direction.
-func (l *Link) Passed(direction Direction) int64 {
+// BytesTransferred returns the number of bytes transferred in a direction.
+func (l *Link) BytesTransferred(direction Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.forwarded[direction]
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -79,8 +79,8 @@
 	r.delay = d
 }
 
-// Over sets the link that all data passes, which other relays may share. Nil removes it.
-func (r *Relay) Over(link *Link) {
+// SetLink sets the link that all data passes, which other relays may share. Nil removes it.
+func (r *Relay) SetLink(link *Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.link = link
