--- /dev/null
+++ b/soak/events.go
@@ -0,0 +1,303 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"slices"
+	"syscall"
+	"time"
+
+	"acaciacleat.example/platform/standin"
+	"acaciacleat.example/standin/faults"
+	"acaciacleat.example/standin/relay"
+)
+
+const (
+	// storeDelay and upstreamDelay delay slow connections in each direction; storeAnswerDelay is
+	// how long a slow store delays each call.
+	storeDelay       = 300 * time.Millisecond
+	upstreamDelay    = 40 * time.Millisecond
+	storeAnswerDelay = 700 * time.Millisecond
+	// lowStoreBandwidth is in bytes per second.
+	lowStoreBandwidth = 1 << 20
+	// routesPerGrow is the number of routes that Grow adds, maxExtraRoutes their largest total. It
+	// gives a table that does not fit into one frame of a link.
+	routesPerGrow  = 4000
+	maxExtraRoutes = 8000
+	// faultyRequests is how many requests to a service Misbehave affects.
+	faultyRequests = 4
+	// drainNoticeLimit is the platform's limit for entries to stop sending requests to a draining
+	// upstream, drainDuration the shortest time for which an upstream drains.
+	drainNoticeLimit = 3 * time.Second
+	drainDuration    = drainNoticeLimit + time.Second
+	// restartNoticeLimit is the time within which entries learn from the registry that an upstream
+	// has restarted (they wait for its changes and read them within milliseconds).
+	restartNoticeLimit = time.Second
+)
+
+// apply executes one event and returns when it has ended.
+func (h *harness) apply(ctx context.Context, event Event) {
+	duration := time.Duration(event.ForMs) * time.Millisecond
+	switch event.Kind {
+	case Stop, Kill, Pause, Reload:
+		h.disruptProcess(ctx, event.Kind, h.entries[event.Target], duration)
+	case KillAll:
+		h.killAll(ctx, duration)
+	case CallerReset, CallerSilent:
+		e := h.entries[event.Target]
+		h.disruptConnections(ctx, event.Kind, e.callers, duration, h.recorder.beginDisruption(hopCallers, e.index))
+	case StoreReset, StoreSilent, StoreOneWay, StoreSlow:
+		e := h.entries[event.Target]
+		h.disruptConnections(ctx, event.Kind, e.store, duration, h.recorder.beginDisruption(hopStore, e.index))
+	case UpstreamReset, UpstreamSilent, UpstreamOneWay, UpstreamSlow:
+		h.disruptConnections(ctx, event.Kind, h.upstreams[event.Target], duration, h.recorder.beginDisruption(hopUpstreams, allEntries))
+	case StoreOutage, StoreUnresponsive, StoreAnswersLost, StoreDelayed, StoreCompacted, StoreFeedsClosed:
+		h.disruptStore(ctx, event.Kind, duration)
+	case StoreLowBandwidth:
+		h.limitBandwidth(ctx, h.entries[event.Target], duration)
+	case Configure:
+		h.configure(0)
+	case Grow:
+		h.configure(routesPerGrow)
+	case Drain:
+		h.drainUpstream(ctx, h.standins.Replicas()[event.Target], duration)
+	case ForeignRows:
+		h.addForeignRows(ctx, h.standins.Replicas()[event.Target], duration)
+	case Restart:
+		h.restartUpstream(ctx, h.standins.Replicas()[event.Target], duration)
+	case CrashingRequest:
+		h.sendCrashingRequests(ctx, fmt.Sprintf("%s%d", fatalPrefix, event.AtMs), duration)
+	case Misbehave:
+		h.misbehave(ctx, event.Target, [2]standin.ReplicaFault{standin.ReplicaFault(event.Fault), event.secondFault()}, duration)
+	}
+}
+
+// misbehave applies two faults alternately to the next requests of a service, whichever of its
+// upstreams receives them, so that a retry meets another fault than the first attempt.
+func (h *harness) misbehave(ctx context.Context, target int, pair [2]standin.ReplicaFault, duration time.Duration) {
+	defer h.recorder.beginDisruption(hopUpstreams, allEntries)()
+	replicas := h.standins.Plains
+	if target < len(h.standins.Engines) {
+		replicas = h.standins.Engines
+	}
+	shared := standin.FaultQueue(slices.Repeat(pair[:], faultyRequests/len(pair))...)
+	for _, replica := range replicas {
+		replica.ShareFaults(shared)
+	}
+	wait(ctx, duration)
+	for _, replica := range replicas {
+		replica.ClearFaults()
+	}
+}
+
+func (h *harness) disruptProcess(ctx context.Context, kind Kind, e *entry, duration time.Duration) {
+	e.replaceMu.Lock()
+	defer e.replaceMu.Unlock()
+	p, _ := e.current()
+	switch kind {
+	case Stop:
+		h.stop(e)
+		h.replace(e)
+	case Kill:
+		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		e.terminate(syscall.SIGKILL)
+		wait(ctx, duration)
+		h.replace(e)
+	case Pause:
+		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		p.signal(syscall.SIGSTOP)
+		wait(ctx, duration)
+		p.signal(syscall.SIGCONT)
+	case Reload:
+		if err := e.changeSettings(); err != nil {
+			h.recorder.addViolation(ProcessFailed, "the settings of entry %d can't be changed: %v", e.index, err)
+		}
+		p.signal(syscall.SIGHUP)
+	}
+}
+
+func (h *harness) killAll(ctx context.Context, duration time.Duration) {
+	for _, e := range h.entries {
+		e.replaceMu.Lock()
+		defer e.replaceMu.Unlock()
+		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		e.terminate(syscall.SIGKILL)
+	}
+	wait(ctx, duration)
+	for _, e := range h.entries {
+		h.replace(e)
+	}
+}
+
+func (h *harness) disruptConnections(ctx context.Context, kind Kind, r *relay.Relay, duration time.Duration, end func()) {
+	defer end()
+	switch kind {
+	case CallerReset, StoreReset, UpstreamReset:
+		r.Reset()
+		return
+	case CallerSilent, StoreSilent, UpstreamSilent:
+		r.Drop(relay.ToTarget, relay.FromTarget)
+	case StoreOneWay, UpstreamOneWay:
+		r.Drop(relay.FromTarget)
+	case StoreSlow:
+		r.Delay(storeDelay)
+	case UpstreamSlow:
+		r.Delay(upstreamDelay)
+	}
+	wait(ctx, duration)
+	r.Restore()
+}
+
+// disruptStore injects a fault into the store itself. Of overlapping faults the latest is active.
+func (h *harness) disruptStore(ctx context.Context, kind Kind, duration time.Duration) {
+	defer h.recorder.beginDisruption(hopStore, allEntries)()
+	store := h.standins.Store
+	fault := faults.Fault{Operation: "*"}
+	switch kind {
+	case StoreCompacted:
+		store.Compact()
+		return
+	case StoreOutage:
+		fault.Kind = faults.Outage
+	case StoreUnresponsive:
+		fault.Kind = faults.Silent
+	case StoreAnswersLost:
+		fault.Kind = faults.AnswerLost
+	case StoreDelayed:
+		fault.Kind, fault.Delay = faults.Slow, storeAnswerDelay
+	case StoreFeedsClosed:
+		fault.Operation, fault.Kind = standin.OpFeed, faults.Die
+	}
+	h.mu.Lock()
+	h.storeFaults++
+	store.Faults.Set(fault)
+	h.mu.Unlock()
+	wait(ctx, duration)
+	h.mu.Lock()
+	h.storeFaults--
+	if h.storeFaults == 0 {
+		store.Faults.Set()
+	}
+	h.mu.Unlock()
+}
+
+// limitBandwidth limits the bandwidth between an entry and the store for a while.
+func (h *harness) limitBandwidth(ctx context.Context, e *entry, duration time.Duration) {
+	e.store.SetLink(relay.NewLink(lowStoreBandwidth))
+	wait(ctx, duration)
+	e.store.SetLink(nil)
+}
+
+// configure writes a new version of the configuration with more extra routes.
+func (h *harness) configure(more int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.version++
+	h.extraRoutes = min(h.extraRoutes+more, maxExtraRoutes)
+	h.standins.Configure(h.version, h.extraRoutes)
+	h.recorder.recordVersion(uint64(h.version))
+}
+
+// allUndisrupted reports whether nothing disrupted any entry or its connections to the store
+// between two times.
+func (h *harness) allUndisrupted(from, to time.Time) bool {
+	return !slices.ContainsFunc(h.entries, func(e *entry) bool {
+		return !h.recorder.undisrupted(e.index, from.Add(-reconnectTime), to, hopStore, hopProcess)
+	})
+}
+
+// restartUpstream restarts an upstream twice under its ID, the second time without closing the
+// connections of waiting requests. It checks that no request still waits for an earlier incarnation
+// once entries must know of the restart.
+func (h *harness) restartUpstream(ctx context.Context, replica *standin.Replica, duration time.Duration) {
+	lock := h.rowLocks[replica]
+	lock.Lock()
+	defer lock.Unlock()
+	defer h.recorder.beginDisruption(hopUpstreams, allEntries)()
+	for _, silent := range []bool{false, true} {
+		began := time.Now()
+		replica.Restart(began.UnixMilli(), silent)
+		replica.Register(h.standins.Store, "ready")
+		wait(ctx, duration+restartNoticeLimit)
+		if n := replica.StaleRequests(); n > 0 && ctx.Err() == nil && h.allUndisrupted(began, time.Now()) {
+			h.recorder.addViolation(StaleRequests, "%d requests still wait for an earlier life of %s", n, replica.ID)
+		}
+	}
+}
+
+// checkConfiguration requests the route of the last version and the route of the version before it
+// from each entry.
+func (h *harness) checkConfiguration() {
+	h.mu.Lock()
+	version := h.version
+	h.mu.Unlock()
+	if version == 1 {
+		return // There is no earlier version.
+	}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clientTimeout}
+	for _, e := range h.entries {
+		h.checkRoute(client, e, version, http.StatusOK)
+		h.checkRoute(client, e, version-1, http.StatusNotFound)
+	}
+}
+
+func (h *harness) checkRoute(client *http.Client, e *entry, version, want int) {
+	call := standin.Call{ID: fmt.Sprintf("version-%d-%d", e.index, version), Path: standin.VersionPath(version) + "x"}
+	request, err := call.Request(e.callers.Addr())
+	if err != nil {
+		h.recorder.addViolation(NotRecovered, "a request can't be made: %v", err)
+		return
+	}
+	got, err := client.Do(request)
+	if err != nil {
+		h.recorder.addViolation(NotRecovered, "entry %d does not answer for version %d: %v", e.index, version, err)
+		return
+	}
+	defer got.Body.Close()
+	if got.StatusCode != want {
+		h.recorder.addViolation(ConfigurationStale, "entry %d answers %d for the route of version %d; want %d", e.index, got.StatusCode, version, want)
+	}
+}
+
+// drainUpstream marks an upstream as draining and checks that it gets no more requests.
+func (h *harness) drainUpstream(ctx context.Context, replica *standin.Replica, duration time.Duration) {
+	h.checkUnused(ctx, replica, duration, func() { replica.Register(h.standins.Store, "draining") })
+}
+
+// addForeignRows adds rows of another writer to the registry, one of them in place of an upstream's
+// own, and checks that this upstream gets no more requests.
+func (h *harness) addForeignRows(ctx context.Context, replica *standin.Replica, duration time.Duration) {
+	store := h.standins.Store
+	rows := map[string]string{
+		"foreign-1-" + replica.ID: `"not base64!"`,
+		"foreign-2-" + replica.ID: `17`,
+		"foreign-3-" + replica.ID: `"e30="`, // {}
+	}
+	for key, value := range rows {
+		store.PutRaw("servers", key, []byte(value))
+		defer store.Remove("servers", key)
+	}
+	h.checkUnused(ctx, replica, duration, func() { store.PutRaw("servers", replica.ID, []byte(`"bm8gZW50cnk="`)) })
+}
+
+// checkUnused makes an upstream unusable by calling begin and checks that it gets no more requests.
+// A paused entry may send an attempt late, so the check applies only if no entry was disrupted.
+func (h *harness) checkUnused(ctx context.Context, replica *standin.Replica, duration time.Duration, begin func()) {
+	lock := h.rowLocks[replica]
+	lock.Lock()
+	defer lock.Unlock()
+	began := time.Now()
+	begin()
+	defer replica.Register(h.standins.Store, "ready")
+	wait(ctx, drainDuration+duration)
+	ended := time.Now()
+	if !h.allUndisrupted(began, ended) {
+		return
+	}
+	for _, run := range replica.Runs() {
+		if after := run.At.Sub(began); after > drainNoticeLimit && run.At.Before(ended) {
+			h.recorder.addViolation(UsedWhileDraining, "%s got %s %s after it began to leave", replica.ID, run.URI, after.Round(time.Millisecond))
+		}
+	}
+}
--- /dev/null
+++ b/soak/harness.go
@@ -0,0 +1,258 @@
+package soak
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	shared "acaciacleat.example/peers/settings"
+	"acaciacleat.example/platform/standin"
+	"acaciacleat.example/standin/relay"
+	"github.com/pkg/errors"
+)
+
+// harness holds the parts of one run: the stand-ins, the relays, the entries and the plan.
+type harness struct {
+	plan     *Plan
+	dir      string
+	recorder *recorder
+	standins *standin.Deployment
+	// upstreams are the relays in front of the replicas, in the same order.
+	upstreams []*relay.Relay
+	entries   []*entry
+
+	// rowLocks has a lock for each upstream's row in the registry, so that events change it one at
+	// a time.
+	rowLocks map[*standin.Replica]*sync.Mutex
+
+	mu sync.Mutex
+	// stopTimes holds the time at which each process was told to stop gracefully.
+	stopTimes map[*process]time.Time
+	version   int
+	// extraRoutes is the number of generated routes in the configuration.
+	extraRoutes int
+	// storeFaults counts the active faults of the store itself: the store recovers when the last
+	// one ends.
+	storeFaults int
+}
+
+// newHarness starts all parts and waits until all entries are ready.
+func newHarness(ctx context.Context, plan *Plan, program, dir string) (*harness, error) {
+	h := &harness{plan: plan, dir: dir, recorder: newRecorder(), stopTimes: make(map[*process]time.Time), version: 1}
+	var err error
+	if h.standins, err = standin.Start("127.0.0.1:0", plan.Engines, plan.Plains); err != nil {
+		return nil, err
+	}
+	h.standins.Configure(h.version, h.extraRoutes)
+	if err := h.startUpstreams(); err != nil {
+		return h, err
+	}
+	for i := range plan.Entries {
+		if err := h.startEntry(i, program); err != nil {
+			return h, err
+		}
+	}
+	for _, e := range h.entries {
+		go e.watch(ctx, h.recorder.checkVersion)
+		go h.supervise(ctx, e)
+	}
+	return h, h.awaitReady(ctx)
+}
+
+func (h *harness) startUpstreams() error {
+	for _, engine := range h.standins.Engines {
+		engine.Events, engine.EventInterval = streamEvents, eventInterval
+		engine.CrashOn(func(run standin.Run) bool { return strings.HasPrefix(run.URI, fatalPrefix) })
+	}
+	h.rowLocks = make(map[*standin.Replica]*sync.Mutex)
+	for _, replica := range h.standins.Replicas() {
+		h.rowLocks[replica] = &sync.Mutex{}
+		// Enough slots for all callers: entries that do not know of each other yet may choose the
+		// same replica, and a refusal for that reason would be no violation.
+		replica.Slots = max(replica.Slots, h.plan.Callers)
+		r, err := relay.New(replica.Address())
+		if err != nil {
+			return errors.Wrap(err, "relay before an upstream")
+		}
+		h.upstreams = append(h.upstreams, r)
+		replica.Advertise = r.Addr()
+		replica.Register(h.standins.Store, "ready")
+	}
+	return nil
+}
+
+func (h *harness) startEntry(i int, program string) error {
+	store, err := relay.New(h.standins.Address())
+	if err != nil {
+		return errors.Wrap(err, "relay before the store")
+	}
+	vm := fmt.Sprintf("entry-%d", i)
+	file, err := writeSettings(h.dir, vm, store.Addr(), shared.DefaultLog.Level)
+	if err != nil {
+		return err
+	}
+	e := &entry{index: i, program: program, file: file, log: filepath.Join(h.dir, vm+".log"), store: store}
+	h.entries = append(h.entries, e)
+	return e.start()
+}
+
+// readyLimit bounds the time until all entries are ready at the start of a run.
+const readyLimit = 30 * time.Second
+
+func (h *harness) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	defer cancel()
+	for ctx.Err() == nil {
+		if h.ready() == len(h.entries) {
+			return nil
+		}
+		wait(ctx, pollInterval)
+	}
+	return errors.Errorf("%d of %d entries became ready", h.ready(), len(h.entries))
+}
+
+func (h *harness) ready() int {
+	n := 0
+	for _, e := range h.entries {
+		if _, ready := e.current(); ready {
+			n++
+		}
+	}
+	return n
+}
+
+// supervise records each unexpected exit of an entry's process and replaces the process.
+func (h *harness) supervise(ctx context.Context, e *entry) {
+	for {
+		p, _ := e.current()
+		select {
+		case <-ctx.Done():
+			return
+		case <-p.done:
+		}
+		if !p.exitExpected.Load() {
+			h.recorder.addViolation(ProcessFailed, "entry %d ended by itself: %v", e.index, p.exitErr)
+			end := h.recorder.beginDisruption(hopProcess, e.index)
+			h.replace(e)
+			end()
+		}
+		for ctx.Err() == nil {
+			if next, _ := e.current(); next != p {
+				break
+			}
+			wait(ctx, pollInterval)
+		}
+	}
+}
+
+// replace starts a new process of an entry whose process has ended.
+func (h *harness) replace(e *entry) {
+	if err := e.start(); err != nil {
+		h.recorder.addViolation(ProcessFailed, "entry %d can't be started again: %v", e.index, err)
+	}
+}
+
+// stoppedAt reports whether and when a process was told to stop.
+func (h *harness) stoppedAt(p *process) (bool, time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	at, stopped := h.stopTimes[p]
+	return stopped, at
+}
+
+// exitSlack is how far a stop may exceed its time limit.
+const exitSlack = time.Second
+
+// stop stops an entry gracefully and checks how its process exits.
+func (h *harness) stop(e *entry) {
+	p, _ := e.current()
+	began := time.Now()
+	h.mu.Lock()
+	h.stopTimes[p] = began
+	h.mu.Unlock()
+	e.terminate(syscall.SIGTERM)
+	took := time.Since(began)
+	if !h.recorder.undisrupted(e.index, began, time.Now(), hopProcess) {
+		return
+	}
+	if p.exitErr != nil || took > drainLimit+exitSlack {
+		h.recorder.addViolation(ProcessFailed, "entry %d was told to stop and ended after %s: %v", e.index, took.Round(time.Millisecond), p.exitErr)
+	}
+}
+
+// runs counts the runs at all upstreams by URI.
+func (h *harness) runs() map[string]int {
+	all := make(map[string]int)
+	for _, replica := range h.standins.Replicas() {
+		for _, run := range replica.Runs() {
+			all[run.URI]++
+		}
+	}
+	return all
+}
+
+// releaseLimit bounds the time until upstreams have released everything that requests held. It is
+// less than the time after which reserved memory expires by itself (3.5 s).
+const releaseLimit = 2 * time.Second
+
+// checkReleased waits until upstreams have released all slots and memory.
+func (h *harness) checkReleased(ctx context.Context) {
+	deadline := time.Now().Add(releaseLimit)
+	for ctx.Err() == nil && time.Now().Before(deadline) && h.unreleased() != "" {
+		wait(ctx, pollInterval)
+	}
+	if detail := h.unreleased(); detail != "" {
+		h.recorder.addViolation(NotReleased, "%s after the last request had ended", detail)
+	}
+}
+
+func (h *harness) unreleased() string {
+	for _, replica := range h.standins.Replicas() {
+		if reservations, active := replica.Reserved(), replica.Active(); len(reservations) > 0 || active > 0 {
+			return fmt.Sprintf("%s holds %d reservations and runs %d requests", replica.ID, len(reservations), active)
+		}
+	}
+	return ""
+}
+
+// failureMarks are texts in the log of a process that has crashed or has a data race.
+var failureMarks = [][]byte{[]byte("panic:"), []byte("fatal error:"), []byte("DATA RACE")}
+
+func (h *harness) checkLogs() {
+	for _, e := range h.entries {
+		text, err := os.ReadFile(e.log)
+		if err != nil {
+			h.recorder.addViolation(ProcessFailed, "the log of entry %d can't be read: %v", e.index, err)
+			continue
+		}
+		for _, mark := range failureMarks {
+			if bytes.Contains(text, mark) {
+				h.recorder.addViolation(ProcessFailed, "the log of entry %d has %q", e.index, mark)
+			}
+		}
+	}
+}
+
+// close kills all processes and stops the relays and stand-ins.
+func (h *harness) close() {
+	for _, e := range h.entries {
+		if p, _ := e.current(); p != nil && !p.ended() {
+			p.signal(syscall.SIGCONT)
+			e.terminate(syscall.SIGKILL)
+		}
+		e.store.Close()
+		if e.callers != nil {
+			e.callers.Close()
+		}
+	}
+	for _, r := range h.upstreams {
+		r.Close()
+	}
+	h.standins.Stop()
+}
--- /dev/null
+++ b/soak/recorder.go
@@ -0,0 +1,233 @@
+package soak
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+)
+
+// Check names the guarantee that a violation breaks.
+type Check string
+
+// The checks.
+const (
+	// RanTwice: a request that may run only once ran again.
+	RanTwice Check = "twice"
+	// RanAfterRefusal: a request ran although the caller was told that it had not run.
+	RanAfterRefusal Check = "refused"
+	// WrongAnswer: an answer belongs to another request or does not come from an upstream.
+	WrongAnswer Check = "foreign"
+	// TruncatedAnswer: an answer ended like a complete one although bytes are missing.
+	TruncatedAnswer Check = "short"
+	// Rejected: a valid request was rejected as invalid.
+	Rejected Check = "denied"
+	// NoRetryAfter: a refusal that promises that the request did not run has no Retry-After.
+	NoRetryAfter Check = "unadvised"
+	// ConnectionLost: a request was interrupted although no fault except a planned stop was active.
+	ConnectionLost Check = "cut-off"
+	// DeadlineMissed: the final answer came long after the request's deadline.
+	DeadlineMissed Check = "late"
+	// ConfigurationStale: a configuration was not applied in time. ConfigurationReverted: an older
+	// one was applied again.
+	ConfigurationStale    Check = "stale"
+	ConfigurationReverted Check = "back"
+	// UsedWhileDraining: a draining upstream still gets requests.
+	UsedWhileDraining Check = "leaving"
+	// StaleRequests: requests still wait for an answer from an earlier incarnation of an upstream.
+	StaleRequests Check = "outlived"
+	// CrashNotContained: a request that crashes upstreams keeps reaching further ones.
+	CrashNotContained Check = "crashing"
+	// NotReleased: memory or slots at upstreams are not released.
+	NotReleased Check = "held"
+	// ProcessFailed: a process exited by itself, with an error, or not within its time limit.
+	ProcessFailed Check = "ended"
+	// NotRecovered: a request failed long after the last disruption.
+	NotRecovered Check = "unwell"
+)
+
+// Violation is one broken guarantee.
+type Violation struct {
+	AtMs   int    `json:"atMs"`
+	Check  Check  `json:"check"`
+	Detail string `json:"detail"`
+}
+
+// hop is the part of a request's path that a disruption affects.
+type hop uint8
+
+const (
+	hopCallers hop = iota
+	hopStore
+	hopUpstreams
+	// hopProcess is disrupted by kills and pauses. A planned stop is no disruption: it excuses no
+	// failure.
+	hopProcess
+)
+
+// allEntries marks a disruption of the store itself or of upstreams, which affects every entry.
+const allEntries = -1
+
+// disruption is a period in which a hop was disrupted.
+type disruption struct {
+	hop      hop
+	entry    int
+	from, to time.Time
+}
+
+// acknowledgedVersion is a configuration version and the time at which the store acknowledged it.
+type acknowledgedVersion struct {
+	version uint64
+	at      time.Time
+}
+
+// recorder collects the promises made to callers, the disruptions and the violations. It is safe
+// for concurrent use.
+type recorder struct {
+	startedAt time.Time
+
+	mu         sync.Mutex
+	violations []Violation
+	outcomes   map[string]int
+	// once holds the URIs of requests that may run only once. notRun maps the URIs of requests that
+	// were reported as not run to the source of that report.
+	once   map[string]struct{}
+	notRun map[string]string
+
+	disruptions []*disruption
+	versions    []acknowledgedVersion
+	// successFrom is the time from which every request must succeed; zero before it is known.
+	successFrom time.Time
+}
+
+func newRecorder() *recorder {
+	return &recorder{
+		startedAt: time.Now(),
+		outcomes:  make(map[string]int),
+		once:      make(map[string]struct{}),
+		notRun:    make(map[string]string),
+	}
+}
+
+// addViolation records a violation.
+func (r *recorder) addViolation(check Check, format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, Violation{
+		AtMs: int(time.Since(r.startedAt).Milliseconds()), Check: check, Detail: fmt.Sprintf(format, args...),
+	})
+}
+
+// countOutcome counts how a request ended.
+func (r *recorder) countOutcome(outcome string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outcomes[outcome]++
+}
+
+// reconnectTime is how long a disruption has effects after its end: dead connections must be
+// detected and reopened.
+const reconnectTime = 1500 * time.Millisecond
+
+// beginDisruption records the begin of a disruption; the returned function records its end.
+func (r *recorder) beginDisruption(where hop, entry int) (end func()) {
+	d := &disruption{hop: where, entry: entry, from: time.Now()}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.disruptions = append(r.disruptions, d)
+	return func() {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		d.to = time.Now().Add(reconnectTime)
+	}
+}
+
+// undisrupted reports whether no disruption affected the given hops of an entry between two times.
+func (r *recorder) undisrupted(entry int, from, to time.Time, hops ...hop) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, d := range r.disruptions {
+		relevant := slices.Contains(hops, d.hop) && (d.entry == allEntries || d.entry == entry)
+		if relevant && d.from.Before(to) && (d.to.IsZero() || d.to.After(from)) {
+			return false
+		}
+	}
+	return true
+}
+
+// mustSucceed reports whether a request that began at a time must succeed.
+func (r *recorder) mustSucceed(start time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !r.successFrom.IsZero() && start.After(r.successFrom)
+}
+
+// expectAtMostOnce records a request that may run only once. It is called before the request is
+// sent.
+func (r *recorder) expectAtMostOnce(uri string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.once[uri] = struct{}{}
+}
+
+// recordNotRun records that a request was reported as not run.
+func (r *recorder) recordNotRun(uri, source string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.notRun[uri] = source
+}
+
+// checkRuns compares the runs with the promises. It reports each violation once.
+func (r *recorder) checkRuns(runs map[string]int) {
+	r.mu.Lock()
+	var twice, refused []string
+	for uri, n := range runs {
+		if _, once := r.once[uri]; once && n > 1 {
+			twice = append(twice, fmt.Sprintf("%s ran %d times", uri, n))
+			delete(r.once, uri)
+		}
+		if source, promised := r.notRun[uri]; promised {
+			refused = append(refused, fmt.Sprintf("%s ran, though %s", uri, source))
+			delete(r.notRun, uri)
+		}
+	}
+	r.mu.Unlock()
+	for _, detail := range twice {
+		r.addViolation(RanTwice, "%s", detail)
+	}
+	for _, detail := range refused {
+		r.addViolation(RanAfterRefusal, "%s", detail)
+	}
+}
+
+// recordVersion records that a version was acknowledged.
+func (r *recorder) recordVersion(version uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.versions = append(r.versions, acknowledgedVersion{version, time.Now()})
+}
+
+// applyLimit is the time within which a configuration must be applied.
+const applyLimit = 5 * time.Second
+
+// checkVersion checks the configuration version that an entry's process applies now.
+func (r *recorder) checkVersion(e *entry, p *process, previous, version uint64) {
+	now := time.Now()
+	if version < previous {
+		r.addViolation(ConfigurationReverted, "entry %d obeys version %d after %d", e.index, version, previous)
+	}
+	if now.Sub(p.started) < applyLimit {
+		return
+	}
+	r.mu.Lock()
+	var expected acknowledgedVersion
+	for _, c := range r.versions {
+		if now.Sub(c.at) > applyLimit {
+			expected = c
+		}
+	}
+	r.mu.Unlock()
+	if expected.version > version && r.undisrupted(e.index, expected.at, now, hopStore, hopProcess) {
+		r.addViolation(ConfigurationStale, "entry %d obeys version %d; %d was made %s ago", e.index, version, expected.version, now.Sub(expected.at).Round(time.Millisecond))
+	}
+}
