--- a/peers/link/codec.go
+++ b/peers/link/codec.go
@@ -122,10 +122,10 @@
 	return r
 }
 
-// decode decodes one payload. The message is valid until the next call; a Chunk's Data refers to
-// the payload and is valid as long as the payload is.
-func (r *frameReader) decode(kind Type, payload []byte) (Message, error) {
-	switch kind {
+// decode decodes one payload. A Chunk or an Ack is valid until the next call; a Chunk's Data refers
+// to the payload and is valid only as long as the payload is.
+func (r *frameReader) decode(frameType Type, payload []byte) (Message, error) {
+	switch frameType {
 	case TypeChunk:
 		return r.decodeChunk(payload)
 	case TypeAck:
@@ -133,14 +133,14 @@
 	case typePing:
 		return &ping{}, nil
 	}
-	message := newMessage(kind)
+	message := newMessage(frameType)
 	if message == nil {
-		return nil, errors.Wrapf(ErrFrame, "unknown type %d", kind)
+		return nil, errors.Wrapf(ErrFrame, "unknown type %d", frameType)
 	}
 	r.reader.Reset(payload)
 	r.dec.Reset(&r.reader)
 	if err := r.dec.Decode(message); err != nil {
-		return nil, errors.Wrapf(ErrFrame, "type %d: %v", kind, err)
+		return nil, errors.Wrapf(ErrFrame, "type %d: %v", frameType, err)
 	}
 	return message, nil
 }
@@ -199,8 +199,8 @@
 	return rest, nil
 }
 
-func newMessage(kind Type) Message {
-	switch kind {
+func newMessage(frameType Type) Message {
+	switch frameType {
 	case typeChallenge:
 		return &challenge{}
 	case typeHello:
--- a/peers/link/conn.go
+++ b/peers/link/conn.go
@@ -15,9 +15,10 @@
 var (
 	// ErrClosed means that the link is closed.
 	ErrClosed = errors.New("link: closed")
-	// ErrSilent means that nothing was received from the peer in time.
+	// ErrSilent means that nothing was received from the peer in time, or that the handshake of a
+	// dial did not complete in time.
 	ErrSilent = errors.New("link: peer is silent")
-	// ErrIdle means that the link was closed because it was not used for the idle time.
+	// ErrIdle means that the link was closed because it was unused for Timing.Idle.
 	ErrIdle = errors.New("link: idle")
 	// ErrBacklog means that the send buffer is full because the peer reads too slowly.
 	ErrBacklog = errors.New("link: send buffer is full")
@@ -53,7 +54,8 @@
 	reason      error
 	done        chan struct{}
 
-	// The event loop owns the fields from here to createdAt.
+	// Only the event loop uses in, nonce and peerNonce. It also writes peer, which others may read
+	// once opened is closed. createdAt does not change.
 	in        *frameReader
 	nonce     []byte
 	peerNonce []byte
@@ -93,11 +95,12 @@
 // Dialed reports whether this end dialled the link.
 func (c *Conn) Dialed() bool { return c.dialed }
 
-// Stamp returns the peer's latest clock stamp received on this link, in nanoseconds since the peer
-// started.
+// Stamp returns the peer's latest clock stamp received on this link, in nanoseconds of the peer's
+// clock (Config.Stamp).
 func (c *Conn) Stamp() int64 { return c.stamp.Load() }
 
-// SetStamp records a clock stamp that a message carried, unless a later one is known.
+// SetStamp records a clock stamp that a message carried. If a later stamp is known, SetStamp keeps
+// that one and records only that a stamp was received, which Refresh uses.
 func (c *Conn) SetStamp(stamp int64) {
 	c.stampAt.Store(c.node.sinceStart())
 	for {
@@ -118,8 +121,8 @@
 	return time.Duration(c.node.sinceStart() - c.lastReceived.Load())
 }
 
-// Refresh ensures that Stamp is at most maxAge old. If it is older, Refresh sends a ping and waits
-// for the answer. An agent refuses offers with an old stamp, and on an idle link the last stamp may
+// Refresh ensures that the last stamp was received at most maxAge ago. If it is older, Refresh sends
+// a ping and waits for the answer. An agent refuses offers with an old stamp, and on an idle link the last stamp may
 // be a minute old.
 func (c *Conn) Refresh(ctx context.Context, maxAge time.Duration) error {
 	if time.Duration(c.node.sinceStart()-c.stampAt.Load()) <= maxAge {
@@ -167,7 +170,8 @@
 // called as often as Retain.
 func (c *Conn) Retain() {
 	if c.retained.Add(1) == 1 {
-		// An idle peer need not send anything, so its silence counts from now.
+		// An idle peer sends nothing, so Timing.Silence is counted from the time at which the link
+		// is first retained.
 		c.lastReceived.Store(c.node.sinceStart())
 		c.pingedAt.Store(0)
 	}
@@ -285,7 +289,7 @@
 			return nil
 		}
 		size := int(binary.BigEndian.Uint32(header))
-		kind := Type(header[4])
+		frameType := Type(header[4])
 		if size > MaxFrameBytes {
 			return errors.Wrapf(ErrFrame, "payload of %d bytes", size)
 		}
@@ -296,7 +300,7 @@
 		if err != nil {
 			return errors.Wrap(err, "link: read frame")
 		}
-		if err := c.handle(kind, frame[headerBytes:]); err != nil {
+		if err := c.handle(frameType, frame[headerBytes:]); err != nil {
 			return err
 		}
 		if _, err := c.gc.Discard(headerBytes + size); err != nil {
@@ -305,12 +309,14 @@
 	}
 }
 
-func (c *Conn) handle(kind Type, payload []byte) error {
+// handle handles one frame. Until the link is open, only the handshake messages are allowed, whose
+// types are those up to typeWelcome.
+func (c *Conn) handle(frameType Type, payload []byte) error {
 	c.lastReceived.Store(c.node.sinceStart())
-	if !c.isOpen() && kind > typeWelcome {
-		return errors.Wrap(ErrAuth, "message before the handshake")
+	if !c.isOpen() && frameType > typeWelcome {
+		return errors.Wrap(ErrAuth, "message on a link that is not open")
 	}
-	message, err := c.in.decode(kind, payload)
+	message, err := c.in.decode(frameType, payload)
 	if err != nil {
 		return err
 	}
--- a/peers/link/control_message.go
+++ b/peers/link/control_message.go
@@ -184,7 +184,7 @@
 	// which upstreams crash.
 	Reports    []evidence.Report
 	Quarantine []quarantine.Report
-	// PartRequest, if not nil, requests a part of the routing table that the receiver has in force.
+	// PartRequest, if not nil, requests a part of the receiver's active routing table.
 	PartRequest *fetch.Request
 }
 
@@ -198,7 +198,7 @@
 	Data    []byte
 }
 
-// Routes announces the version of the routing table that the sender has in force. Value, the
+// Routes announces the version of the sender's active routing table. Value, the
 // table's encoding, is sent only to an entry that has sent RoutesRequest.
 type Routes struct {
 	Version uint64
@@ -264,6 +264,6 @@
 	return binary.BigEndian.Uint64(u.Routes)
 }
 
-// RoutesRequest requests the whole encoded routing table that the receiver has in force. Only entries
-// that run a version without RoutesPart send it.
+// RoutesRequest requests the whole encoding of the receiver's active routing table. Only entries that
+// run a version without RoutesPart send it.
 type RoutesRequest struct{}
--- a/peers/link/dispatch_update.go
+++ b/peers/link/dispatch_update.go
@@ -13,8 +13,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// wireDispatchUpdate is the wire format of DispatchUpdate. Reports and requests for
-// parts are sent as events of additional kinds. An entry that runs an older version skips unknown
+// wireDispatchUpdate is the wire format of DispatchUpdate. Reports, quarantine reports and part
+// requests are sent as events of additional kinds. An entry that runs an older version skips unknown
 // kinds, whereas it would close the link on an additional field or a message of an unknown type.
 type wireDispatchUpdate struct {
 	Origin  call.Incarnation
@@ -22,14 +22,14 @@
 	Events  []dispatch.Event
 }
 
-// reportEvent is the kind of an event that carries a report on an upstream: First is the report's
-// tag, Rank its kind and PartMs its age.
+// reportEvent is the kind of an event that carries a report on an upstream: First is the
+// upstream's tag, Rank the report's kind, and PartMs the report's age in milliseconds.
 const reportEvent dispatch.EventKind = 64
 
-// quarantineEvent is the kind of an event that carries a report on a request: Number and AimMs are
-// the two halves of the request's fingerprint, First is the upstream's tag, PartMs the report's age,
-// Rank its kind, LeftMs the remaining time in quarantine, and Prompt the number of consecutive
-// quarantines.
+// quarantineEvent is the kind of an event that carries a quarantine report on a request: Number and
+// AimMs are the two halves of the request's fingerprint, First is the upstream's tag, Rank the
+// report's kind, PartMs the report's age and LeftMs the remaining time in quarantine, both in
+// milliseconds, and Prompt is the number of consecutive quarantines.
 const quarantineEvent dispatch.EventKind = 65
 
 // partRequestEvent is the kind of an event that requests a part of the routing table: Number is the
--- a/peers/link/link_test.go
+++ b/peers/link/link_test.go
@@ -18,7 +18,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// recorder is a Handler that passes copies of all events to the test.
+// recorder is a Handler that passes all events to the test. It copies each Chunk, which is valid only
+// during the call.
 type recorder struct {
 	open   chan *Conn
 	chunks chan Chunk
@@ -59,6 +60,8 @@
 	return node, events
 }
 
+// A message must not be lost, cut or reordered, whether it is larger than a read buffer or one of many
+// that are written at once.
 func TestMessagesArriveCompleteAndInOrder(t *testing.T) {
 	keys := NewKeys([]byte("k"), nil)
 	a, _ := startNode(t, "a", keys, Timing{})
@@ -80,6 +83,8 @@
 	}
 }
 
+// Key rotation must not separate processes that have only one of the two keys. A new key must be
+// known to both ends before either uses it first.
 func TestKeyRotation(t *testing.T) {
 	cases := []struct {
 		name              string
@@ -133,6 +138,7 @@
 	require.ErrorContains(t, err, "b answered")
 }
 
+// A malformed frame must cause an error, and never a panic or a nil message without an error.
 func FuzzDecode(f *testing.F) {
 	w := newFrameWriter()
 	for _, m := range []Message{&Offer{Service: "s", Body: []byte("x")}, &Chunk{Data: []byte("d")}, &Ack{Seq: 4}, &End{Detail: "e"},
@@ -143,8 +149,8 @@
 		require.NoError(f, w.append(m))
 		f.Add(byte(m.Type()), append([]byte(nil), w.buf[headerBytes:]...))
 	}
-	f.Fuzz(func(t *testing.T, kind byte, payload []byte) {
-		message, err := newFrameReader().decode(Type(kind), payload)
+	f.Fuzz(func(t *testing.T, frameType byte, payload []byte) {
+		message, err := newFrameReader().decode(Type(frameType), payload)
 		require.Equal(t, err == nil, message != nil)
 	})
 }
@@ -193,7 +199,8 @@
 	}
 }
 
-// TestDigestSize checks the size of a digest that core/load states.
+// A load digest must stay small: core/load assumes its size (digestBytes) when it divides its budget
+// of control traffic among the peers.
 func TestDigestSize(t *testing.T) {
 	report := LoadReport{Agent: "engine-1234", Incarnation: 1 << 63, Model: "assistant-1"}
 	report.Load.FreeTokens = 400_000
@@ -210,9 +217,9 @@
 	require.LessOrEqual(t, len(w.buf), 140)
 }
 
-// A link that carries an occasional digest and no request for longer than Idle must stay open. If
-// the idle time counted from the last request alone, links between agents would be closed and
-// dialled again once a minute.
+// A link that carries an occasional message, such as a load digest, and no request for longer than
+// Idle must stay open. If the idle time counted from the last request alone, links between agents
+// would be closed and dialled again once a minute. Any message other than a heartbeat serves here.
 func TestLinkWithTrafficButNoRequestsStaysOpen(t *testing.T) {
 	const idle = time.Minute
 	keys := NewKeys([]byte("k"), nil)
@@ -230,9 +237,10 @@
 	require.False(t, c.isOpen(), "the link was not used for longer than Idle")
 }
 
-// On a link that carries only digests, each digest counts as use and no regular heartbeats are
+// On a link that carries only load digests, each digest counts as use and no regular heartbeats are
 // sent. If a device between the ends drops all data without a reset, the link must still be closed;
-// otherwise digests would be sent to an unreachable peer for many minutes.
+// otherwise digests would be sent to an unreachable peer for many minutes. Any message other than a
+// heartbeat serves as the digest here.
 func TestSilentLinkClosesWhileSendingDigests(t *testing.T) {
 	keys := NewKeys([]byte("k"), nil)
 	timing := Timing{Heartbeat: 100 * time.Millisecond, Silence: 300 * time.Millisecond, Idle: 300 * time.Millisecond, Handshake: time.Second}
@@ -276,7 +284,7 @@
 	}
 }
 
-// TestReportSize checks the size of one report on an upstream that docs/CAPACITY.md states.
+// TestReportSize checks the size, stated in docs/CAPACITY.md, of one report on an upstream.
 func TestReportSize(t *testing.T) {
 	size := func(reports []evidence.Report) int {
 		w := newFrameWriter()
@@ -290,7 +298,8 @@
 }
 
 // During an upgrade, entries of two versions exchange this message. A field that the older version
-// does not know would make it close the link each time.
+// does not know would make it close the link each time. Fields are encoded by position, so their
+// names may differ between versions.
 func TestDispatchUpdateAcrossVersions(t *testing.T) {
 	type olderUpdate struct {
 		Origin call.Incarnation
@@ -306,19 +315,19 @@
 	require.Equal(t, &DispatchUpdate{Origin: 3, Forward: true, Events: events}, message)
 
 	print := fingerprint.Of(fingerprint.Request{Path: "/ask"})
-	held := []quarantine.Report{
+	quarantined := []quarantine.Report{
 		{Kind: quarantine.RepeatedCrashReport, Print: print, Upstream: 1 << 31, AgeMs: 9},
 		{Kind: quarantine.HoldReport, Print: print, LeftMs: quarantine.MaxHold.Milliseconds(), Times: 3},
 	}
-	ask := &fetch.Request{Version: 1 << 40, Part: 3}
-	newer, err := encodeArray(&DispatchUpdate{Origin: 3, Events: events, Reports: reports, Quarantine: held, PartRequest: ask})
+	partRequest := &fetch.Request{Version: 1 << 40, Part: 3}
+	newer, err := encodeArray(&DispatchUpdate{Origin: 3, Events: events, Reports: reports, Quarantine: quarantined, PartRequest: partRequest})
 	require.NoError(t, err)
 	message, err = newFrameReader().decode(TypeDispatchUpdate, newer)
 	require.NoError(t, err)
-	require.Equal(t, &DispatchUpdate{Origin: 3, Events: events, Reports: reports, Quarantine: held, PartRequest: ask}, message)
+	require.Equal(t, &DispatchUpdate{Origin: 3, Events: events, Reports: reports, Quarantine: quarantined, PartRequest: partRequest}, message)
 	var read olderUpdate
 	require.NoError(t, msgpack.Unmarshal(newer, &read))
-	require.Equal(t, events, read.Events[:1], "an older entry skips the event kinds after it, which it does not know")
+	require.Equal(t, events, read.Events[:1], "the known event is first; an older entry skips the others, whose kinds it does not know")
 	require.Len(t, read.Events, 6)
 	fleet := dispatch.NewFleet(dispatch.Settings{})
 	fleet.ApplyEvents(time.Now(), 3, read.Events)
@@ -332,7 +341,7 @@
 }
 
 // On a VM with one core, the event loops wait in system calls that occupy the scheduler's only
-// processor. Without more processors, a process would not respond for a second after its start and
+// processor. Without more processors, a process would not respond for a second after startup and
 // its timers would fire late.
 func TestStartReservesProcessors(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
--- a/peers/link/message.go
+++ b/peers/link/message.go
@@ -85,10 +85,13 @@
 	Chat         bool
 	Repeatable   bool
 	// TimeLeftMs is the time until the deadline, in milliseconds.
-	TimeLeftMs      int64
-	PromptTokens    int
-	MaxTokens       int
-	Prefix          []uint64
+	TimeLeftMs   int64
+	PromptTokens int
+	MaxTokens    int
+	// Prefix holds the rolling digests of the prompt's prefixes; see core/prefix.
+	Prefix []uint64
+	// Delivered is the text that the client already has from earlier attempts, after which the
+	// engine continues, and DeliveredTokens the number of its tokens.
 	Delivered       string
 	DeliveredTokens int
 	TraceParent     string
@@ -116,7 +119,8 @@
 	Load   LoadReport
 }
 
-// Refused proves that the agent has not run this attempt and never will.
+// Refused refuses an offer. Execution says what the refusal proves: NotRun only if the call has not
+// run in the agent's incarnation and never will.
 type Refused struct {
 	ID        call.ID
 	Attempt   call.Attempt
@@ -149,7 +153,8 @@
 	Header  []HeaderField
 }
 
-// Chunk carries one part of a response. Data is valid only during the handler's call.
+// Chunk carries one part of a response. A received Chunk and its Data are valid only during the
+// handler's call.
 type Chunk struct {
 	ID      call.ID
 	Attempt call.Attempt
@@ -178,6 +183,7 @@
 }
 
 // Ack acknowledges all chunks up to Seq. The agent drops them from its buffer and may send more.
+// A received Ack is valid only during the handler's call.
 type Ack struct {
 	ID      call.ID
 	Attempt call.Attempt
@@ -236,7 +242,7 @@
 	Revision uint64
 }
 
-// Loads carries the load digests of a group of agents.
+// Loads carries the load digests of several agents.
 type Loads struct {
 	Reports []LoadReport
 }
--- a/peers/link/node.go
+++ b/peers/link/node.go
@@ -15,7 +15,8 @@
 )
 
 // Handler handles the events of a node's links. Its methods run on event loops and must not block.
-// A message is valid only during the call.
+// A Chunk or an Ack is valid only during the call, because the link reuses it for the next one; other
+// messages may be retained.
 type Handler interface {
 	// OnOpen is called when a link's handshake has completed, before any OnMessage for the link.
 	OnOpen(c *Conn)
@@ -61,8 +62,9 @@
 	// 0 means 1.
 	Loops  int
 	Timing Timing
-	// Stamp is the clock for the stamps in pongs, in nanoseconds; nil means the time since the
-	// node's start.
+	// Stamp returns this process's clock in nanoseconds; nil means the time since the node's start.
+	// The acceptor sends the clock at the end of the handshake, and both ends send it in pongs. An
+	// entry returns an agent's stamp in its offers, so that the agent can detect delayed offers.
 	Stamp func() int64
 }
 
@@ -138,9 +140,9 @@
 // reserveProcessors raises GOMAXPROCS so that the event loops leave the Go scheduler a processor.
 //
 // An event loop waits for its connections in a system call that occupies a processor (P) of the
-// scheduler until the runtime's monitor retakes it. On a VM with one core there is only one: a
-// process that waited for its first answers was blocked until a packet arrived, its timers fired
-// 0.9 to 5 s late, and it refused requests for as long.
+// scheduler until the runtime's monitor retakes it. On a VM with one core there is only one P, so
+// the process would be blocked until a packet arrives: timers fire 0.9 to 5 s late, and requests
+// are refused meanwhile.
 func reserveProcessors(loops int) {
 	// The loops of the listener and of the client, the listener's acceptor, and one for all other
 	// goroutines.
@@ -152,7 +154,7 @@
 // Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.addr }
 
-// Stamp returns the current value of the clock whose stamps peers echo in offers.
+// Stamp returns the current value of this process's clock; see Config.Stamp.
 func (n *Node) Stamp() int64 {
 	if n.stamp != nil {
 		return n.stamp()
@@ -160,6 +162,8 @@
 	return n.sinceStart()
 }
 
+// sinceStart returns the nanoseconds since the node's start. It is never zero, because zero in
+// Conn.pingedAt means that no ping is outstanding.
 func (n *Node) sinceStart() int64 { return int64(time.Since(n.start)) + 1 }
 
 // Close closes all links and stops listening.
@@ -178,7 +182,7 @@
 	}
 	_ = n.client.Stop()
 	// With a context that isn't cancelled, Stop would poll for the engine's shutdown only twice a
-	// second. The return of Run shows it immediately.
+	// second. Run returns as soon as the engine has stopped, so Close waits for that instead.
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = n.engine.Stop(ctx)
@@ -240,12 +244,12 @@
 	c.vm = vm
 	n.byVM[vm] = c
 	n.mu.Unlock()
-	return c, c.checkStillOpen()
+	return c, c.unregisterIfClosed()
 }
 
-// checkStillOpen returns an error if the link was closed after the handshake and before it was
-// added to byVM.
-func (c *Conn) checkStillOpen() error {
+// unregisterIfClosed removes the link from byVM and returns an error if the link was closed after
+// the handshake and before it was added to byVM.
+func (c *Conn) unregisterIfClosed() error {
 	if c.isOpen() {
 		return nil
 	}
