--- a/peers/caller/answer.go
+++ b/peers/caller/answer.go
@@ -12,14 +12,15 @@
 
 // Usage holds token counts in the format of OpenAI's answers.
 type Usage struct {
-	PromptTokens        int           `json:"prompt_tokens"`
-	CompletionTokens    int           `json:"completion_tokens"`
-	TotalTokens         int           `json:"total_tokens"`
-	PromptTokensDetails *PromptTokens `json:"prompt_tokens_details,omitempty"`
+	PromptTokens        int                  `json:"prompt_tokens"`
+	CompletionTokens    int                  `json:"completion_tokens"`
+	TotalTokens         int                  `json:"total_tokens"`
+	PromptTokensDetails *PromptTokensDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptTokens holds the number of prompt tokens that came from the engine's prefix cache.
-type PromptTokens struct {
+// PromptTokensDetails details Usage.PromptTokens: CachedTokens of them came from the engine's
+// prefix cache.
+type PromptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
@@ -29,12 +30,11 @@
 		PromptTokens:        prompt,
 		CompletionTokens:    completion,
 		TotalTokens:         prompt + completion,
-		PromptTokensDetails: &PromptTokens{CachedTokens: cached},
+		PromptTokensDetails: &PromptTokensDetails{CachedTokens: cached},
 	}
 }
 
-// AnswerEncoder encodes one answer, streamed or whole. It must not be used by several goroutines
-// at a time.
+// AnswerEncoder encodes one answer, streamed or whole. Its methods do not modify it.
 type AnswerEncoder struct {
 	chat    bool
 	id      string
@@ -47,25 +47,25 @@
 
 // NewAnswerEncoder returns the encoder of the answer to a request.
 func NewAnswerEncoder(g *Generation, requestID string, created int64) *AnswerEncoder {
-	s := &AnswerEncoder{chat: g.Chat, created: created, model: g.Model}
+	e := &AnswerEncoder{chat: g.Chat, created: created, model: g.Model}
 	object, before, after := "text_completion", `"choices":[{"index":0,"text":`, `,"logprobs":null,"finish_reason":null}]}`+"\n\n"
-	s.id = "cmpl-" + requestID
+	e.id = "cmpl-" + requestID
 	if g.Chat {
-		s.id = "chatcmpl-" + requestID
+		e.id = "chatcmpl-" + requestID
 		object = "chat.completion.chunk"
 		before, after = `"choices":[{"index":0,"delta":{"content":`, `},"logprobs":null,"finish_reason":null}]}`+"\n\n"
 	}
-	s.chunkPrefix = append(s.header("data: ", object), before...)
-	s.chunkSuffix = []byte(after)
-	return s
+	e.chunkPrefix = append(e.objectPrefix("data: ", object), before...)
+	e.chunkSuffix = []byte(after)
+	return e
 }
 
-// header returns lead and an object's first fields, including the comma that follows them.
-func (s *AnswerEncoder) header(lead, object string) []byte {
-	b := []byte(lead + `{"id":"` + s.id + `","object":"` + object + `","created":`)
-	b = strconv.AppendInt(b, s.created, 10)
+// objectPrefix returns prefix and an object's first fields, including the comma that follows them.
+func (e *AnswerEncoder) objectPrefix(prefix, object string) []byte {
+	b := []byte(prefix + `{"id":"` + e.id + `","object":"` + object + `","created":`)
+	b = strconv.AppendInt(b, e.created, 10)
 	b = append(b, `,"model":`...)
-	b = quote(b, []byte(s.model))
+	b = quote(b, []byte(e.model))
 	return append(b, ',')
 }
 
@@ -78,35 +78,35 @@
 
 // AppendFirst appends the first event of a streamed chat answer. Completions have no such
 // event.
-func (s *AnswerEncoder) AppendFirst(dst []byte) []byte {
-	if !s.chat {
+func (e *AnswerEncoder) AppendFirst(dst []byte) []byte {
+	if !e.chat {
 		return dst
 	}
-	dst = append(dst, s.header("data: ", "chat.completion.chunk")...)
+	dst = append(dst, e.objectPrefix("data: ", "chat.completion.chunk")...)
 	return append(dst, `"choices":[{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}`+"\n\n"...)
 }
 
 // AppendChunk appends one event of a streamed answer, with the given text.
-func (s *AnswerEncoder) AppendChunk(dst, text []byte) []byte {
-	dst = append(dst, s.chunkPrefix...)
+func (e *AnswerEncoder) AppendChunk(dst, text []byte) []byte {
+	dst = append(dst, e.chunkPrefix...)
 	dst = quote(dst, text)
-	return append(dst, s.chunkSuffix...)
+	return append(dst, e.chunkSuffix...)
 }
 
 // AppendLast appends the final events of a streamed answer. A nil usage is left out.
-func (s *AnswerEncoder) AppendLast(dst []byte, finishReason string, usage *Usage) []byte {
+func (e *AnswerEncoder) AppendLast(dst []byte, finishReason string, usage *Usage) []byte {
 	object := "text_completion"
 	choice := `"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":`
-	if s.chat {
+	if e.chat {
 		object = "chat.completion.chunk"
 		choice = `"choices":[{"index":0,"delta":{},"logprobs":null,"finish_reason":`
 	}
-	dst = append(dst, s.header("data: ", object)...)
+	dst = append(dst, e.objectPrefix("data: ", object)...)
 	dst = append(dst, choice...)
 	dst = strconv.AppendQuote(dst, finishReason)
 	dst = append(dst, "}]}\n\n"...)
 	if usage != nil {
-		dst = append(dst, s.header("data: ", object)...)
+		dst = append(dst, e.objectPrefix("data: ", object)...)
 		dst = append(dst, `"choices":[],"usage":`...)
 		dst = append(dst, encode(usage)...)
 		dst = append(dst, "}\n\n"...)
@@ -115,14 +115,14 @@
 }
 
 // EncodeWhole returns the body of an answer that is not streamed.
-func (s *AnswerEncoder) EncodeWhole(text []byte, finishReason string, usage *Usage) []byte {
+func (e *AnswerEncoder) EncodeWhole(text []byte, finishReason string, usage *Usage) []byte {
 	object := "text_completion"
-	if s.chat {
+	if e.chat {
 		object = "chat.completion"
 	}
-	b := s.header("", object)
+	b := e.objectPrefix("", object)
 	b = append(b, `"choices":[{"index":0,`...)
-	if s.chat {
+	if e.chat {
 		b = append(b, `"message":{"role":"assistant","content":`...)
 		b = quote(b, text)
 		b = append(b, `,"refusal":null}`...)
@@ -255,7 +255,7 @@
 const HeaderRetryAfter = "Retry-After"
 
 // SetRetryAfter sets the Retry-After header, rounded up to a second, if the error has a
-// retry time.
+// retry time. The statuses 429 and 503 have a default one.
 func SetRetryAfter(header http.Header, err *result.Error) {
 	retryAfter := err.RetryAfterOrDefault()
 	if retryAfter <= 0 {
--- a/peers/documents/documents.go
+++ b/peers/documents/documents.go
@@ -2,7 +2,7 @@
 //
 // A single increasing revision numbers the states of the whole store. A change is one transaction on
 // the condition that the head row has not changed. It writes the head row, the rows of the changed
-// service and one row of the change log. Hence two operators can't use the same revision, and no
+// service and one row of the change log. Hence two concurrent changes can't get the same revision, and no
 // reader sees a partial change.
 package documents
 
@@ -24,13 +24,14 @@
 // Errors in addition to those of package table.
 var (
 	// ErrCompacted means that the change log does not contain all changes from the requested
-	// revision to the newest one. The caller can read the whole state with Load.
+	// revision to the newest one, or that the changes to apply do not directly follow a state's
+	// revision. The caller can read the whole state with Load.
 	ErrCompacted = errors.New("documents: change log doesn't reach back")
 	// ErrReverted means that the table has a lower revision than was read from it before, for
 	// example after a restore from a backup. Nothing is written in this case.
 	ErrReverted = errors.New("documents: table's revision went back")
-	// ErrBusy means that each attempt conflicted with a change to another service; nothing was
-	// written.
+	// ErrBusy means that each attempt of a put conflicted with a change to another service, or that
+	// the change log was compacted during each attempt of a load. Nothing was written.
 	ErrBusy = errors.New("documents: too many concurrent changes")
 	// ErrNoState means that neither the table, the object store nor a peer returned a state.
 	ErrNoState = errors.New("documents: no state found")
@@ -76,7 +77,7 @@
 	return ETag(revision)
 }
 
-// ETag returns the entity tag of a document whose last change made the given revision.
+// ETag returns the entity tag of a document that was last changed at the given revision.
 func ETag(revision document.Revision) string {
 	return strconv.Quote(strconv.FormatUint(uint64(revision), 10))
 }
@@ -124,7 +125,7 @@
 }
 
 // DefaultCallTimeout bounds one call to the table, because a connection may never respond. A put
-// normally completes within 2 s, so half of that is left for a second attempt.
+// should complete within 2 s, so one call may take half of that and leaves time for a second attempt.
 const DefaultCallTimeout = time.Second
 
 // resolveInitialInterval is the default backoff before the first retry of an unknown outcome.
--- a/peers/documents/documents_test.go
+++ b/peers/documents/documents_test.go
@@ -39,6 +39,8 @@
 	require.EqualValues(t, 3, history[0].Revision)
 }
 
+// An invalid document, or one with a key of another organisation, must not be stored: entries could not
+// apply it or could not tell the two organisations apart.
 func TestRefusedDocuments(t *testing.T) {
 	s := newStore(newFakeTable(), nil)
 	mustPut(t, s, service("a", 1, "x"), IfAbsent)
@@ -192,7 +194,9 @@
 	require.Empty(t, document.Diff(service("a", 4, "only4"), got.Snapshot.Service("a")))
 }
 
-func TestChangeLogIsTruncated(t *testing.T) {
+// The change log must not grow without bound. A reader of changes that the log no longer contains must
+// get ErrCompacted, and not changes with a gap.
+func TestChangeLogIsCompacted(t *testing.T) {
 	ctx := context.Background()
 	f := newFakeTable()
 	s := newStore(f, nil)
@@ -209,6 +213,7 @@
 	require.ErrorIs(t, err, ErrReverted)
 }
 
+// A change that is too large for the change log must not be lost: readers load the whole state instead.
 func TestLargeChangeRequiresFullLoad(t *testing.T) {
 	f := newFakeTable()
 	names := make([]string, 3000)
@@ -224,6 +229,8 @@
 	require.Len(t, state.Snapshot.Service("a").Organisations, len(names))
 }
 
+// A process must be able to start while the table is unavailable, with the newest state of the object
+// store and its peers, which is then unconfirmed. A damaged state must not be used.
 func TestStart(t *testing.T) {
 	ctx := context.Background()
 	f, o := newFakeTable(), fakeObjects{}
@@ -254,10 +261,10 @@
 				}
 				return nil
 			}
-			started, err := newStore(f, o).Start(ctx, c.peers...)
+			initial, err := newStore(f, o).Start(ctx, c.peers...)
 			require.NoError(t, err)
-			require.Equal(t, c.confirmed, started.Confirmed)
-			requireSameState(t, c.want, started.State)
+			require.Equal(t, c.confirmed, initial.Confirmed)
+			requireSameState(t, c.want, initial.State)
 		})
 	}
 	f.before = func(string) error { return table.ErrUnavailable }
--- a/peers/documents/load.go
+++ b/peers/documents/load.go
@@ -12,8 +12,9 @@
 // scanPageRows is the number of rows per read; 500 organisations are about 150 KB.
 const scanPageRows = 500
 
-// maxLoadAttempts bounds the attempts of a load that fails because the change log was truncated in the
-// meantime.
+// maxLoadAttempts bounds the attempts of a load that fails because the documents changed meanwhile: the
+// change log was compacted (ErrCompacted), or a change belongs to a service whose header the load did
+// not read (document.ErrNoHeader).
 const maxLoadAttempts = 3
 
 // head returns the newest revision and the version of the row that holds it.
@@ -108,8 +109,8 @@
 	return nil, 0, ErrBusy
 }
 
-// Load reads the whole state. Changes may be written while it reads the pages, so that the rows belong
-// to several revisions. It therefore reads the head before the first page and afterwards applies all
+// Load reads the whole state. Changes may be written while it reads the pages, so the rows may belong
+// to different revisions. It therefore reads the head before the first page and afterwards applies all
 // changes since then. Changes contain complete values, so it is safe to apply a change that a page
 // already included.
 func (s *Store) Load(ctx context.Context) (*State, error) {
@@ -199,8 +200,8 @@
 	}
 }
 
-// History returns at most limit changes of a service that the log still contains, newest first. It
-// reads the whole log and is intended for operators.
+// History returns the newest changes of a service that are still in the log, newest first and at most
+// limit. It reads the whole log and is intended for operators.
 func (s *Store) History(ctx context.Context, service string, limit int) ([]Change, error) {
 	var history []Change
 	err := s.eachRow(ctx, changePrefix, func(row table.Row) error {
--- a/peers/engine/http.go
+++ b/peers/engine/http.go
@@ -27,7 +27,7 @@
 	DefaultCancelTimeout = time.Second
 )
 
-// maxControlBodyBytes limits the answer to a control call.
+// maxControlBodyBytes limits the answer to a control call, which is any call except Generate.
 const maxControlBodyBytes = 256 << 20
 
 // HTTPOptions are the options of an HTTP engine client. Zero fields take the defaults.
@@ -36,7 +36,8 @@
 	// IdleTimeout ends a generation whose connection delivers no byte for this time;
 	// keep-alive comments count as bytes.
 	IdleTimeout time.Duration
-	// CallTimeout limits each control call except orders and KV transfers.
+	// CallTimeout limits each control call (any call except Generate) other than orders and KV
+	// transfers.
 	CallTimeout time.Duration
 	// CancelTimeout limits the cancel call at the end of a stream, or of a Generate whose
 	// outcome is unknown.
@@ -73,10 +74,10 @@
 // net/http closes an HTTP/1 connection whose call was cancelled, so a control call that
 // times out removes its connection from the pool and the next call dials again.
 type HTTP struct {
-	base    string
-	options HTTPOptions
-	fresh   *http.Transport
-	pooled  *http.Transport
+	base     string
+	options  HTTPOptions
+	unpooled *http.Transport
+	pooled   *http.Transport
 }
 
 var _ Engine = (*HTTP)(nil)
@@ -88,10 +89,10 @@
 func NewHTTPWith(baseURL string, options HTTPOptions) *HTTP {
 	options = options.withDefaults()
 	return &HTTP{
-		base:    strings.TrimSuffix(baseURL, "/"),
-		options: options,
-		fresh:   &http.Transport{DialContext: options.Dial, DisableKeepAlives: true, DisableCompression: true},
-		pooled:  &http.Transport{DialContext: options.Dial, DisableCompression: true, IdleConnTimeout: time.Minute},
+		base:     strings.TrimSuffix(baseURL, "/"),
+		options:  options,
+		unpooled: &http.Transport{DialContext: options.Dial, DisableKeepAlives: true, DisableCompression: true},
+		pooled:   &http.Transport{DialContext: options.Dial, DisableCompression: true, IdleConnTimeout: time.Minute},
 	}
 }
 
@@ -111,9 +112,9 @@
 	if err != nil {
 		return nil, newFailure(ErrRejected, err)
 	}
-	run, cancel := context.WithCancelCause(ctx)
-	run, stopDeadline := context.WithTimeout(run, request.TimeLeft)
-	s := &stream{engine: h, id: request.ID, ctx: run, stopDeadline: stopDeadline, cancel: cancel}
+	streamCtx, cancel := context.WithCancelCause(ctx)
+	streamCtx, stopDeadline := context.WithTimeout(streamCtx, request.TimeLeft)
+	s := &stream{engine: h, id: request.ID, ctx: streamCtx, stopDeadline: stopDeadline, cancel: cancel}
 	s.startIdleTimer(h.options.IdleTimeout)
 	if err := s.open(request, body); err != nil {
 		s.release()
@@ -162,6 +163,7 @@
 	return h.cancelRun(ctx, id, "", h.options.CallTimeout)
 }
 
+// cancelRun cancels a run of a request, or all its runs if run is empty.
 func (h *HTTP) cancelRun(ctx context.Context, id call.ID, run string, timeout time.Duration) error {
 	path := PathRequests + id.String()
 	if run != "" {
--- a/peers/engine/stream.go
+++ b/peers/engine/stream.go
@@ -20,24 +20,27 @@
 // errStreamClosed is the cancel cause of a stream that its reader closed.
 var errStreamClosed = errors.New("engine: stream closed")
 
-// streamBufferBytes is the size of a stream's read buffer. Longer events are copied to a
+// streamBufferBytes is the size of a stream's read buffer. Longer lines are copied to a
 // buffer of their own.
 const streamBufferBytes = 4 << 10
 
-// maxEventBytes limits the size of one event.
-const maxEventBytes = 1 << 20
+// maxLineBytes limits the size of one line of the event stream. A line may exceed it by less
+// than streamBufferBytes.
+const maxLineBytes = 1 << 20
 
 var dataPrefix = []byte("data:")
 
 // stream is the answer to one Generate.
 type stream struct {
-	engine       *HTTP
-	id           call.ID
+	engine *HTTP
+	id     call.ID
+	// run is the engine's ID for this run of the request, from HeaderRun. It is empty until the
+	// answer begins; a cancel without it cancels any run of the request.
 	run          string
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	stopDeadline context.CancelFunc
-	// idleTimer fires when no byte arrives for the idle timeout. If an intermediary has
+	// idleTimer fires when no byte has arrived for the idle timeout. If an intermediary has
 	// dropped the state of the connection, TCP reports no error while nothing is sent, and
 	// the request would hang until its deadline.
 	idleTimer   *time.Timer
@@ -74,7 +77,7 @@
 	if err != nil {
 		return newFailure(ErrRejected, err)
 	}
-	response, err := s.engine.fresh.RoundTrip(r)
+	response, err := s.engine.unpooled.RoundTrip(r)
 	if err != nil {
 		err = transportFailure(connected.Load(), s.cause(err))
 		return s.cancelIfConnected(connected.Load(), err)
@@ -115,8 +118,8 @@
 	return n, err
 }
 
-// cause returns the cancel cause of the stream's context if it has ended, and otherwise the
-// error of the transport.
+// cause returns the cancel cause of the stream's context if the context has ended, otherwise err,
+// the error of the transport.
 func (s *stream) cause(err error) error {
 	if s.ctx.Err() == nil {
 		return err
@@ -127,7 +130,7 @@
 // Next implements Stream.
 func (s *stream) Next() (Delta, bool, error) {
 	for !s.ended {
-		data, err := s.nextEvent()
+		data, err := s.nextData()
 		if err != nil {
 			return Delta{}, false, s.fail(err)
 		}
@@ -145,9 +148,9 @@
 	return Delta{}, false, s.err
 }
 
-// nextEvent returns the data of the next event. It skips comments, which engines send as
+// nextData returns the content of the next data line. It skips comments, which engines send as
 // keep-alives, and other fields.
-func (s *stream) nextEvent() ([]byte, error) {
+func (s *stream) nextData() ([]byte, error) {
 	for {
 		line, err := s.nextLine()
 		if err != nil {
@@ -168,7 +171,7 @@
 		return nil, unexpectedEOF(err)
 	}
 	whole := append([]byte(nil), line...)
-	for err == bufio.ErrBufferFull && len(whole) < maxEventBytes {
+	for err == bufio.ErrBufferFull && len(whole) < maxLineBytes {
 		line, err = s.reader.ReadSlice('\n')
 		whole = append(whole, line...)
 	}
@@ -251,7 +254,7 @@
 func (s *stream) Final() Final { return s.final }
 
 // Close implements Stream. If the answer is not complete, it waits until the engine has
-// confirmed the cancel; an error means that it has not.
+// confirmed the cancel; an error means that no confirmation arrived.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() { s.closeErr = s.close() })
 	return s.closeErr
--- a/peers/httpjson/httpjson.go
+++ b/peers/httpjson/httpjson.go
@@ -1,5 +1,5 @@
 // Package httpjson is the HTTP client shared by the adapters of the platform's services. It
-// limits the pauses and the answer size of each call, reports whether a failed call may have
+// limits the time without transferred bytes and the answer size of each call, reports whether a failed call may have
 // reached the service, and replaces its connections after a timeout.
 package httpjson
 
@@ -38,7 +38,7 @@
 
 // Options are the options of a Client. Zero fields take the defaults.
 type Options struct {
-	// Timeout limits the time until a call's answer begins, and each pause in a transfer.
+	// Timeout limits the time until a call's answer begins, and the time without transferred bytes.
 	Timeout time.Duration
 	// MaxDuration limits the duration of each call. The caller's context may end it earlier.
 	MaxDuration time.Duration
@@ -81,21 +81,21 @@
 
 // Client calls one service. It is safe for concurrent use.
 type Client struct {
-	base    string
-	options Options
-	pool    atomic.Pointer[http.Client]
+	base       string
+	options    Options
+	httpClient atomic.Pointer[http.Client]
 }
 
 // New returns a client of the service at baseURL, such as "http://10.0.0.7:8090/table".
 func New(baseURL string, options Options) *Client {
 	c := &Client{base: strings.TrimRight(baseURL, "/"), options: options.withDefaults()}
-	c.pool.Store(c.newPool())
+	c.httpClient.Store(c.newHTTPClient())
 	return c
 }
 
-// newPool returns an HTTP client with no open connections. It follows no redirects,
+// newHTTPClient returns an HTTP client with no open connections. It follows no redirects,
 // because a redirected commit would be sent to a second server, and it uses no proxy.
-func (c *Client) newPool() *http.Client {
+func (c *Client) newHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
 		Transport: &http.Transport{
@@ -110,12 +110,12 @@
 }
 
 // CloseIdle closes the idle connections.
-func (c *Client) CloseIdle() { c.pool.Load().CloseIdleConnections() }
+func (c *Client) CloseIdle() { c.httpClient.Load().CloseIdleConnections() }
 
 // Do makes one call and returns the body of a 2xx answer. Every error is a *Failure.
 //
-// Do sends a request once. The transport resends by itself only GET requests, and others if
-// no byte of them was written. No request has an Idempotency-Key header, with which the
+// Do sends a request once. The transport may resend a GET; it resends any other request only
+// if no byte of it was written. No request has an Idempotency-Key header, with which the
 // transport would also resend a POST whose bytes had been sent. If the dial for the resend
 // then failed, the error would mean "not sent" although the service may have executed the
 // first copy.
@@ -133,13 +133,14 @@
 	if err != nil {
 		return nil, &Failure{Err: err}
 	}
-	pool := c.pool.Load()
-	body, status, err := c.exchange(pool, httpRequest, func() { progress.setTimeout(timeout) })
+	httpClient := c.httpClient.Load()
+	// Request.Wait applies only until the first bytes of the answer's body arrive.
+	body, status, err := c.exchange(httpClient, httpRequest, func() { progress.setTimeout(timeout) })
 	if err != nil {
 		if errors.Is(context.Cause(ctx), ErrStalled) {
 			err = errors.WithMessage(ErrStalled, err.Error())
 		}
-		c.replacePoolAfterTimeout(ctx, pool)
+		c.replaceHTTPClientAfterTimeout(ctx, httpClient)
 		return nil, &Failure{Sent: connected.Load(), Status: status, Err: err}
 	}
 	if status < 200 || status > 299 {
@@ -192,8 +193,8 @@
 
 // exchange sends the request and returns an error unless the whole answer arrived. It calls
 // onRead whenever bytes of the answer's body arrive.
-func (c *Client) exchange(pool *http.Client, request *http.Request, onRead func()) (body []byte, status int, err error) {
-	answer, err := pool.Do(request)
+func (c *Client) exchange(httpClient *http.Client, request *http.Request, onRead func()) (body []byte, status int, err error) {
+	answer, err := httpClient.Do(request)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -209,14 +210,14 @@
 	return body, answer.StatusCode, nil
 }
 
-// replacePoolAfterTimeout replaces the pool if its call timed out. Open connections can stop
+// replaceHTTPClientAfterTimeout replaces the pool if its call timed out. Open connections can stop
 // delivering bytes for good while new ones work, and a call would have to time out on each
 // of them. With a new pool the next call dials. Calls in progress finish on the old pool.
-func (c *Client) replacePoolAfterTimeout(ctx context.Context, pool *http.Client) {
+func (c *Client) replaceHTTPClientAfterTimeout(ctx context.Context, httpClient *http.Client) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
 	}
-	if c.pool.CompareAndSwap(pool, c.newPool()) {
-		pool.CloseIdleConnections()
+	if c.httpClient.CompareAndSwap(httpClient, c.newHTTPClient()) {
+		httpClient.CloseIdleConnections()
 	}
 }
--- a/peers/service/http.go
+++ b/peers/service/http.go
@@ -81,10 +81,10 @@
 // connections and a body that can't be rewound, which the transport omits if it is empty.
 // Redirects are returned to the caller, as following one would be a second call.
 type HTTP struct {
-	base    string
-	options HTTPOptions
-	fresh   *http.Transport
-	pooled  *http.Transport
+	base     string
+	options  HTTPOptions
+	unpooled *http.Transport
+	pooled   *http.Transport
 }
 
 var _ Service = (*HTTP)(nil)
@@ -96,9 +96,9 @@
 func NewHTTPWith(baseURL string, options HTTPOptions) *HTTP {
 	options = options.withDefaults()
 	return &HTTP{
-		base:    strings.TrimSuffix(baseURL, "/"),
-		options: options,
-		fresh:   &http.Transport{DialContext: options.Dial, DisableKeepAlives: true, DisableCompression: true},
+		base:     strings.TrimSuffix(baseURL, "/"),
+		options:  options,
+		unpooled: &http.Transport{DialContext: options.Dial, DisableKeepAlives: true, DisableCompression: true},
 		pooled: &http.Transport{
 			DialContext:         options.Dial,
 			DisableCompression:  true,
@@ -150,7 +150,7 @@
 	if call.Reuse == ReuseAlways || call.Reuse == ReuseByMethod && isReadMethod(call.Method) {
 		return h.pooled
 	}
-	return h.fresh
+	return h.unpooled
 }
 
 func isReadMethod(method string) bool { return method == http.MethodGet || method == http.MethodHead }
--- a/peers/service/http_test.go
+++ b/peers/service/http_test.go
@@ -118,6 +118,8 @@
 	}
 }
 
+// A call whose answer is lost must never be reported as not sent, whether the service ran it or not:
+// the caller would repeat a call that has run.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -146,6 +148,7 @@
 	}
 }
 
+// A call of which no byte was sent must be reported as not sent, so that the caller can safely repeat it.
 func TestErrNotSentWhenNoByteWasSent(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
--- a/peers/table/breaker.go
+++ b/peers/table/breaker.go
@@ -85,7 +85,8 @@
 
 // breakerOutcome returns the outcome that a call's error counts as. An exceeded deadline is a
 // failure, because a service that does not respond causes no other error. A cancellation says
-// nothing about the service.
+// nothing about the service. Any other error, such as a conflict, is an answer of the service and
+// counts as a success.
 func breakerOutcome(ctx context.Context, err error) breaker.Outcome {
 	if !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknownOutcome) {
 		return breaker.Success
--- a/peers/table/contract_test.go
+++ b/peers/table/contract_test.go
@@ -51,6 +51,8 @@
 	}
 }
 
+// A transaction must write all its rows or none, and a row that is deleted and written again must have a
+// higher version, so that a condition on its old version cannot hold.
 func TestTransactions(t *testing.T) {
 	forEachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
 		ctx := t.Context()
@@ -80,6 +82,8 @@
 	})
 }
 
+// A commit that is repeated because its response was lost must not be applied twice, even if its
+// condition holds again: it returns the result of the first commit.
 func TestRepeatedTokenReturnsFirstResult(t *testing.T) {
 	forEachStore(t, func(t *testing.T, store table.Store, _ *platform.Platform) {
 		ctx := t.Context()
--- a/peers/table/resolving.go
+++ b/peers/table/resolving.go
@@ -31,16 +31,16 @@
 func NewResolvingStore(store Store) *ResolvingStore { return &ResolvingStore{Store: store} }
 
 // Commit implements Store. It fails with ErrUnknownOutcome if ctx ends or half of TokenMemory passes
-// before the outcome is known. ErrUnavailable means that no attempt can have been applied; Commit
-// does not retry after it, because the caller decides whether to wait.
+// before the outcome is known. If the first attempt fails with ErrUnavailable, nothing can have been
+// applied; Commit then returns the error without a retry, because the caller decides whether to wait.
 func (s *ResolvingStore) Commit(ctx context.Context, tx Tx) ([]uint64, error) {
-	attempt := resolution{ctx: ctx, store: s.Store, tx: tx}
+	r := resolution{ctx: ctx, store: s.Store, tx: tx}
 	waits := backoff.NewExponentialBackOff()
 	waits.InitialInterval = resolveInitialInterval
 	waits.MaxInterval = resolveMaxInterval
-	versions, err := backoff.Retry(ctx, attempt.try,
+	versions, err := backoff.Retry(ctx, r.commitOnce,
 		backoff.WithBackOff(waits), backoff.WithMaxElapsedTime(resolveWindow))
-	if err != nil && attempt.maybeApplied {
+	if err != nil && r.maybeApplied {
 		return nil, errors.WithMessage(ErrUnknownOutcome, err.Error())
 	}
 	return versions, err
@@ -57,20 +57,21 @@
 	maybeApplied bool
 }
 
-func (s *resolution) try() ([]uint64, error) {
-	versions, err := s.store.Commit(s.ctx, s.tx)
+// commitOnce makes one attempt and, if its outcome is unknown, reads the written rows back.
+func (r *resolution) commitOnce() ([]uint64, error) {
+	versions, err := r.store.Commit(r.ctx, r.tx)
 	switch {
 	case err == nil:
 		return versions, nil
 	case errors.Is(err, ErrConflict):
-		s.maybeApplied = false
+		r.maybeApplied = false
 		return nil, backoff.Permanent(err)
 	case errors.Is(err, ErrUnknownOutcome):
-		s.maybeApplied = true
-	case !s.maybeApplied:
+		r.maybeApplied = true
+	case !r.maybeApplied:
 		return nil, backoff.Permanent(err)
 	}
-	if versions, ok := s.readBack(); ok {
+	if versions, ok := r.readBack(); ok {
 		return versions, nil
 	}
 	return nil, err
@@ -79,11 +80,11 @@
 // readBack returns the versions of the written rows if all of them carry the transaction's token.
 // Otherwise nothing is proved: the commit may still be in flight, or a later write may have replaced
 // its rows.
-func (s *resolution) readBack() ([]uint64, bool) {
-	versions := make([]uint64, 0, len(s.tx.Writes))
-	for _, write := range s.tx.Writes {
-		row, err := s.store.Get(s.ctx, write.Key, Latest)
-		if err != nil || row.Token != s.tx.Token {
+func (r *resolution) readBack() ([]uint64, bool) {
+	versions := make([]uint64, 0, len(r.tx.Writes))
+	for _, write := range r.tx.Writes {
+		row, err := r.store.Get(r.ctx, write.Key, Latest)
+		if err != nil || row.Token != r.tx.Token {
 			return nil, false
 		}
 		versions = append(versions, row.Version)
