--- a/entry/config/actions.go
+++ b/entry/config/actions.go
@@ -28,7 +28,7 @@
 		case spread.PollTable:
 			sends = append(sends, func(ctx context.Context) { m.poll(ctx, a) })
 		case spread.BecomeReady:
-			m.log.Info().Uint64("revision", uint64(m.node.Revision())).Msg("documents are in force")
+			m.log.Info().Uint64("revision", uint64(m.machine.Revision())).Msg("documents are in force")
 		case spread.BecomeNotReady:
 			m.log.Warn().Str("reason", string(a.Reason)).Msg("documents are not certain; no requests are admitted")
 		}
@@ -80,7 +80,7 @@
 func (m *Manager) poll(ctx context.Context, a spread.PollTable) {
 	u, outcome := m.readTable(ctx, a.After)
 	outcome.Nonce = a.Nonce
-	report := func(now time.Time) []spread.Action { return m.node.HandlePoll(now, outcome) }
+	report := func(now time.Time) []spread.Action { return m.machine.HandlePoll(now, outcome) }
 	if !m.handleEvent(ctx, u, report) {
 		outcome = spread.PollResult{Nonce: a.Nonce}
 		m.handleEvent(ctx, nil, report)
@@ -131,18 +131,18 @@
 	return revision, nil, nil
 }
 
-// Refresh puts the newest revision of the table in force at this entry.
+// Refresh activates the newest revision of the table at this entry.
 func (m *Manager) Refresh(ctx context.Context) error {
 	u, outcome := m.readTable(ctx, m.State().Revision())
 	if !outcome.OK {
 		return table.ErrUnavailable
 	}
-	m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.node.HandlePoll(now, outcome) })
+	m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.machine.HandlePoll(now, outcome) })
 	return nil
 }
 
-// Distribute puts a revision that this entry wrote in force, sends it to the other entries, and saves
-// the state if a save is due.
+// Distribute activates a revision that this entry wrote, sends it to the other entries, and saves the
+// state if a save is due.
 func (m *Manager) Distribute(ctx context.Context, revision document.Revision) {
 	before := m.State().Revision()
 	if revision <= before {
@@ -152,38 +152,38 @@
 	m.saveIfDue(ctx, revision)
 }
 
-// distribute puts a revision in force at this entry and sends it to the others. If its changes
+// distribute activates a revision at this entry and sends it to the others. If its changes
 // cannot be read back, polls of the table find them.
 func (m *Manager) distribute(ctx context.Context, before, revision document.Revision) {
 	changes, err := m.config.Store.Changes(ctx, before)
 	if err != nil || len(changes) == 0 {
 		m.log.Warn().Err(err).Msg("the changes just written could not be read back; pollers will find them")
-		m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.node.ObserveRevision(now, "", revision, 0) })
+		m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.machine.ObserveRevision(now, "", revision, 0) })
 		return
 	}
 	last := changes[len(changes)-1].Revision
 	m.handleEvent(ctx, &update{changes: changes}, func(now time.Time) []spread.Action {
-		return m.node.HandleWrite(now, before, last)
+		return m.machine.HandleWrite(now, before, last)
 	})
 }
 
-// WaitApplied waits until every live entry has the revision in force or ctx ends, and returns the
-// names of the entries that do not have it. For a revision that another entry wrote it first
-// asks all of them.
+// WaitApplied waits until every live entry has applied the revision or ctx ends, and returns the
+// names of the entries that have not. For a revision that another entry wrote it first asks all
+// entries.
 func (m *Manager) WaitApplied(ctx context.Context, revision document.Revision) []string {
 	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
-		if m.node.Tracker(revision) != nil || m.node.Revision() < revision {
+		if m.machine.Tracker(revision) != nil || m.machine.Revision() < revision {
 			return nil
 		}
-		return m.node.HandleWrite(now, revision, revision)
+		return m.machine.HandleWrite(now, revision, revision)
 	})
 	for {
 		m.mu.Lock()
-		if m.node == nil || m.node.Revision() < revision {
+		if m.machine == nil || m.machine.Revision() < revision {
 			m.mu.Unlock()
 			return []string{string(m.config.Self.ID)}
 		}
-		tracker := m.node.Tracker(revision)
+		tracker := m.machine.Tracker(revision)
 		changed := m.changed
 		var missing []string
 		if tracker != nil && !tracker.Complete() {
--- a/entry/config/manager.go
+++ b/entry/config/manager.go
@@ -1,8 +1,8 @@
 // Package config keeps the service documents of one entry up to date: it carries out the
 // decisions of core/spread over links and the document store.
 //
-// A new revision is built completely beside the old one and then put in force by swapping an
-// atomic pointer. A request that began under the old revision ends under it.
+// A new revision is built completely while the old one stays active, and then activated by swapping
+// an atomic pointer. A request that began under the old revision ends under it.
 package config
 
 import (
@@ -28,12 +28,13 @@
 	// pollTimeout bounds one read of the table's changes, and the time between two parts of a
 	// peer's answer.
 	pollTimeout = 2 * time.Second
-	// startRetryInterval is the time between two attempts to find a state to start with.
-	startRetryInterval = 500 * time.Millisecond
-	// loadTimeout bounds one such attempt, and a load of all documents. Each call in them has its
-	// own timeout; large states take long over slow links.
+	// startupRetryInterval is the time between two attempts to load the initial state.
+	startupRetryInterval = 500 * time.Millisecond
+	// loadTimeout bounds one attempt to load the initial state, and one load of all documents. Each
+	// call to the table within it has a timeout of its own; large states take long over slow links.
 	loadTimeout = 60 * time.Second
-	// maxRetainedChanges is the number of changes retained for pushes and answers. At 6,000 changes
+	// maxRetainedChanges is the number of changes retained for pushes to other entries and answers
+	// to their requests. At 6,000 changes
 	// a day they cover the last hour.
 	maxRetainedChanges = 256
 )
@@ -43,7 +44,7 @@
 	Self  spread.Member
 	Store *documents.Store
 	View  *fleet.View
-	// Apply is called with each state before other entries are told that it is in force here; calls
+	// Apply is called with each state before other entries are told that it is active here; calls
 	// do not overlap.
 	Apply func(*documents.State)
 	Log   zerolog.Logger
@@ -55,12 +56,12 @@
 	log    zerolog.Logger
 	state  atomic.Pointer[documents.State]
 
-	mu            sync.Mutex
-	node          *spread.Node
-	changes       []documents.Change
-	stateAssembly *assembly
-	members       int
-	startRequest  startRequest
+	mu             sync.Mutex
+	machine        *spread.Node
+	changes        []documents.Change
+	stateAssembly  *assembly
+	memberCount    int
+	startupRequest startupRequest
 	// changed is closed and replaced after every event, such as an acknowledgement.
 	changed chan struct{}
 
@@ -68,15 +69,15 @@
 	loading   atomic.Bool
 	ready     atomic.Bool
 	lastEvent atomic.Int64
-	started   time.Time
+	startedAt time.Time
 }
 
 // New returns a Manager without a state; Run obtains one.
 func New(config Config) *Manager {
-	return &Manager{config: config, log: config.Log, changed: make(chan struct{}), started: time.Now()}
+	return &Manager{config: config, log: config.Log, changed: make(chan struct{}), startedAt: time.Now()}
 }
 
-// State returns the state in force, or the empty state if there is none yet.
+// State returns the active state, or the empty state if there is none yet.
 func (m *Manager) State() *documents.State {
 	if state := m.state.Load(); state != nil {
 		return state
@@ -84,16 +85,17 @@
 	return documents.Empty()
 }
 
-// Ready reports whether requests may be admitted under the state in force. It takes no lock
+// Ready reports whether requests may be admitted under the active state. A process that was paused
+// for longer than MaxPause is not ready, because its state may be outdated. Ready takes no lock
 // because every request calls it.
 func (m *Manager) Ready() bool {
-	sinceLastEvent := time.Since(m.started) - time.Duration(m.lastEvent.Load())
+	sinceLastEvent := time.Since(m.startedAt) - time.Duration(m.lastEvent.Load())
 	return m.ready.Load() && sinceLastEvent <= spread.DefaultConfig(m.config.Self).MaxPause
 }
 
 // Run keeps the state up to date until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
-	if !m.start(ctx) {
+	if !m.loadInitialState(ctx) {
 		return
 	}
 	tick := time.NewTicker(tickInterval)
@@ -108,45 +110,46 @@
 		case <-members.C:
 			m.setMembers(ctx)
 		case <-tick.C:
-			m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.node.Tick(now) })
+			m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.machine.Tick(now) })
 		}
 	}
 }
 
-// start obtains the initial state: from the table or, while the table is unavailable, from the
-// object store or a peer.
-func (m *Manager) start(ctx context.Context) bool {
+// loadInitialState loads and activates the initial state: from the table or, while the table is unavailable, from the
+// object store or a peer. It returns false if ctx ends first.
+func (m *Manager) loadInitialState(ctx context.Context) bool {
 	for {
-		started, err := m.tryStart(ctx)
+		initial, err := m.tryLoadInitialState(ctx)
 		if err == nil {
-			m.begin(started)
+			m.activateInitialState(initial)
 			return true
 		}
 		m.log.Warn().Err(err).Msg("no state of the documents could be read yet")
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(startRetryInterval):
+		case <-time.After(startupRetryInterval):
 		}
 	}
 }
 
-func (m *Manager) tryStart(ctx context.Context) (documents.StartResult, error) {
+func (m *Manager) tryLoadInitialState(ctx context.Context) (documents.StartResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	return m.config.Store.Start(ctx, m.stateFromPeer)
 }
 
-func (m *Manager) begin(started documents.StartResult) {
+// activateInitialState creates the state machine and activates the initial state.
+func (m *Manager) activateInitialState(initial documents.StartResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	m.node = spread.New(spread.DefaultConfig(m.config.Self), now, started.State.Revision(), started.Confirmed)
-	m.activate(started.State)
+	m.machine = spread.New(spread.DefaultConfig(m.config.Self), now, initial.State.Revision(), initial.Confirmed)
+	m.activate(initial.State)
 	m.afterEvent(now)
 }
 
-// activate puts a state in force. It is called with mu held.
+// activate makes a state the active one. It is called with mu held.
 func (m *Manager) activate(state *documents.State) {
 	m.config.Apply(state)
 	m.state.Store(state)
@@ -158,19 +161,19 @@
 		members = append(members, spread.Member{ID: spread.NodeID(entry.ID), Zone: entry.Zone})
 	}
 	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
-		m.members = len(members)
-		return m.node.SetMembers(now, members)
+		m.memberCount = len(members)
+		return m.machine.SetMembers(now, members)
 	})
 }
 
-// update is the content of an event: changes that follow the state in force, or a full state.
+// update is the content of an event: changes that follow the active state, or a full state.
 type update struct {
 	changes []documents.Change
 	full    *documents.State
 }
 
-// build returns the state after the update, or the state in force if the update is not newer. It
-// returns nil if the changes of the update do not follow the state in force.
+// build returns the state after the update, or the active state if the update is nil or not newer. It
+// returns nil if the changes of the update do not directly follow the active revision.
 func (m *Manager) build(u *update) *documents.State {
 	current := m.state.Load()
 	if u == nil {
@@ -200,11 +203,12 @@
 }
 
 // handleEvent passes one event to the state machine and carries out the resulting actions. The
-// state is built first, so that the state machine never counts a revision that could not be
-// built.
+// state is built first, so that the state machine never reports a revision as applied that could
+// not be built. It returns false if there is no initial state yet or the state could not be built;
+// the event is dropped in this case.
 func (m *Manager) handleEvent(ctx context.Context, u *update, handle func(now time.Time) []spread.Action) bool {
 	m.mu.Lock()
-	if m.node == nil {
+	if m.machine == nil {
 		m.mu.Unlock()
 		return false
 	}
@@ -215,7 +219,7 @@
 	}
 	now := time.Now()
 	actions := handle(now)
-	if next.Revision() > m.state.Load().Revision() && m.node.Revision() >= next.Revision() {
+	if next.Revision() > m.state.Load().Revision() && m.machine.Revision() >= next.Revision() {
 		m.retainChanges(u)
 		m.activate(next)
 	}
@@ -230,13 +234,14 @@
 
 // afterEvent updates the readiness and wakes waiting goroutines. It is called with mu held.
 func (m *Manager) afterEvent(now time.Time) {
-	m.ready.Store(m.node.Ready(now))
-	m.lastEvent.Store(int64(now.Sub(m.started)))
+	m.ready.Store(m.machine.Ready(now))
+	m.lastEvent.Store(int64(now.Sub(m.startedAt)))
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// retainChanges retains the changes of an update for pushes and answers. It is called with mu held.
+// retainChanges retains the changes of an update for pushes and answers to other entries. A full state
+// makes the retained changes unusable, so they are dropped. It is called with mu held.
 func (m *Manager) retainChanges(u *update) {
 	if u.full != nil {
 		m.changes = nil
@@ -249,7 +254,7 @@
 }
 
 // encodeChangesSince returns the encoded changes after one revision up to another, or nil if they
-// are not all retained or too large for a message. It is called with mu held.
+// are not all retained or are too large for a message. It is called with mu held.
 func (m *Manager) encodeChangesSince(after, revision document.Revision) []byte {
 	changes := changesAfter(m.changes, after)
 	if len(changes) == 0 || changes[0].Revision != after+1 {
@@ -272,5 +277,5 @@
 func (m *Manager) Members() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.members
+	return m.memberCount
 }
--- a/entry/config/messages.go
+++ b/entry/config/messages.go
@@ -44,13 +44,15 @@
 	}
 	changes, err := decodeChanges(a.Changes)
 	u := &update{changes: changes}
+	// A push whose After equals its Revision covers no changes. It only asks which entries have
+	// applied the revision; see WaitApplied.
 	usable := len(changes) > 0 || push.After == push.Revision
-	if err == nil && usable && m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.node.HandlePush(now, push) }) {
+	if err == nil && usable && m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.machine.HandlePush(now, push) }) {
 		return
 	}
 	// Without usable changes the push still says that the revision exists.
 	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
-		return m.node.ObserveRevision(now, from, push.Revision, push.Revision)
+		return m.machine.ObserveRevision(now, from, push.Revision, push.Revision)
 	})
 }
 
@@ -69,7 +71,7 @@
 		nodes = append(nodes, spread.NodeID(node))
 	}
 	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
-		return m.node.HandleAck(now, spread.NodeID(a.Root), document.Revision(a.Revision), nodes)
+		return m.machine.HandleAck(now, spread.NodeID(a.Root), document.Revision(a.Revision), nodes)
 	})
 }
 
@@ -80,7 +82,7 @@
 		return
 	}
 	m.handleEvent(context.Background(), nil, func(now time.Time) []spread.Action {
-		return m.node.ObserveRevision(now, spread.NodeID(from), document.Revision(highest), 0)
+		return m.machine.ObserveRevision(now, spread.NodeID(from), document.Revision(highest), 0)
 	})
 }
 
@@ -90,7 +92,7 @@
 // onRequest answers a peer with the changes that it lacks, or with the full state.
 func (m *Manager) onRequest(_ context.Context, c *link.Conn, a *link.ConfigRequest) {
 	m.mu.Lock()
-	if m.node == nil {
+	if m.machine == nil {
 		m.mu.Unlock()
 		return
 	}
@@ -99,7 +101,7 @@
 		Nonce:    a.Nonce,
 		After:    a.After,
 		Revision: uint64(state.Revision()),
-		Highest:  uint64(m.node.HighestSeen()),
+		Highest:  uint64(m.machine.HighestSeen()),
 		Parts:    1,
 	}
 	current := a.After == answer.Revision
@@ -148,10 +150,10 @@
 	case a.Parts > 1 || a.After == 0 && len(a.Changes) > 0:
 		data := m.assemble(a)
 		if data == nil {
-			m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.node.HandlePartialAnswer(now, a.Nonce) })
+			m.handleEvent(ctx, nil, func(now time.Time) []spread.Action { return m.machine.HandlePartialAnswer(now, a.Nonce) })
 			return
 		}
-		if m.deliverStartState(a.Nonce, data) {
+		if m.deliverStartupState(a.Nonce, data) {
 			return
 		}
 		full, err := documents.Decode(data)
@@ -175,7 +177,7 @@
 		Revision: document.Revision(a.Revision),
 		Highest:  document.Revision(a.Highest),
 	}
-	m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.node.HandleAnswer(now, answer) })
+	m.handleEvent(ctx, u, func(now time.Time) []spread.Action { return m.machine.HandleAnswer(now, answer) })
 }
 
 // assemble adds a part, and returns the complete data once all parts have arrived.
@@ -195,8 +197,8 @@
 		m.stateAssembly.parts[a.Part] = a.Changes
 		m.stateAssembly.received++
 	}
-	if a.Nonce == m.startRequest.nonce {
-		m.startRequest.partReceived()
+	if a.Nonce == m.startupRequest.nonce {
+		m.startupRequest.partReceived()
 	}
 	if m.stateAssembly.received < a.Parts {
 		return nil
@@ -207,25 +209,26 @@
 }
 
 // expects reports whether a part belongs to the request whose answer is being assembled or to a
-// later one. Parts of an answer that was given up may still arrive between those of the next. It
-// is called with mu held.
+// later one. A part with a lower nonce belongs to an abandoned request, because the nonces of
+// core/spread increase. Startup nonces are random, so one must equal that of the pending startup
+// request. It is called with mu held.
 func (m *Manager) expects(nonce uint64) bool {
-	if nonce&startNonceBit != 0 {
-		return nonce == m.startRequest.nonce
+	if nonce&startupNonceBit != 0 {
+		return nonce == m.startupRequest.nonce
 	}
-	return m.stateAssembly == nil || m.stateAssembly.nonce&startNonceBit != 0 || nonce >= m.stateAssembly.nonce
+	return m.stateAssembly == nil || m.stateAssembly.nonce&startupNonceBit != 0 || nonce >= m.stateAssembly.nonce
 }
 
 // requestState requests the full state of one entry. The timeout bounds the time between two parts
 // of the answer, not the time of the complete answer, so that a large state can arrive over a slow
 // link.
 func (m *Manager) requestState(ctx context.Context, c *link.Conn) ([]byte, error) {
-	nonce := rand.Uint64() | startNonceBit
+	nonce := rand.Uint64() | startupNonceBit
 	answer := make(chan []byte, 1)
 	timer := time.NewTimer(pollTimeout)
 	defer timer.Stop()
 	m.mu.Lock()
-	m.startRequest = startRequest{nonce: nonce, answer: answer, partReceived: func() { timer.Reset(pollTimeout) }}
+	m.startupRequest = startupRequest{nonce: nonce, answer: answer, partReceived: func() { timer.Reset(pollTimeout) }}
 	m.mu.Unlock()
 	if err := c.Send(&link.ConfigRequest{Nonce: nonce}); err != nil {
 		return nil, err
@@ -240,28 +243,28 @@
 	}
 }
 
-// startNonceBit marks the nonces of requests made at the start, before core/spread is running.
-const startNonceBit = 1 << 63
+// startupNonceBit marks the nonces of requests made at startup, before core/spread is running.
+const startupNonceBit = 1 << 63
 
-// startRequest is the pending request of the start for a full state.
-type startRequest struct {
+// startupRequest is the pending request for a full state at startup.
+type startupRequest struct {
 	nonce  uint64
 	answer chan []byte
 	// partReceived is called for each part of the answer.
 	partReceived func()
 }
 
-// deliverStartState passes a full state to the start that requested it, and reports whether the
-// nonce belongs to a request of a start.
-func (m *Manager) deliverStartState(nonce uint64, data []byte) bool {
+// deliverStartupState passes a full state to the pending startup request if that has the nonce, and
+// reports whether the nonce belongs to any startup request.
+func (m *Manager) deliverStartupState(nonce uint64, data []byte) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if nonce&startNonceBit == 0 {
+	if nonce&startupNonceBit == 0 {
 		return false
 	}
-	if m.startRequest.nonce == nonce {
-		m.startRequest.nonce = 0
-		m.startRequest.answer <- data
+	if m.startupRequest.nonce == nonce {
+		m.startupRequest.nonce = 0
+		m.startupRequest.answer <- data
 	}
 	return true
 }
@@ -269,8 +272,8 @@
 // errNoPeer means that there is no known live entry from which to request a state.
 var errNoPeer = errors.New("config: no live entry to ask")
 
-// stateFromPeer requests the full state of live entries in turn, for a start while the platform
-// cannot provide one. It implements documents.Source.
+// stateFromPeer asks the live entries one after another for the full state. It is used at startup
+// while the table is unavailable. It implements documents.Source.
 func (m *Manager) stateFromPeer(ctx context.Context) ([]byte, error) {
 	err := errNoPeer
 	for _, entry := range m.config.View.Entries() {
--- a/entry/config/messages_test.go
+++ b/entry/config/messages_test.go
@@ -131,7 +131,7 @@
 	m.config.Apply = func(*documents.State) {}
 	config.Table = compactedTable{config.Table, pollTimeout * 2 / 5}
 	m.config.Store = documents.New(config)
-	m.begin(documents.StartResult{State: documents.Empty()})
+	m.activateInitialState(documents.StartResult{State: documents.Empty()})
 	m.poll(t.Context(), spread.PollTable{})
 	require.EqualValues(t, 1, m.State().Revision())
 }
