--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -18,7 +18,7 @@
 
 // RoutesUpdate is the result of reading the routes from a source.
 type RoutesUpdate struct {
-	// Value is the newest encoded table, or nil if nothing changed.
+	// Value is the newest encoded routing table, or nil if nothing changed.
 	Value []byte
 	// Cursor is the position from which the next read continues.
 	Cursor uint64
@@ -39,7 +39,7 @@
 type Source interface {
 	Routes(ctx context.Context, after uint64, wait time.Duration) (RoutesUpdate, error)
 	Upstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamsUpdate, error)
-	// Decode builds a table of routes from its encoding. Version reads only its version.
+	// Decode builds a routing table from its encoding. Version reads only its version.
 	Decode(value []byte) (*routes.Table, error)
 	Version(value []byte) (uint64, error)
 }
@@ -51,14 +51,14 @@
 	Wait time.Duration
 	// Upstreams applies the changes of upstreams.
 	Upstreams Upstreams
-	// OnRoutesApplied, if not nil, is called when a table that other entries may lack is applied.
-	// otherZones says that it was read from the source, so that entries of other zones may lack
-	// it too.
+	// OnRoutesApplied, if not nil, is called after a routing table was applied that other entries
+	// may not have yet. otherZones is true if the table was read from the source, in which case
+	// entries of other zones may not have it either.
 	OnRoutesApplied func(otherZones bool)
-	// Role returns the role of this entry for the feeds, and Forward sends the updates that it
-	// reads to other entries. Both are nil for an entry without other entries.
+	// Role returns the role of this entry for the feeds, and Forward sends the updates that the
+	// entry reads to other entries. Both are nil for an entry without other entries.
 	Role    func() follow.Role
-	Forward func(news *link.FeedUpdate)
+	Forward func(update *link.FeedUpdate)
 	Log     zerolog.Logger
 }
 
@@ -66,19 +66,20 @@
 type Upstreams interface {
 	// Apply applies changes; complete says that they list every upstream.
 	Apply(now time.Time, changes []dispatch.Change, complete bool)
-	// RegistryUnavailable records that the source did not answer.
+	// RegistryUnavailable records that the source did not answer, so that removals that follow are
+	// delayed.
 	RegistryUnavailable(now time.Time)
 }
 
-// Keeper maintains the table of routes and the upstreams of one entry. Table may be called from
-// any goroutine.
+// Keeper maintains the routing table and the upstreams of one entry. Its methods other than Run, which
+// is called once, may be called from any goroutine.
 type Keeper struct {
 	config Config
 	table  atomic.Pointer[routes.Table]
 	value  atomic.Pointer[[]byte]
 	// upstreamsRead says that the upstreams were read at least once.
 	upstreamsRead atomic.Bool
-	offers        chan offer
+	received      chan receivedRoutes
 	routes        *feed
 	upstreams     *feed
 	// faults counts the registrations that could not be decoded since faultsLogged.
@@ -86,24 +87,24 @@
 	faultsLogged time.Time
 }
 
-// offer is an encoded table of routes with its origin.
-type offer struct {
+// receivedRoutes is an encoded routing table that has not been applied yet, with its origin.
+type receivedRoutes struct {
 	value []byte
 	from  origin
-	// receivedAt is when the complete table had arrived.
+	// receivedAt is when the complete routing table had arrived.
 	receivedAt time.Time
 }
 
-// origin is the origin of a table of routes, as the log shows it.
+// origin says where a routing table came from; it is logged.
 type origin string
 
-// The origins.
 const (
+	// fromStore is the source.
 	fromStore origin = "store"
 	// fromEntry is a follower that forwards its updates to all entries of its zone.
 	fromEntry origin = "entry"
-	// fetched is another entry from which this one requested the table.
-	fetched origin = "fetched"
+	// fromFetch is another entry from which this one requested the routing table.
+	fromFetch origin = "fetched"
 )
 
 // New returns a Keeper; Run starts it.
@@ -114,17 +115,17 @@
 	if config.Forward == nil {
 		config.Forward = func(*link.FeedUpdate) {}
 	}
-	k := &Keeper{config: config, offers: make(chan offer, 8)}
+	k := &Keeper{config: config, received: make(chan receivedRoutes, 8)}
 	k.routes = k.newFeed(link.FeedRoutes, k.readRoutes, k.applyRoutes)
 	k.routes.appliedVersion, k.routes.outgoing = k.version, k.outgoingRoutes
 	k.upstreams = k.newFeed(link.FeedUpstreams, k.readUpstreams, k.applyUpstreams)
 	return k
 }
 
-// Table returns the table in force, or nil if there is none yet.
+// Table returns the active routing table, or nil if there is none yet.
 func (k *Keeper) Table() *routes.Table { return k.table.Load() }
 
-// version returns the version of the table in force, or zero if there is none yet.
+// version returns the version of the active routing table, or zero if there is none yet.
 func (k *Keeper) version() uint64 {
 	if table := k.Table(); table != nil {
 		return table.Version()
@@ -132,7 +133,7 @@
 	return 0
 }
 
-// Value returns the encoded table in force, or nil.
+// Value returns the encoding of the active routing table, or nil.
 func (k *Keeper) Value() []byte {
 	if value := k.value.Load(); value != nil {
 		return *value
@@ -143,59 +144,61 @@
 // Ready reports whether both routes and upstreams are known.
 func (k *Keeper) Ready() bool { return k.Table() != nil && k.upstreamsRead.Load() }
 
-// Offer queues an encoded table that another entry has in force. It never blocks, and reports
+// Offer queues an encoded routing table that is active at another entry. It never blocks, and reports
 // false if the queue is full.
-func (k *Keeper) Offer(value []byte) bool { return k.offer(offer{value, fetched, time.Now()}) }
+func (k *Keeper) Offer(value []byte) bool {
+	return k.enqueue(receivedRoutes{value, fromFetch, time.Now()})
+}
 
-// offer reports whether the table was queued.
-func (k *Keeper) offer(o offer) bool {
+// enqueue reports whether the routing table was queued.
+func (k *Keeper) enqueue(r receivedRoutes) bool {
 	select {
-	case k.offers <- o:
+	case k.received <- r:
 		return true
 	default:
-		k.config.Log.Warn().Str("from", string(o.from)).Msg("routes dropped: queue full")
+		k.config.Log.Warn().Str("from", string(r.from)).Msg("routes dropped: queue full")
 		return false
 	}
 }
 
 // Run follows the source until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
-	go k.routes.follow(ctx)
-	go k.upstreams.follow(ctx)
+	go k.routes.run(ctx)
+	go k.upstreams.run(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case o := <-k.offers:
-			k.applyOffer(o)
+		case r := <-k.received:
+			k.applyReceived(r)
 		}
 	}
 }
 
-// applyOffer puts a table in force if it is newer than the current one. An older one may arrive
+// applyReceived activates a routing table if it is newer than the active one. An older one may arrive
 // late from another entry or from a slow read of the store; applying it would revert a
 // configuration that callers have already seen.
-func (k *Keeper) applyOffer(o offer) {
-	version, err := k.config.Source.Version(o.value)
+func (k *Keeper) applyReceived(r receivedRoutes) {
+	version, err := k.config.Source.Version(r.value)
 	if err == nil && version <= k.version() {
-		return // Several entries offer the same table; decoding a large one again is slow.
+		return // Several entries offer the same routing table; decoding a large one again is slow.
 	}
-	next, err := k.config.Source.Decode(o.value)
+	next, err := k.config.Source.Decode(r.value)
 	if err != nil {
-		k.config.Log.Error().Err(err).Str("from", string(o.from)).Msg("routes could not be decoded; the last ones stay in force")
+		k.config.Log.Error().Err(err).Str("from", string(r.from)).Msg("routes could not be decoded; the last ones stay in force")
 		return
 	}
 	if next.Version() <= k.version() {
 		return
 	}
-	k.value.Store(&o.value)
+	k.value.Store(&r.value)
 	k.table.Store(next)
-	k.config.Log.Info().Uint64("version", next.Version()).Str("from", string(o.from)).
-		Int("routes", next.Len()).Int("bytes", len(o.value)).Int64("took_ms", time.Since(o.receivedAt).Milliseconds()).
+	k.config.Log.Info().Uint64("version", next.Version()).Str("from", string(r.from)).
+		Int("routes", next.Len()).Int("bytes", len(r.value)).Int64("took_ms", time.Since(r.receivedAt).Milliseconds()).
 		Msg("routes in force")
-	k.routes.wake() // The feed may wait for this table.
-	if k.config.OnRoutesApplied != nil && o.from != fromEntry {
-		k.config.OnRoutesApplied(o.from == fromStore)
+	k.routes.wake() // The feed may wait for this routing table.
+	if k.config.OnRoutesApplied != nil && r.from != fromEntry {
+		k.config.OnRoutesApplied(r.from == fromStore)
 	}
 }
 
@@ -236,13 +239,14 @@
 	return k.upstreams.readsFailed.Load()
 }
 
-// maxRoutesBytes is the size up to which a table of routes is part of the forwarded update. Each
+// maxRoutesBytes is the size up to which a routing table is part of the forwarded update. Each
 // follower would send a larger one to all entries of its zone at once, so they fetch it instead.
 const maxRoutesBytes = 32 << 10
 
-// outgoingRoutes returns an update of the routes in the form in which it is forwarded.
+// outgoingRoutes returns the update to forward: without the content of a full read, and with only the
+// version of a routing table larger than maxRoutesBytes.
 func (k *Keeper) outgoingRoutes(update *link.FeedUpdate) *link.FeedUpdate {
-	outgoing := omitFullRead(update)
+	outgoing := withoutFullContent(update)
 	if len(outgoing.Routes) > maxRoutesBytes {
 		version, err := k.config.Source.Version(outgoing.Routes)
 		if err != nil {
@@ -259,7 +263,7 @@
 }
 
 func (k *Keeper) applyRoutes(now time.Time, update *link.FeedUpdate, from origin) bool {
-	return len(update.Routes) == 0 || k.offer(offer{update.Routes, from, now})
+	return len(update.Routes) == 0 || k.enqueue(receivedRoutes{update.Routes, from, now})
 }
 
 func (k *Keeper) readUpstreams(ctx context.Context, after follow.Position, wait time.Duration) (*link.FeedUpdate, error) {
@@ -274,8 +278,9 @@
 
 func (k *Keeper) applyUpstreams(now time.Time, update *link.FeedUpdate, from origin) bool {
 	if from == fromEntry && update.Recovered {
-		// Registrations lapse while the store is unavailable, so a listener must distrust the
-		// removals that follow an outage too, not only the entry that observed it.
+		// Registrations expire while the source is unavailable, so removals right after the outage
+		// are unconfirmed. Recording the outage delays them at listeners as well as at the follower
+		// that observed it.
 		k.config.Upstreams.RegistryUnavailable(now)
 	}
 	k.config.Upstreams.Apply(now, update.Changes, from == fromStore && update.From == 0)
@@ -288,7 +293,7 @@
 const faultLogInterval = 5 * time.Second
 
 // logFaults logs that registrations could not be decoded, in one line with their number since
-// the last such line. Only the goroutine that follows the upstreams calls it.
+// the last such line. Only the goroutine that reads the feed of upstreams calls it.
 func (k *Keeper) logFaults(now time.Time, faults []error) {
 	if len(faults) == 0 {
 		return
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -133,7 +133,7 @@
 }
 
 // Callers must not see a replaced configuration again: an older table that arrives late, from
-// the store or from another entry, and a table that cannot be decoded are not put in force.
+// the store or from another entry, and a table that cannot be decoded are not applied.
 func TestOlderVersionsAreNotApplied(t *testing.T) {
 	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
 		require.Zero(t, version(k))
@@ -183,8 +183,8 @@
 	})
 }
 
-// A start or a burst of changes, such as one every 40 ms for 4 s, must not cost hundreds of reads of
-// the store, one for each change. The last change is in force well within two seconds, and the
+// Startup or a burst of changes, such as one every 40 ms for 4 s, must not cost hundreds of reads of
+// the store, one for each change. The last change is active well within two seconds, and the
 // first change after a quiet period at once.
 func TestBurstOfChangesIsReadInFewCalls(t *testing.T) {
 	run(t, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams) {
--- a/entry/directory/feed.go
+++ b/entry/directory/feed.go
@@ -17,13 +17,13 @@
 // The pauses between reads.
 const (
 	// minRetryPause is the pause after a first failed read: short, since a configuration must be
-	// in force within seconds. It doubles up to maxRetryPause, so that reads repeated during an
+	// active within seconds. It doubles up to maxRetryPause, so that reads repeated during an
 	// outage do not add to the store's load.
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
 	// minBatchPause is the pause after an update. Changes come in bursts (51 upstreams register
-	// within 2.5 s at a start) and each answered read is billed, so the pause doubles during a
-	// burst up to maxBatchPause, far below the two seconds in which a change must be in force.
+	// within 2.5 s at startup) and each answered read is billed, so the pause doubles during a
+	// burst up to maxBatchPause, far below the two seconds in which a change must be active.
 	minBatchPause = 100 * time.Millisecond
 	maxBatchPause = 500 * time.Millisecond
 )
@@ -35,17 +35,19 @@
 	log    zerolog.Logger
 	// read reads the changes after a position, or everything if it is zero.
 	read func(ctx context.Context, after follow.Position, wait time.Duration) (*link.FeedUpdate, error)
-	// apply puts an update in force; it reports false if it could not be queued.
+	// apply applies an update; it reports false if the update could not be queued.
 	apply func(now time.Time, update *link.FeedUpdate, from origin) bool
-	// outgoing returns an update in the form in which it is forwarded. appliedVersion returns the
-	// content version in force, to compare with the version of content that an update omits; it
-	// is nil for a feed that never omits content.
-	outgoing       func(update *link.FeedUpdate) *link.FeedUpdate
+	// outgoing returns the update to forward for an update that was read, without any content that
+	// is not forwarded.
+	outgoing func(update *link.FeedUpdate) *link.FeedUpdate
+	// appliedVersion returns the version of the active content, to compare with the version of
+	// content that an update omits. It is nil for a feed whose updates omit no content.
 	appliedVersion func() uint64
 	// wakeups holds a value when a listener may have to read.
 	wakeups chan struct{}
 
-	// mu also serialises updates, so that they are applied in the order of their positions.
+	// mu guards state, and serialises updates so that they are applied in the order of their
+	// positions.
 	mu    sync.Mutex
 	state *follow.Feed
 
@@ -54,7 +56,7 @@
 	// readsFailed counts the failed reads of the store.
 	readsFailed atomic.Uint64
 	// failingSince is when reads of the store began to fail; zero while they succeed. Only the
-	// goroutine that runs follow uses it.
+	// goroutine of run uses it.
 	failingSince time.Time
 }
 
@@ -63,15 +65,16 @@
 ) *feed {
 	return &feed{
 		name: name, config: &k.config, log: k.config.Log.With().Stringer("feed", name).Logger(),
-		read: read, apply: apply, outgoing: omitFullRead, state: follow.NewFeed(), wakeups: make(chan struct{}, 1),
+		read: read, apply: apply, outgoing: withoutFullContent, state: follow.NewFeed(), wakeups: make(chan struct{}, 1),
 	}
 }
 
-// follow reads the feed continuously while this entry has to read it, and listens otherwise.
+// run reads the feed continuously while this entry has to read it, and listens otherwise.
 // After a failure it continues from the same position, or from the beginning if the source no
 // longer has the changes after it.
-func (f *feed) follow(ctx context.Context) {
-	// A start counts as a burst: upstreams register, and followers are not linked yet.
+func (f *feed) run(ctx context.Context) {
+	// At startup the batch pause begins at its maximum, as in a burst: upstreams register, and
+	// followers are not linked yet.
 	retryPause, batchPause := minRetryPause, maxBatchPause
 	paused := time.Duration(0)
 	for ctx.Err() == nil {
@@ -124,8 +127,8 @@
 	return true
 }
 
-// recordApplied records the content version in force, which may have arrived by another path than
-// the feed. It is called with mu held.
+// recordApplied records the version of the active content, which may have arrived by another path
+// than the feed. It is called with mu held.
 func (f *feed) recordApplied() {
 	if f.appliedVersion != nil {
 		f.state.ContentApplied(f.appliedVersion())
@@ -143,8 +146,8 @@
 	}
 }
 
-// readOnce reads the feed once, puts the update in force and, as a follower, forwards it. It
-// reports whether anything changed. paused is the time since the last read.
+// readOnce reads the feed once, applies the update and, as a follower, forwards it. It reports whether
+// anything changed. paused is the batch pause before this read, or zero if there was none.
 func (f *feed) readOnce(ctx context.Context, role follow.Role, paused time.Duration) (bool, error) {
 	wait := f.config.Wait
 	if role != follow.Standalone {
@@ -178,9 +181,9 @@
 	return update.To != update.From, nil
 }
 
-// omitFullRead returns an update in the form in which it is forwarded. A read from the beginning
-// lists the present state and cannot say what was removed, so only its position is forwarded.
-func omitFullRead(update *link.FeedUpdate) *link.FeedUpdate {
+// withoutFullContent returns the update to forward. A read from the beginning lists the present state
+// and cannot say what was removed, so only its position is forwarded.
+func withoutFullContent(update *link.FeedUpdate) *link.FeedUpdate {
 	outgoing := *update
 	if update.From == 0 {
 		outgoing.From, outgoing.Routes, outgoing.Changes = update.To, nil, nil
@@ -215,10 +218,10 @@
 		f.wake()
 		return
 	}
-	fresh := f.state.HandleUpdate(now, follower, follow.Position(update.From), follow.Position(update.To))
+	apply := f.state.HandleUpdate(now, follower, follow.Position(update.From), follow.Position(update.To))
 	version := update.OmittedVersion()
 	switch {
-	case !fresh:
+	case !apply:
 	case version > 0 && f.appliedVersion != nil:
 		f.state.ExpectContent(now, version)
 		f.recordApplied()
--- a/entry/directory/feed_test.go
+++ b/entry/directory/feed_test.go
@@ -66,6 +66,8 @@
 	return update
 }
 
+// Listeners must not miss a change: a follower forwards each update with the positions between which it
+// has read, so that a listener can detect a gap.
 func TestFollowerForwardsUpdates(t *testing.T) {
 	runInRole(t, follow.Follower, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
 		time.Sleep(minBatchPause)
@@ -96,6 +98,9 @@
 	})
 }
 
+// A follower forwards one failure when its reads begin to fail, so that listeners read the store
+// themselves, and one recovery when they succeed again, so that listeners delay the removals after the
+// outage. Repeated failures need not be forwarded.
 func TestFollowerForwardsFailureAndRecoveryOfTheStore(t *testing.T) {
 	runInRole(t, follow.Follower, func(t *testing.T, _ *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
 		time.Sleep(minBatchPause)
@@ -103,17 +108,17 @@
 		s.routes <- answer{err: table.ErrUnavailable}
 		s.routes <- answer{version: 2, cursor: 12}
 		synctest.Wait()
-		var lost, returned int
+		var failures, recoveries int
 		for _, update := range recorder.all() {
 			if update.ReadFailed {
-				lost++
+				failures++
 			}
 			if update.Recovered {
-				returned++
+				recoveries++
 			}
 		}
-		require.Equal(t, 1, lost)
-		require.Equal(t, 1, returned)
+		require.Equal(t, 1, failures)
+		require.Equal(t, 1, recoveries)
 	})
 }
 
@@ -127,6 +132,8 @@
 	synctest.Wait()
 }
 
+// The store must not be read by every entry: a listener applies the updates of its follower and does not
+// read while they arrive.
 func TestListenerAppliesForwardedUpdatesWithoutReading(t *testing.T) {
 	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, u *recordedUpstreams, _ *forwardRecorder) {
 		startListening(k, t)
@@ -157,12 +164,12 @@
 	})
 }
 
-// A listener must not keep an old configuration when the follower fails to read the store, its
-// link ends, an update was missed or its content is too large to be forwarded: it reads at once.
+// A listener must not keep an old configuration if the follower's read fails, the follower's link ends,
+// an update was missed or the routes are too large to be forwarded: the listener reads at once.
 func TestListenerReadsAtOnceWhenUpdatesAreMissing(t *testing.T) {
 	for name, event := range map[string]func(k *Keeper){
 		"the follower's read fails": func(k *Keeper) { k.HandleUpdate("a", &link.FeedUpdate{Feed: link.FeedRoutes, ReadFailed: true}) },
-		"its link ends":             func(k *Keeper) { k.DropFollower("a") },
+		"the link ends":             func(k *Keeper) { k.DropFollower("a") },
 		"the routes are too large": func(k *Keeper) {
 			k.HandleUpdate("a", &link.FeedUpdate{Feed: link.FeedRoutes, From: 10, To: 20, Omitted: true})
 		},
@@ -182,10 +189,10 @@
 	}
 }
 
-// Requests must not be refused for lack of upstreams when the store recovers: registrations lapse
-// during the outage, and a listener that receives their removal from its follower must distrust
-// it as the follower does.
-func TestListenerDistrustsRemovalsWhenTheStoreRecovers(t *testing.T) {
+// Requests must not be refused for lack of upstreams when the store recovers: registrations expire
+// during the outage, and a listener that receives their removal from its follower must treat it as
+// unconfirmed, as the follower does.
+func TestListenerRecordsOutageWhenTheStoreRecovers(t *testing.T) {
 	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, _ *scriptedSource, u *recordedUpstreams, _ *forwardRecorder) {
 		startListening(k, t)
 		before := u.unavailable
@@ -194,8 +201,9 @@
 	})
 }
 
-// An entry must not keep an old configuration until the next change because tables arrive faster
-// than they are decoded and one is dropped: the feed is read again from before it.
+// An entry must not keep an old configuration until the next change because routing tables arrive
+// faster than they are decoded and one is dropped: the feed is read again from the position before the
+// dropped table.
 func TestDroppedRoutesAreReadAgain(t *testing.T) {
 	runInRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
 		synctest.Wait()
@@ -215,6 +223,8 @@
 	})
 }
 
+// A listener that becomes a follower, because the previous follower's link has ended, must read the store
+// and forward what it reads; otherwise the zone would receive no updates.
 func TestListenerReadsWhenItBecomesFollower(t *testing.T) {
 	runInRole(t, follow.Listener, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
 		startListening(k, t)
@@ -232,6 +242,8 @@
 	return append([]byte(strconv.Itoa(version)), bytes.Repeat([]byte(" "), maxRoutesBytes)...)
 }
 
+// A large routing table must not be sent to all entries of the zone by each follower: only its version
+// is forwarded, or no version if the routes cannot be decoded.
 func TestLargeRoutesAreForwardedAsVersionOnly(t *testing.T) {
 	k := New(Config{Source: newSource(), Log: zerolog.Nop()})
 	update := &link.FeedUpdate{Feed: link.FeedRoutes, From: 3, To: 4, Routes: largeRoutes(12)}
@@ -243,7 +255,7 @@
 	require.Equal(t, largeRoutes(12), update.Routes, "the update itself is unchanged")
 
 	outgoing = k.outgoingRoutes(&link.FeedUpdate{Feed: link.FeedRoutes, From: 3, To: 4, Routes: bytes.Repeat([]byte("x"), maxRoutesBytes+1)})
-	require.Equal(t, &link.FeedUpdate{Feed: link.FeedRoutes, From: 3, To: 4, Omitted: true}, outgoing, "without a version that cannot be read")
+	require.Equal(t, &link.FeedUpdate{Feed: link.FeedRoutes, From: 3, To: 4, Omitted: true}, outgoing, "no version if the routes cannot be decoded")
 }
 
 // omittedRoutes returns a follower's update about a table that is too large to be forwarded.
@@ -272,7 +284,7 @@
 }
 
 // A change must not be lost because other entries were expected to offer it and do not: the
-// listener reads the feed itself from before the change.
+// listener reads the feed itself, from the position before the change.
 func TestListenerReadsLargeRoutesThatDoNotArrive(t *testing.T) {
 	for name, then := range map[string]func(k *Keeper, recorder *forwardRecorder){
 		"and nothing else comes":   func(*Keeper, *forwardRecorder) {},
@@ -294,7 +306,7 @@
 				s.routes <- answer{version: 9, cursor: 30}
 				require.Equal(t, uint64(9), version(k))
 				require.LessOrEqual(t, time.Since(began), follow.ContentTimeout)
-				require.Equal(t, uint64(10), s.reads()[len(s.reads())-1], "from before the change")
+				require.Equal(t, uint64(10), s.reads()[len(s.reads())-1], "from the position before the change")
 			})
 		})
 	}
