--- a/entry/command/document.go
+++ b/entry/command/document.go
@@ -20,7 +20,7 @@
 type operatorOptions struct {
 	*environment `no-flag:"true"`
 	Operator     string `long:"operator" value-name:"URL" env:"ACACIACLEAT_OPERATOR" default:"http://127.0.0.1:8081" description:"an entry's address for operators"`
-	CAFile       string `long:"ca-file" value-name:"FILE" description:"certificates to trust beside the system's, in PEM"`
+	CAFile       string `long:"ca-file" value-name:"FILE" description:"certificates to trust in addition to the system's, in PEM"`
 }
 
 func (o *operatorOptions) client() (*operator.Client, error) {
@@ -40,10 +40,10 @@
 	commandline.MustAdd(group, "list", "List the documents", "Lists the documents of all services.", &listCommand{operatorOptions: options})
 	commandline.MustAdd(group, "get", "Print a document", "Prints the document of a service.", &getCommand{operatorOptions: options})
 	commandline.MustAdd(group, "put", "Store a document",
-		"Shows the differences to the document that stands and stores the new one, unless another operator changed it meanwhile.",
+		"Shows the differences from the stored document and stores the new one, unless another operator changed it meanwhile.",
 		&putCommand{operatorOptions: options})
 	commandline.MustAdd(group, "diff", "Compare a document", "Shows what put would change.", &diffCommand{operatorOptions: options})
-	commandline.MustAdd(group, "status", "Tell where a document is in force", "Tells where the document of a service is in force.",
+	commandline.MustAdd(group, "status", "Show the rollout of a document", "Shows the revision that the entry applies and which live entries have not applied it yet.",
 		&statusCommand{operatorOptions: options})
 	commandline.MustAdd(group, "history", "Show a document's changes", "Shows the last changes of a document, newest first.",
 		&historyCommand{operatorOptions: options})
@@ -103,7 +103,7 @@
 	return c.printJSON(service)
 }
 
-// statusCommand prints at which entries a document is in force.
+// statusCommand prints the revision that the entry applies and which live entries have not applied it.
 type statusCommand struct {
 	operatorOptions
 	Args serviceArg `positional-args:"true"`
--- a/entry/command/document_test.go
+++ b/entry/command/document_test.go
@@ -99,7 +99,7 @@
 	}{
 		{"all faults", "parts", faulty, "", http.StatusBadRequest, `"path":"$.nonRepeatable[0].path"`},
 		{"other name", "jobs", sound, "", http.StatusBadRequest, "as in the path"},
-		{"nothing stands", "parts", sound, `"7"`, http.StatusPreconditionFailed, `"current":""`},
+		{"no stored document", "parts", sound, `"7"`, http.StatusPreconditionFailed, `"current":""`},
 		{"new", "parts", sound, "", http.StatusOK, `"outcome": "accepted"`},
 		{"repeated", "parts", sound, "", http.StatusOK, `"revision": 1`},
 		{"no base", "parts", strings.Replace(sound, "POST", "PUT", 1), "", http.StatusPreconditionFailed, `"diff":[`},
--- a/entry/command/put.go
+++ b/entry/command/put.go
@@ -39,7 +39,7 @@
 		fmt.Fprintf(o.stdout, "%s: no differences\n", desired.Name)
 		return c, nil
 	}
-	fmt.Fprintf(o.stdout, "%s: changes to the document that stands, ETag %s\n", desired.Name, orNone(tag))
+	fmt.Fprintf(o.stdout, "%s: changes to the stored document, ETag %s\n", desired.Name, orNone(tag))
 	printDiff(o.stdout, c.diff)
 	return c, nil
 }
@@ -66,7 +66,7 @@
 // putCommand stores a document.
 type putCommand struct {
 	operatorOptions
-	IfMatch string  `long:"if-match" value-name:"ETAG" description:"ETag of the document that the file is based on; default: of the one that stands now"`
+	IfMatch string  `long:"if-match" value-name:"ETAG" description:"ETag of the document that the file is based on; default: of the stored document"`
 	Args    fileArg `positional-args:"true"`
 }
 
@@ -109,7 +109,7 @@
 		fmt.Fprintln(c.stderr, fault)
 	}
 	if problem.Conflict != nil {
-		fmt.Fprintf(c.stderr, "changed meanwhile; from the document that stands now, ETag %s, to yours:\n", orNone(problem.Conflict.Current))
+		fmt.Fprintf(c.stderr, "changed meanwhile; from the stored document, ETag %s, to yours:\n", orNone(problem.Conflict.Current))
 		printDiff(c.stderr, problem.Conflict.Diff)
 	}
 	return err
--- a/entry/command/serve_test.go
+++ b/entry/command/serve_test.go
@@ -265,7 +265,7 @@
 
 // Requests must not fail during a graceful shutdown although other entries are available: the load
 // balancer sends requests until it next polls /readyz, so a draining entry accepts them, and a
-// revision that comes into force meanwhile does not make it ready again.
+// revision that is applied meanwhile does not make it ready again.
 func TestDrainAcceptsRequestsUntilTheBalancerNotices(t *testing.T) {
 	f := newFleet(t)
 	text := fmt.Sprintf(entryText, "entry-1", f.platform())
--- a/entry/operator/documents.go
+++ b/entry/operator/documents.go
@@ -17,25 +17,27 @@
 	"github.com/pkg/errors"
 )
 
-// ActiveDocuments provides the documents in force and tracks at which entries a revision is in force.
+// ActiveDocuments provides the active documents and tracks which entries have applied a revision.
 type ActiveDocuments interface {
-	// State returns the state in force at this entry.
+	// State returns the active state of this entry.
 	State() *documents.State
-	// Refresh puts the newest revision in force at this entry.
+	// Refresh activates the newest revision at this entry.
 	Refresh(ctx context.Context) error
 	// Distribute sends a revision that was stored through this entry to the other entries.
 	Distribute(ctx context.Context, revision document.Revision)
-	// WaitApplied waits until every live entry has the revision in force or ctx ends, and returns
-	// the names of the entries that do not have it.
+	// WaitApplied waits until every live entry has applied the revision or ctx ends, and returns
+	// the names of the entries that have not.
 	WaitApplied(ctx context.Context, revision document.Revision) []string
 }
 
 const (
-	// putTimeout bounds a put, including the attempts to resolve a commit whose answer was lost.
+	// putTimeout bounds a put, including the attempts to resolve a commit whose answer was lost. It
+	// also bounds a read of a document's history.
 	putTimeout = 10 * time.Second
 	// readTimeout bounds the check for a newer revision before a read is answered.
 	readTimeout = 2 * time.Second
-	// applyTimeout bounds the wait for all entries; a change must be in force within 5 s.
+	// applyTimeout bounds the wait for all entries; a change must be active at all entries within
+	// 5 s.
 	applyTimeout = 4 * time.Second
 	// historyLimit is the number of changes shown if the request does not set a limit.
 	historyLimit = 20
@@ -50,8 +52,8 @@
 	h.mux.HandleFunc("GET "+one+api.SuffixHistory, h.documentHistory)
 }
 
-// newestState returns the newest available state. While the table is unavailable this is the state
-// in force at this entry; a put based on it fails if it is outdated.
+// newestState returns the newest available state. While the table is unavailable this is the active
+// state of this entry; a put based on it fails if it is outdated.
 func (h *Handler) newestState(r *http.Request) *documents.State {
 	ctx, cancel := context.WithTimeout(r.Context(), readTimeout)
 	defer cancel()
@@ -149,7 +151,7 @@
 		return
 	}
 	// The put continues if the operator's connection breaks, because its outcome must be known
-	// before this entry accepts another one.
+	// before this entry accepts another put.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), putTimeout)
 	defer cancel()
 	revision, conflict, err := h.config.Store.Put(ctx, service, base)
@@ -163,7 +165,8 @@
 	}
 }
 
-// ifMatch returns the ETag on which a put is based, as Store.Put takes it.
+// ifMatch returns the precondition of a put in the form of Store.Put: an ETag, IfAbsent or IfAny. It
+// reports a failure if the headers are invalid.
 func ifMatch(header http.Header) (string, *result.Error) {
 	tags, none := header.Values(api.HeaderIfMatch), header.Get(api.HeaderIfNoneMatch)
 	switch {
@@ -216,7 +219,7 @@
 	h.writeJSON(w, status, answer)
 }
 
-// missingEntries returns the names of the live entries that do not have the revision in force
+// missingEntries returns the names of the live entries that have not applied the revision
 // within applyTimeout.
 func (h *Handler) missingEntries(ctx context.Context, revision document.Revision) []string {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
@@ -224,7 +227,8 @@
 	return h.config.Documents.WaitApplied(ctx, revision)
 }
 
-// failPut writes an error response that says what is certain about a failed put.
+// failPut writes an error response that says whether the document may have been stored, and lists the
+// document's faults if it was rejected for them.
 func (h *Handler) failPut(w http.ResponseWriter, err error) {
 	var invalid *documents.InvalidError
 	failure := putFailure(err)
--- a/entry/operator/documents_test.go
+++ b/entry/operator/documents_test.go
@@ -90,8 +90,8 @@
 	require.Equal(t, api.PutAnswer{Outcome: api.Recorded, Revision: 1, ETag: `"1"`, Missing: []string{"entry-2"}}, answer)
 }
 
-// The list of missing entries must be encoded as an empty list, not as null, when the document is
-// in force everywhere: an operator's script that counts its elements would fail on null.
+// The list of missing entries must be encoded as an empty list, not as null, when every entry has
+// applied the document: an operator's script that counts its elements would fail on null.
 func TestStatusHasEmptyListWhenNoEntryIsMissing(t *testing.T) {
 	store := documents.New(documents.Config{Table: platform.New(1).Table, Token: documents.NewToken, Now: time.Now})
 	service := &document.Service{Name: "parts", Kind: document.KindPlain}
--- a/entry/operator/operator.go
+++ b/entry/operator/operator.go
@@ -25,7 +25,7 @@
 	Records *record.Ring
 	// Ready reports whether the load balancer should send new requests.
 	Ready func() bool
-	// Store stores the service documents; Documents provides those in force at this entry.
+	// Store stores the service documents; Documents provides the active ones of this entry.
 	Store     *documents.Store
 	Documents ActiveDocuments
 	Quota     *quota.Enforcer
--- a/entry/settings/gateway.go
+++ b/entry/settings/gateway.go
@@ -50,7 +50,7 @@
 	// TimeoutMs is the timeout of a call that does not wait for a change. Default 1000.
 	TimeoutMs int `json:"timeoutMs" validate:"gte=50,lte=60000"`
 	// WaitMs is how long a call waits for a change. A dead connection is noticed only after this
-	// time, so it must be shorter than the time in which a change must be in force. Default
+	// time, so it must be shorter than the time in which a change must be active. Default
 	// 2400.
 	WaitMs int `json:"waitMs" validate:"gte=50,lte=30000"`
 }
