--- a/entry/config/manager.go
+++ b/entry/config/manager.go
@@ -34,8 +34,7 @@
 	// call to the table within it has a timeout of its own; large states take long over slow links.
 	loadTimeout = 60 * time.Second
 	// maxRetainedChanges is the number of changes retained for pushes to other entries and answers
-	// to their requests. At 6,000 changes
-	// a day they cover the last hour.
+	// to their requests. At 6,000 changes a day they cover the last hour.
 	maxRetainedChanges = 256
 )
 
@@ -115,8 +114,8 @@
 	}
 }
 
-// loadInitialState loads and activates the initial state: from the table or, while the table is unavailable, from the
-// object store or a peer. It returns false if ctx ends first.
+// loadInitialState loads and activates the initial state: from the table or, while the table is
+// unavailable, from the object store or a peer. It returns false if ctx ends first.
 func (m *Manager) loadInitialState(ctx context.Context) bool {
 	for {
 		initial, err := m.tryLoadInitialState(ctx)
--- a/peers/documents/documents.go
+++ b/peers/documents/documents.go
@@ -2,8 +2,8 @@
 //
 // A single increasing revision numbers the states of the whole store. A change is one transaction on
 // the condition that the head row has not changed. It writes the head row, the rows of the changed
-// service and one row of the change log. Hence two concurrent changes can't get the same revision, and no
-// reader sees a partial change.
+// service and one row of the change log. Hence two concurrent changes can't get the same
+// revision, and no reader sees a partial change.
 package documents
 
 import (
--- a/peers/httpjson/httpjson.go
+++ b/peers/httpjson/httpjson.go
@@ -1,6 +1,6 @@
 // Package httpjson is the HTTP client shared by the adapters of the platform's services. It
-// limits the time without transferred bytes and the answer size of each call, reports whether a failed call may have
-// reached the service, and replaces its connections after a timeout.
+// limits the time without transferred bytes and the answer size of each call, reports whether a
+// failed call may have reached the service, and replaces its connections after a timeout.
 package httpjson
 
 import (
--- a/peers/link/conn.go
+++ b/peers/link/conn.go
@@ -122,8 +122,8 @@
 }
 
 // Refresh ensures that the last stamp was received at most maxAge ago. If it is older, Refresh sends
-// a ping and waits for the answer. An agent refuses offers with an old stamp, and on an idle link the last stamp may
-// be a minute old.
+// a ping and waits for the answer. An agent refuses offers with an old stamp, and on an idle link the
+// last stamp may be a minute old.
 func (c *Conn) Refresh(ctx context.Context, maxAge time.Duration) error {
 	if time.Duration(c.node.sinceStart()-c.stampAt.Load()) <= maxAge {
 		return nil
