--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -144,9 +144,9 @@
 // Ready reports whether both routes and upstreams are known.
 func (k *Keeper) Ready() bool { return k.Table() != nil && k.upstreamsRead.Load() }
 
-// Offer queues an encoded routing table that is active at another entry. It never blocks, and reports
-// false if the queue is full.
-func (k *Keeper) Offer(value []byte) bool {
+// EnqueueRoutes queues an encoded routing table that is active at another entry. It never blocks,
+// and reports false if the queue is full.
+func (k *Keeper) EnqueueRoutes(value []byte) bool {
 	return k.enqueue(receivedRoutes{value, fromFetch, time.Now()})
 }
 
@@ -220,8 +220,8 @@
 	k.upstreams.dropFollower(entry)
 }
 
-// Listening returns the number of feeds that other entries read for this one.
-func (k *Keeper) Listening() int {
+// ListeningFeeds returns the number of feeds that other entries read for this one.
+func (k *Keeper) ListeningFeeds() int {
 	n := 0
 	for _, f := range []*feed{k.routes, k.upstreams} {
 		if f.listening.Load() {
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -139,13 +139,13 @@
 		require.Zero(t, version(k))
 		s.routes <- answer{version: 5, cursor: 10}
 		require.Equal(t, uint64(5), version(k))
-		k.Offer([]byte("4"))
+		k.EnqueueRoutes([]byte("4"))
 		require.Equal(t, uint64(5), version(k))
-		k.Offer([]byte("7"))
+		k.EnqueueRoutes([]byte("7"))
 		require.Equal(t, uint64(7), version(k))
 		s.routes <- answer{version: 6, cursor: 11}
 		require.Equal(t, uint64(7), version(k))
-		k.Offer([]byte("damaged"))
+		k.EnqueueRoutes([]byte("damaged"))
 		require.Equal(t, uint64(7), version(k))
 		require.Equal(t, "7", string(k.Value()))
 	})
--- a/entry/directory/feed_test.go
+++ b/entry/directory/feed_test.go
@@ -273,7 +273,7 @@
 		calls := len(s.reads())
 		k.HandleUpdate("a", omittedRoutes(10, 20, 7))
 		time.Sleep(follow.ContentTimeout - time.Millisecond)
-		require.True(t, k.Offer([]byte("7")))
+		require.True(t, k.EnqueueRoutes([]byte("7")))
 		require.Equal(t, uint64(7), version(k))
 		k.HandleUpdate("a", routesUpdate(20, 30, 8))
 		require.Equal(t, uint64(8), version(k))
@@ -290,7 +290,7 @@
 		"and nothing else comes":   func(*Keeper, *forwardRecorder) {},
 		"and an update follows":    func(k *Keeper, _ *forwardRecorder) { k.HandleUpdate("a", routesUpdate(20, 25, 0)) },
 		"and a newer one is known": func(k *Keeper, _ *forwardRecorder) { k.HandleUpdate("a", omittedRoutes(20, 25, 9)) },
-		"and an older one comes":   func(k *Keeper, _ *forwardRecorder) { k.Offer([]byte("6")) },
+		"and an older one comes":   func(k *Keeper, _ *forwardRecorder) { k.EnqueueRoutes([]byte("6")) },
 		"and followers are silent": func(k *Keeper, _ *forwardRecorder) { k.DropFollower("a") },
 		"and it becomes follower": func(k *Keeper, recorder *forwardRecorder) {
 			recorder.role.Store(uint32(follow.Follower))
@@ -315,11 +315,11 @@
 // A large table must not be decoded each time that it is offered.
 func TestAppliedTableIsNotDecodedAgain(t *testing.T) {
 	runInRole(t, follow.Standalone, func(t *testing.T, k *Keeper, s *scriptedSource, _ *recordedUpstreams, _ *forwardRecorder) {
-		k.Offer([]byte("5"))
+		k.EnqueueRoutes([]byte("5"))
 		require.Equal(t, uint64(5), version(k))
 		decoded := s.decoded.Load()
-		k.Offer([]byte("5"))
-		k.Offer([]byte("4"))
+		k.EnqueueRoutes([]byte("5"))
+		k.EnqueueRoutes([]byte("4"))
 		require.Equal(t, uint64(5), version(k))
 		require.Equal(t, decoded, s.decoded.Load())
 	})
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -111,7 +111,7 @@
 		Tables:       backend.Tables,
 		Fleet:        fleet,
 		Routes:       n.routes,
-		Offer:        func(value []byte) bool { return n.Keeper.Offer(value) },
+		Offer:        func(value []byte) bool { return n.Keeper.EnqueueRoutes(value) },
 		OnFeedUpdate: func(vm string, news *link.FeedUpdate) { n.Keeper.HandleUpdate(vm, news) },
 		OnLinkLost:   func(vm string) { n.Keeper.DropFollower(vm) },
 		OnEntryCount: budgets.SetEntries,
@@ -181,7 +181,7 @@
 		return float64(n.Peers.Linked())
 	})
 	metrics.Gauge("acaciacleat_feeds_heard", "Feeds of the store that other entries read for this one; 0 to 2.", func() float64 {
-		return float64(n.Keeper.Listening())
+		return float64(n.Keeper.ListeningFeeds())
 	})
 	metrics.Gauge("acaciacleat_work_outstanding", "Placed requests of all entries whose end is not known yet.", func() float64 {
 		return float64(n.Fleet.Outstanding())
