--- a/core/document/apply.go
+++ b/core/document/apply.go
@@ -32,17 +32,17 @@
 // builder derives one snapshot from another. It copies a map before the first change to it.
 type builder struct {
 	snapshot *Snapshot
-	// ownKeys and ownPrincipals mark the shards that are copied already.
+	// ownKeys and ownPrincipals mark the shards that are already copied.
 	ownKeys       [shardCount]bool
 	ownPrincipals [shardCount]bool
-	// edits holds the changed principals, and editIndex the index of each. build enters them
-	// in this order: iterating over a map of 35,000 would miss the CPU's cache.
-	edits     []edit
-	editIndex map[string]int
+	// changes holds the changed principals, and changeIndex the index of each. build passes twice
+	// over the slice: iterating over a map of 35,000 principals would miss the CPU's cache.
+	changes     []principalChange
+	changeIndex map[string]int
 }
 
-// edit is a principal before and after the change; before is nil for a new one.
-type edit struct {
+// principalChange is a principal before and after the change; before is nil for a new one.
+type principalChange struct {
 	before *Principal
 	after  *Principal
 }
@@ -53,7 +53,7 @@
 	next.Revision = revision
 	next.services = cloneMap(from.services)
 	next.models = cloneMap(from.models)
-	return &builder{snapshot: &next, edits: make([]edit, 0, size), editIndex: make(map[string]int, size)}
+	return &builder{snapshot: &next, changes: make([]principalChange, 0, size), changeIndex: make(map[string]int, size)}
 }
 
 // cloneMap copies a map; unlike maps.Clone it never returns nil.
@@ -74,23 +74,23 @@
 		return errors.Wrap(ErrNoHeader, update.Service)
 	}
 	header := update.Header
-	var rows []Organisation
+	var organisations []Organisation
 	if old != nil {
-		rows = old.Organisations
+		organisations = old.Organisations
 	}
 	if header == nil {
 		header = old
 	}
 	next := *header
-	next.Organisations = mergeOrganisations(rows, update)
+	next.Organisations = mergeOrganisations(organisations, update)
 	b.putService(&next)
 	for _, name := range update.Drop {
 		b.revoke(update.Service, name)
 	}
 	for i := range update.Put {
-		// Copy the row: a pointer into the list would keep the whole list in memory.
-		row := update.Put[i]
-		b.grant(update.Service, &row)
+		// Copy the organisation: a pointer into the list would keep the whole list in memory.
+		organisation := update.Put[i]
+		b.grant(update.Service, &organisation)
 	}
 	return nil
 }
@@ -127,34 +127,34 @@
 	}
 }
 
-func (b *builder) grant(service string, row *Organisation) {
-	principal := b.edit(row.Name)
+func (b *builder) grant(service string, organisation *Organisation) {
+	principal := b.editable(organisation.Name)
 	for i := range principal.grants {
 		if principal.grants[i].service == service {
-			principal.grants[i].row = row
+			principal.grants[i].organisation = organisation
 			return
 		}
 	}
-	principal.grants = append(principal.grants, grant{service: service, row: row})
+	principal.grants = append(principal.grants, grant{service: service, organisation: organisation})
 }
 
 func (b *builder) revoke(service, organisation string) {
-	principal := b.edit(organisation)
+	principal := b.editable(organisation)
 	principal.grants = slices.DeleteFunc(principal.grants, func(g grant) bool { return g.service == service })
 }
 
-// edit returns a copy of the principal that the builder may change.
-func (b *builder) edit(organisation string) *Principal {
-	if i, ok := b.editIndex[organisation]; ok {
-		return b.edits[i].after
+// editable returns a copy of the principal that the builder may change.
+func (b *builder) editable(organisation string) *Principal {
+	if i, ok := b.changeIndex[organisation]; ok {
+		return b.changes[i].after
 	}
-	before := b.snapshot.organisation(organisation)
+	before := b.snapshot.principalOf(organisation)
 	after := &Principal{Organisation: organisation}
 	if before != nil {
 		after.grants = slices.Clone(before.grants)
 	}
-	b.editIndex[organisation] = len(b.edits)
-	b.edits = append(b.edits, edit{before: before, after: after})
+	b.changeIndex[organisation] = len(b.changes)
+	b.changes = append(b.changes, principalChange{before: before, after: after})
 	return after
 }
 
@@ -162,12 +162,12 @@
 // before it enters any new one; otherwise a key that moved from one organisation to another
 // could be removed after it was entered.
 func (b *builder) build() *Snapshot {
-	for _, e := range b.edits {
+	for _, e := range b.changes {
 		if e.before != nil {
 			eachKey(e.before, func(hash KeyHash) { delete(b.keyShard(hash), hash) })
 		}
 	}
-	for _, e := range b.edits {
+	for _, e := range b.changes {
 		name := e.after.Organisation
 		if len(e.after.grants) == 0 {
 			delete(b.principalShard(name), name)
@@ -201,7 +201,7 @@
 
 func eachKey(principal *Principal, yield func(KeyHash)) {
 	for _, g := range principal.grants {
-		for _, text := range g.row.KeyHashes {
+		for _, text := range g.organisation.KeyHashes {
 			if hash, ok := parseKeyHash(text); ok {
 				yield(hash)
 			}
--- a/core/document/conflicts.go
+++ b/core/document/conflicts.go
@@ -60,11 +60,11 @@
 	return faults
 }
 
-// usesKeyElsewhere reports whether the organisation's row of a service other than the given
-// one has the key.
+// usesKeyElsewhere reports whether the document of a service other than the given one gives
+// the organisation the key.
 func (p *Principal) usesKeyElsewhere(service, key string) bool {
 	return slices.ContainsFunc(p.grants, func(g grant) bool {
-		return g.service != service && slices.ContainsFunc(g.row.KeyHashes, func(k string) bool {
+		return g.service != service && slices.ContainsFunc(g.organisation.KeyHashes, func(k string) bool {
 			return strings.EqualFold(k, key)
 		})
 	})
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -25,13 +25,15 @@
 }
 
 func testOrganisation(name string, keys ...string) Organisation {
-	row := Organisation{Name: name}
+	organisation := Organisation{Name: name}
 	for _, key := range keys {
-		row.KeyHashes = append(row.KeyHashes, HashKey(key).String())
+		organisation.KeyHashes = append(organisation.KeyHashes, HashKey(key).String())
 	}
-	return row
+	return organisation
 }
 
+// Guards against a document that changes when it is stored and read again, and against fields
+// without their defaults.
 func TestParseFillsDefaultsAndRoundTrips(t *testing.T) {
 	service, faults := Parse([]byte(partsDocument()))
 	require.Empty(t, faults)
@@ -45,6 +47,8 @@
 	require.Equal(t, 3_600_000, (&Service{}).DeadlineFor(call.Huge).MaxMs)
 }
 
+// Guards against accepting a document with a syntax error, an unknown or repeated field, or an
+// invalid value, and against stopping at the first of several faults.
 func TestFaults(t *testing.T) {
 	replace := func(old, new string) string { return strings.Replace(partsDocument(), old, new, 1) }
 	for name, c := range map[string]struct {
@@ -82,6 +86,7 @@
 	require.ElementsMatch(t, want, got)
 }
 
+// Guards against accepting fields that are valid one by one and contradict each other.
 func TestCrossFieldFaults(t *testing.T) {
 	for path, invalidate := range map[string]func(*Service){
 		"$.models":                        func(s *Service) { s.Models = nil },
@@ -102,6 +107,8 @@
 	}
 }
 
+// Guards against accepting a model that two services serve, or a key of two organisations, and
+// against refusing valid changes of the same kind.
 func TestFaultsBetweenDocuments(t *testing.T) {
 	a := testModelService("a", "m", testOrganisation("x", "k"))
 	b := testModelService("b", "m", testOrganisation("y", "k"))
@@ -131,6 +138,7 @@
 	}
 }
 
+// Guards against a summary of changes that leaves some out.
 func TestDiffNamesWhatChanged(t *testing.T) {
 	old := testModelService("chat", "m", testOrganisation("x", "k"), testOrganisation("y", "l"))
 	new := testModelService("chat", "m", testOrganisation("y", "l2"), testOrganisation("z"))
@@ -217,13 +225,14 @@
 }
 
 func largeService() *Service {
-	rows := make([]Organisation, 35_000)
-	for i := range rows {
-		rows[i] = testOrganisation(fmt.Sprintf("organisation-%05d", i), fmt.Sprint(i))
+	organisations := make([]Organisation, 35_000)
+	for i := range organisations {
+		organisations[i] = testOrganisation(fmt.Sprintf("organisation-%05d", i), fmt.Sprint(i))
 	}
-	return testModelService("chat", "m", rows...)
+	return testModelService("chat", "m", organisations...)
 }
 
+// Guards against an allocation for each request.
 func TestLookupsDoNotAllocate(t *testing.T) {
 	snapshot, hash := Compile(1, []*Service{testModelService("chat", "m", testOrganisation("x", "k"))}), HashKey("k")
 	require.Zero(t, testing.AllocsPerRun(100, func() {
--- a/core/document/rows.go
+++ b/core/document/rows.go
@@ -50,22 +50,22 @@
 // UpdateBetween returns the update from old to new; old is nil for a new service.
 func UpdateBetween(old, new *Service) Update {
 	update := Update{Service: new.Name}
-	header, rows := Split(new)
+	header, organisations := Split(new)
 	if old == nil {
 		update.Header = header
-		update.Put = rows
+		update.Put = organisations
 		return update
 	}
-	oldHeader, oldRows := Split(old)
+	oldHeader, oldOrganisations := Split(old)
 	if !reflect.DeepEqual(oldHeader, header) {
 		update.Header = header
 	}
-	before := organisationsByName(oldRows)
-	for i := range rows {
-		oldRow := before[rows[i].Name]
-		delete(before, rows[i].Name)
-		if oldRow == nil || !equalOrganisations(oldRow, &rows[i]) {
-			update.Put = append(update.Put, rows[i])
+	before := organisationsByName(oldOrganisations)
+	for i := range organisations {
+		previous := before[organisations[i].Name]
+		delete(before, organisations[i].Name)
+		if previous == nil || !equalOrganisations(previous, &organisations[i]) {
+			update.Put = append(update.Put, organisations[i])
 		}
 	}
 	for name := range before {
@@ -75,10 +75,10 @@
 	return update
 }
 
-func organisationsByName(rows []Organisation) map[string]*Organisation {
-	m := make(map[string]*Organisation, len(rows))
-	for i := range rows {
-		m[rows[i].Name] = &rows[i]
+func organisationsByName(organisations []Organisation) map[string]*Organisation {
+	m := make(map[string]*Organisation, len(organisations))
+	for i := range organisations {
+		m[organisations[i].Name] = &organisations[i]
 	}
 	return m
 }
@@ -87,24 +87,24 @@
 	return a.Name == b.Name && a.Limits == b.Limits && slices.Equal(a.KeyHashes, b.KeyHashes)
 }
 
-// mergeOrganisations returns rows with an update applied, sorted by name.
-func mergeOrganisations(rows []Organisation, update *Update) []Organisation {
+// mergeOrganisations returns the organisations with an update applied, sorted by name.
+func mergeOrganisations(organisations []Organisation, update *Update) []Organisation {
 	put := organisationsByName(update.Put)
 	dropped := make(map[string]bool, len(update.Drop))
 	for _, name := range update.Drop {
 		dropped[name] = true
 	}
-	merged := make([]Organisation, 0, len(rows)+len(put))
-	for i := range rows {
-		name := rows[i].Name
+	merged := make([]Organisation, 0, len(organisations)+len(put))
+	for i := range organisations {
+		name := organisations[i].Name
 		if put[name] == nil && !dropped[name] {
-			merged = append(merged, rows[i])
+			merged = append(merged, organisations[i])
 		}
 	}
 	for i := range update.Put {
-		row := &update.Put[i]
-		if put[row.Name] == row {
-			merged = append(merged, *row)
+		organisation := &update.Put[i]
+		if put[organisation.Name] == organisation {
+			merged = append(merged, *organisation)
 		}
 	}
 	slices.SortFunc(merged, byName)
--- a/core/document/snapshot.go
+++ b/core/document/snapshot.go
@@ -12,17 +12,19 @@
 	grants []grant
 }
 
-// grant permits an organisation to call a service, on the terms of its row.
+// grant permits an organisation to call a service, with the keys and limits that the service's
+// document sets for it.
 type grant struct {
-	service string
-	row     *Organisation
+	service      string
+	organisation *Organisation
 }
 
-// Row returns the organisation's row in service, or nil if it may not call it.
+// Row returns the organisation as service's document describes it, or nil if it may not call
+// the service.
 func (p *Principal) Row(service string) *Organisation {
 	for i := range p.grants {
 		if p.grants[i].service == service {
-			return p.grants[i].row
+			return p.grants[i].organisation
 		}
 	}
 	return nil
@@ -91,15 +93,16 @@
 	}
 }
 
-// Row returns an organisation's row in a service, or nil if it may not call it.
+// Row returns an organisation as a service's document describes it, or nil if it may not call
+// the service.
 func (s *Snapshot) Row(service, organisation string) *Organisation {
-	principal := s.organisation(organisation)
+	principal := s.principalOf(organisation)
 	if principal == nil {
 		return nil
 	}
 	return principal.Row(service)
 }
 
-func (s *Snapshot) organisation(name string) *Principal {
+func (s *Snapshot) principalOf(name string) *Principal {
 	return s.principals[shardOf(name)][name]
 }
--- a/core/policytest/goodput_test.go
+++ b/core/policytest/goodput_test.go
@@ -100,6 +100,7 @@
 	require.Greater(t, beyond.valuePerSecond, 0.75*peak)
 }
 
+// Guards against results of the simulation that can't be repeated from its seed.
 func TestSimulationIsDeterministic(t *testing.T) {
 	v := variant{dispatch.Predicted, sharedView}
 	require.Equal(t, simulateGoodput(v, 3, 1, bursts), simulateGoodput(v, 3, 1, bursts))
--- a/core/policytest/policies_test.go
+++ b/core/policytest/policies_test.go
@@ -135,6 +135,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
+// Guards against results of the evaluator that can't be repeated from its seed, and against lost
+// requests.
 func TestEvaluatorIsDeterministic(t *testing.T) {
 	short := usualWorkload
 	short.duration = 10 * time.Second
--- a/core/routing/baselines.go
+++ b/core/routing/baselines.go
@@ -72,7 +72,7 @@
 	return sum
 }
 
-// PowerOfTwo is a baseline: the less loaded of two random replicas, counting the reader's
+// PowerOfTwo is a baseline: the less loaded of two random replicas, counting the entry's
 // own requests too.
 type PowerOfTwo struct{ random *rand.Rand }
 
--- a/core/routing/combined.go
+++ b/core/routing/combined.go
@@ -9,10 +9,10 @@
 	"acaciacleat.example/core/prefix"
 )
 
-// Combined minimises the predicted time to first token, computed from the tokens ahead
-// under the agent's priority rules, the prompt tokens not cached, the zone and the free
-// memory. Older load reports have less weight and add jitter, so that entries with the
-// same old reports don't all choose the same replica.
+// Combined minimises the predicted time to first token. The prediction depends on the tokens
+// ahead, which are the prompt tokens that the agent's priority rules would run first, on the
+// prompt tokens not cached, the zone and the free memory. Older load reports have less weight
+// and add jitter, so that entries with the same old reports don't all choose the same replica.
 type Combined struct {
 	options   Options
 	random    *rand.Rand
@@ -55,7 +55,7 @@
 	key := homeKey(request)
 	g.selectCandidates(c.matches, key, len(replicas), c.random)
 	g.estimateLoads(request, replicas, now, c.options.StalenessHalfLife)
-	if g.usable == 0 {
+	if g.usableCount == 0 {
 		return Choice{Index: -1}
 	}
 	c.applyCacheMatches(g, request)
@@ -87,9 +87,9 @@
 // Each of many entries sees few of the requests with a given prefix and would send them to
 // a replica of its own choice, so that each replica computes the prefix again and the
 // caches fill with copies. Rendezvous hashing gives all entries the same homes without
-// communication. The credit is a share of at most homeDepth digests, so that a home whose
-// backlog exceeds another replica's by more than that loses the request, which bounds the
-// load of the homes.
+// communication. The credit is at most HomeCachedShare of the tokens of homeDepth digests. If
+// a home has more tokens ahead than another replica by more than the credit, the other replica
+// gets the request. This bounds the load of the homes.
 func (c *Combined) creditHomes(g *group, request *Request, key uint64, now time.Time) {
 	if key == 0 {
 		return
@@ -145,7 +145,7 @@
 // unitInterval maps random bits to a number in [0, 1).
 func unitInterval(bits uint64) float64 { return float64(bits>>11) * 0x1p-53 }
 
-// prefixTokens estimates the number of prompt tokens that the first digests cover.
+// prefixTokens estimates the number of prompt tokens that the first depth digests cover.
 func prefixTokens(request *Request, depth int) float64 {
 	bytes := float64(prefix.Boundary(depth))
 	if request.PromptBytes > 0 {
@@ -155,7 +155,9 @@
 }
 
 // tokensAhead returns the prompt tokens that a request of the class waits for at a replica,
-// not counting the reader's own requests since the load report.
+// not counting this entry's own requests since the load report. For a request shorter than
+// Long, the running prefill of longer requests counts only up to chunkTokens, because the
+// engine interrupts it then.
 func tokensAhead(class call.Class, weights *queuedWeights, load *Load) float64 {
 	row := &weights[class]
 	queued, running, longer := int64(0), int64(0), int64(0)
--- a/core/routing/combined_test.go
+++ b/core/routing/combined_test.go
@@ -36,6 +36,8 @@
 	return digests
 }
 
+// Guards against offers to replicas that can't serve the request, against no choice although a
+// replica is usable, and against choices that can't be repeated from the policy's seed.
 func TestPoliciesNeverChooseUnusableReplicasAndAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -68,6 +70,8 @@
 	})
 }
 
+// Guards against a prediction that leaves out the cached prefix, the queue, the zone or the free
+// memory: requests would wait or be prefilled again although another replica is faster.
 func TestCombinedWeighsCacheLoadZoneAndMemory(t *testing.T) {
 	c := NewCombined(DefaultOptions(1))
 	replicas := testReplicas(6, nil)
@@ -81,7 +85,7 @@
 	plain := &Request{Demand: call.TokenDemand{PromptTokens: 1000}, Zone: "zone-1"}
 	chosen := c.Choose(plain, replicas, startTime)
 	require.Equal(t, "zone-1", replicas[chosen.Index].Zone)
-	require.InDelta(t, 25*time.Millisecond, chosen.Predicted, float64(time.Millisecond))
+	require.InDelta(t, 25*time.Millisecond, chosen.Predicted, float64(time.Millisecond), "1000 tokens at 40,000 per second")
 	replicas[1].Load.FreeTokens, replicas[4].Load.FreeTokens = 0, 0
 	require.NotEqual(t, "zone-1", replicas[c.Choose(plain, replicas, startTime).Index].Zone, "the replicas of the zone have no free memory")
 }
@@ -89,7 +93,7 @@
 // One replica reports a short queue, and many entries decide by that report while it grows
 // old. If they trusted it like a new one, all would send to the same replica until its next
 // report arrives.
-func TestStaleViewsSpreadRequests(t *testing.T) {
+func TestStaleLoadReportsSpreadRequests(t *testing.T) {
 	counts := make(map[int]int)
 	for seed := range uint64(40) {
 		replicas := testReplicas(10, nil)
@@ -101,11 +105,13 @@
 		choice := NewCombined(DefaultOptions(seed)).Choose(&Request{Demand: call.TokenDemand{PromptTokens: 4000}, Zone: "zone-0"}, replicas, startTime.Add(20*time.Second))
 		counts[choice.Index]++
 	}
-	require.GreaterOrEqual(t, len(counts), 5)
+	require.GreaterOrEqual(t, len(counts), 5, "if the report's age were ignored, all 40 would choose replica 3")
 	require.Less(t, counts[3], 20)
 }
 
-func TestHotPrefixSplitsAndMerges(t *testing.T) {
+// Guards against a hot prefix that keeps one home, and against keeping several after its load has
+// decayed.
+func TestHotPrefixGetsMoreHomesUntilItsLoadDecays(t *testing.T) {
 	loads := newPrefixLoads()
 	now := startTime
 	for range 1000 {
@@ -114,7 +120,7 @@
 		loads.add(2, 100, now)
 	}
 	require.Equal(t, maxHomes, loads.homes(1, 14, now))
-	require.Equal(t, 2, loads.homes(2, 14, now))
+	require.Equal(t, 2, loads.homes(2, 14, now), "a 21st of the load is two thirds of one replica's share, and a home carries half a share")
 	for range 4000 {
 		now = now.Add(50 * time.Millisecond)
 		loads.add(3, 2000, now)
@@ -122,6 +128,8 @@
 	require.Equal(t, 1, loads.homes(1, 14, now), "its load has decayed")
 }
 
+// Guards against replicas of plain services that keep failing and, because they look idle, attract
+// all requests, and against a flood of requests to a replica that has just been readmitted.
 func TestPlainEjectsAndStartsSlowly(t *testing.T) {
 	p := NewPlain()
 	replicas := testReplicas(3, nil)
@@ -141,7 +149,7 @@
 		replicas[i].InFlight = 4
 	}
 	replicas[1].InFlight = 0
-	require.Zero(t, picks(startTime.Add(minEjection + time.Second))[1], "slow start: one request counts as ten")
+	require.Zero(t, picks(startTime.Add(minEjection + time.Second))[1], "slow start: with a tenth of its share, the next request counts as ten")
 	require.Equal(t, 30, picks(startTime.Add(minEjection + slowStart))[1])
 	for _, agent := range []string{"agent-0", "agent-1", "agent-2"} {
 		for range plainEjectThreshold {
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -13,12 +13,12 @@
 const maxGroups = 1024
 
 const (
-	// maxHomes bounds the homes of one prefix.
+	// maxHomes bounds the number of homes of a prefix: the replicas to which all entries
+	// prefer to send its prompts, by rendezvous hashing.
 	maxHomes = 8
 	// fullScanLimit is the largest group of which every replica is scored. In a larger group
-	// only the likely holders, the homes and sampleSize random replicas are scored, which
-	// bounds the time of a choice and makes entries with the same old reports choose
-	// differently.
+	// only the likely holders, the homes and sampleSize random replicas are scored. This bounds
+	// the time of a choice, and entries with the same old reports choose differently.
 	fullScanLimit = 32
 	sampleSize    = 24
 	// recheckInterval is the number of choices after which the replicas of a large group are
@@ -26,8 +26,8 @@
 	recheckInterval = 64
 )
 
-// member holds the values that a choice computes for one replica. The identity and the
-// time of the load report are kept between choices.
+// member holds the values that a choice computes for one replica. The fields before usable,
+// and lastCandidate, are kept between choices.
 type member struct {
 	agent       string
 	incarnation call.Incarnation
@@ -38,8 +38,8 @@
 
 	usable        bool
 	lastCandidate uint64  // choiceCount of the last choice that had the member as a candidate
-	ownTokens     float64 // prompt tokens of the reader's requests since the load report
-	tokensAhead   float64 // prompt tokens to wait for
+	ownTokens     float64 // prompt tokens of this entry's requests since the load report
+	tokensAhead   float64 // prompt tokens that the replica runs before the request
 	cachedTokens  float64 // prompt tokens estimated to be cached
 	prefillRate   float64 // prompt tokens per second
 	staleness     float64 // 0 for a new load report, approaches 1 with its age
@@ -55,10 +55,10 @@
 	hashes       []uint64
 	// indexByHolder maps a holder to its index in members.
 	indexByHolder []int32
-	// candidates are the indexes that the current choice scores, usable the number of usable
-	// ones among them.
-	candidates []int
-	usable     int
+	// candidates are the indexes that the current choice scores, and usableCount is the number
+	// of usable replicas among them.
+	candidates  []int
+	usableCount int
 	// ranked holds the rankedCount indexes with the highest rendezvous weights, and
 	// rankWeights these weights, in descending order.
 	ranked      [maxHomes]int
@@ -125,7 +125,7 @@
 	return i, i < len(g.members) && g.members[i].holder == h
 }
 
-// selectCandidates sets the indexes that the choice scores.
+// selectCandidates ranks the replicas for key and sets the indexes that the choice scores.
 func (g *group) selectCandidates(matches []prefix.Match, key uint64, count int, random *rand.Rand) {
 	g.candidates = g.candidates[:0]
 	g.rank(key)
@@ -158,14 +158,14 @@
 	}
 }
 
-// estimateLoads computes the tokens ahead at each candidate and shrinks those of old load
-// reports towards the mean.
+// estimateLoads computes the tokens ahead at each candidate, and moves them towards the mean
+// by more the older the load report is.
 func (g *group) estimateLoads(request *Request, replicas []Replica, now time.Time, halfLife time.Duration) {
 	class := call.ClassOf(request.Demand.PromptTokens)
 	weights := weightsFor(request.Objective)
 	at := int64(now.Sub(g.origin))
 	total := 0.0
-	g.usable = 0
+	g.usableCount = 0
 	for _, i := range g.candidates {
 		m := &g.members[i]
 		r := &replicas[i]
@@ -183,9 +183,9 @@
 		m.tokensAhead = tokensAhead(class, weights, &r.Load)
 		m.staleness = stalenessOf(at-m.takenOffset, halfLife)
 		total += m.tokensAhead
-		g.usable++
+		g.usableCount++
 	}
-	g.shrinkToMean(total / float64(max(1, g.usable)))
+	g.shrinkToMean(total / float64(max(1, g.usableCount)))
 }
 
 // sinceOrigin converts the time of a load report to ns since the origin. A report that was
@@ -198,12 +198,12 @@
 }
 
 // shrinkToMean moves the tokens ahead of each candidate towards the mean, by the staleness
-// of its load report, and adds the reader's own requests.
+// of its load report, and adds this entry's own requests since the report.
 //
-// Otherwise the replica with the least load in an old report would get every request until
-// the next report, and the queues would swing between replicas. An old deviation from the
-// mean has probably passed, so it counts only in part. The reader's own requests since the
-// report are certain and count in full.
+// Without the shift, the replica with the least load in an old report would get every request
+// until the next report, and the queues would swing between replicas. The queue that an old
+// report showed has probably changed since, so its deviation from the mean counts only in
+// part. This entry's own requests since the report are certain and count in full.
 func (g *group) shrinkToMean(mean float64) {
 	for _, i := range g.candidates {
 		m := &g.members[i]
@@ -228,7 +228,7 @@
 }
 
 // rank finds the indexes with the highest rendezvous weights for key, whether or not the
-// replicas are usable.
+// replicas are usable. It ranks none if key is 0.
 func (g *group) rank(key uint64) {
 	g.rankedCount = 0
 	if key == 0 {
--- a/core/routing/hotprefix.go
+++ b/core/routing/hotprefix.go
@@ -18,15 +18,16 @@
 	// which a second home is worth a second copy of the prefix.
 	loadPerHome = 0.5
 	// mergeThreshold is the part of the load for the present number of homes below which one
-	// of them is given up. It is below 1 so that a load near the edge does not split and
-	// merge in turn.
+	// of them is given up. It is below 1 so that a load near the edge does not add and
+	// remove a home again and again.
 	mergeThreshold = 0.6
 	// minTotalLoad is the total of tokens below which every prefix has one home.
 	minTotalLoad = 200_000
 )
 
-// prefixLoads tracks the load in prompt tokens of each prefix, as decaying sums. The reader
-// sees only some of the requests; the shares of its own total estimate those of all.
+// prefixLoads tracks the load in prompt tokens of each prefix, as decaying sums. An entry
+// sees only some of the requests: a prefix's share of this entry's total estimates its share
+// of all load.
 type prefixLoads struct {
 	slots []prefixLoad
 	total decay.Sum
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -11,10 +11,10 @@
 type Options struct {
 	// Seed seeds all randomness: the same seed and calls give the same choices.
 	Seed uint64
-	// SplitHotPrefixes gives a prefix that carries much of the load more than one home. It is
-	// off by default: with 40 % of the prompts on one document the evaluator's p95 fell by
-	// 4 to 5 %, but at 18 engines without such a document it rose by 22 to 35 %. A hot prefix
-	// spreads in any case, as replicas that took some of its requests cache it too.
+	// SplitHotPrefixes gives a prefix that carries much of the load more than one home; see
+	// maxHomes. It is off by default: with 40 % of the prompts on one document the evaluator's
+	// p95 falls by 4 to 5 %, but at 18 engines without such a document it rises by 22 to 35 %.
+	// A hot prefix spreads in any case, as replicas that took some of its requests cache it too.
 	SplitHotPrefixes bool
 	// ZoneDelay is the round trip added for a replica in another availability zone.
 	ZoneDelay time.Duration
@@ -24,8 +24,8 @@
 	// Jitter is the largest random part of the score, as a share of the predicted time, for
 	// a load report of unbounded age. A new report gets none.
 	Jitter float64
-	// HomeCachedShare is the share of a prefix that its home is assumed to cache although the
-	// reader did not send it there: another entry may have.
+	// HomeCachedShare is the share of a prefix that its home is assumed to cache although this
+	// entry has not sent it there: another entry may have.
 	HomeCachedShare float64
 	// CacheSlots and CacheAge size the estimator of cached prefixes; see package prefix.
 	CacheSlots int
@@ -70,7 +70,7 @@
 // the queued tokens. The weights follow the order of the agent's queue (package
 // scheduling), shorter requests first. The small weights of longer classes steer short
 // requests away from replicas where they would delay a long one; without them the
-// evaluator's long p95 rose from 27 s to 100 s.
+// evaluator's p95 of long requests rises from 27 s to 100 s.
 type queuedWeights [call.NumClasses][call.NumClasses]int64
 
 var (
--- a/core/routing/plain.go
+++ b/core/routing/plain.go
@@ -89,8 +89,8 @@
 	return float64(replica.InFlight+replica.Load.QueuedCalls+replica.Load.RunningCalls) + 1
 }
 
-func (o *replicaHealth) slowStartShare(now time.Time) float64 {
-	return min(1, max(slowStartMinShare, float64(now.Sub(o.slowStartAt))/float64(slowStart)))
+func (h *replicaHealth) slowStartShare(now time.Time) float64 {
+	return min(1, max(slowStartMinShare, float64(now.Sub(h.slowStartAt))/float64(slowStart)))
 }
 
 func (p *Plain) healthOf(replica *Replica, initial bool, now time.Time) *replicaHealth {
@@ -132,18 +132,18 @@
 
 // record counts the end of a request and ejects the replica after threshold consecutive
 // failures.
-func (o *replicaHealth) record(failed bool, threshold int, now time.Time) {
+func (h *replicaHealth) record(failed bool, threshold int, now time.Time) {
 	if !failed {
-		o.consecutiveFailures = 0
+		h.consecutiveFailures = 0
 		return
 	}
-	o.consecutiveFailures++
-	if o.consecutiveFailures < threshold {
+	h.consecutiveFailures++
+	if h.consecutiveFailures < threshold {
 		return
 	}
-	duration := min(maxEjection, minEjection<<min(o.ejections, 5))
-	o.ejections++
-	o.consecutiveFailures = 0
-	o.ejectedUntil = now.Add(duration)
-	o.slowStartAt = o.ejectedUntil
+	duration := min(maxEjection, minEjection<<min(h.ejections, 5))
+	h.ejections++
+	h.consecutiveFailures = 0
+	h.ejectedUntil = now.Add(duration)
+	h.slowStartAt = h.ejectedUntil
 }
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -43,7 +43,7 @@
 	Sequence uint64
 }
 
-// Replica is the state of one upstream and its agent, as known to the reader.
+// Replica is the state of one upstream and its agent, as known to the entry that chooses.
 type Replica struct {
 	// Agent is the VM's identity in the list of VMs.
 	Agent       string
@@ -53,11 +53,10 @@
 	Incarnation call.Incarnation
 	State       State
 	Load        Load
-	// LoadTakenAt is the time at which Load was taken, by the reader's own clock; zero if no
+	// LoadTakenAt is the time at which Load was taken, by the entry's own clock; zero if no
 	// report was received.
 	LoadTakenAt time.Time
-	// InFlight counts the reader's own requests offered since LoadTakenAt and
-	// not yet finished.
+	// InFlight counts the entry's own requests offered since LoadTakenAt and not yet finished.
 	InFlight int32
 	// InFlightPrompt is the sum of their prompt tokens.
 	InFlightPrompt int64
