--- a/entry/fleet/choose.go
+++ b/entry/fleet/choose.go
@@ -37,16 +37,16 @@
 	Recommended bool
 }
 
-// Choose routes a request and opens a link to the chosen agent. It skips agents that can't be
-// reached, since nothing has been sent to them. observe, if not nil, is called for each
-// choice.
-func (v *View) Choose(ctx context.Context, request *routing.Request, better string, observe func(Decision)) (Target, *result.Error) {
+// Choose routes a request and opens a link to the chosen agent. It prefers recommendedAgent, which
+// an agent that refused the request has named; empty means none. It skips agents that can't be
+// reached, because nothing has been sent to them. observe, if not nil, is called for each choice.
+func (v *View) Choose(ctx context.Context, request *routing.Request, recommendedAgent string, observe func(Decision)) (Target, *result.Error) {
 	for {
-		chosen, ok := v.pick(request, better, observe)
+		chosen, ok := v.pick(request, recommendedAgent, observe)
 		if !ok {
 			return Target{}, result.New(result.NoReplica, result.NotRun, "service %s", request.Service)
 		}
-		better = ""
+		recommendedAgent = ""
 		conn, err := v.Connect(ctx, chosen.vm.ID, chosen.vm.Link)
 		if err == nil {
 			return Target{
@@ -70,14 +70,14 @@
 	predicted time.Duration
 }
 
-func (v *View) pick(request *routing.Request, better string, observe func(Decision)) (candidate, bool) {
+func (v *View) pick(request *routing.Request, recommendedAgent string, observe func(Decision)) (candidate, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	g := v.services[request.Service]
 	if g == nil || len(g.replicas) == 0 {
 		return candidate{}, false
 	}
-	choice := v.recommended(g, request, better)
+	choice := v.recommended(g, request, recommendedAgent)
 	recommended := choice.Index >= 0
 	if !recommended {
 		choice = g.choose(request)
@@ -93,8 +93,8 @@
 }
 
 // recommended chooses the agent that a refusing agent named, if that replica may be used.
-func (v *View) recommended(g *serviceGroup, request *routing.Request, better string) routing.Choice {
-	a := v.agents[better]
+func (v *View) recommended(g *serviceGroup, request *routing.Request, recommendedAgent string) routing.Choice {
+	a := v.agents[recommendedAgent]
 	if a == nil || a.group != g || !routing.Usable(request, &g.replicas[a.index]) {
 		return routing.Choice{Index: -1}
 	}
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -236,8 +236,8 @@
 }
 
 func (g *serviceGroup) recordEnd(vm string, failed bool) {
-	if learner, ok := g.policy.(routing.OutcomeObserver); ok {
-		learner.Finished(vm, failed, time.Now())
+	if observer, ok := g.policy.(routing.OutcomeObserver); ok {
+		observer.Finished(vm, failed, time.Now())
 	}
 }
 
--- a/entry/flight/claim.go
+++ b/entry/flight/claim.go
@@ -12,22 +12,23 @@
 	"github.com/pkg/errors"
 )
 
-// Key holds what is needed to bind a call's Idempotency-Key.
+// Key holds what is needed to bind a call's Idempotency-Key to one agent.
 type Key struct {
 	// Row is the row's name in the table idempotency.Table.
 	Row   string
 	Hash  idempotency.RequestHash
 	Token string
 	Store table.Store
-	// claim is the state machine of this try over all of its bindings.
+	// claim is this request's claim on the key. It stays the same when the key is bound to another
+	// agent.
 	claim *idempotency.Claim
 }
 
-// storeTimeout bounds one operation on the table service.
+// storeTimeout bounds one operation of the store.
 const storeTimeout = 2 * time.Second
 
-// claim binds the key to the chosen agent, or finds the agent to which another try has bound
-// it.
+// claim binds the key to the chosen agent, or finds the agent to which another request has
+// bound it.
 func (f *Flight) claim(ctx context.Context, target fleet.Target) attempt.Action {
 	now := time.Now()
 	binding := idempotency.Binding{
@@ -57,12 +58,13 @@
 
 // rebind binds the key to another agent. The machine chooses again for a keyed call only
 // after the bound agent has proved that the call did not and will not run there, by a
-// refusal, a confirmed cancellation or an end. The proof is reported to the Claim only here
-// and not per message type: if one type, such as the end, were missed, the Claim would
-// refuse to rebind and the call would fail with execution unknown although it is proved not
-// to have run.
+// refusal, a confirmed cancellation or an end. The proof is reported to the Claim here, at one
+// place, instead of in the handler of each message. If a handler did not report it, the Claim
+// would refuse to rebind, and the call would fail with execution unknown although it is proved
+// not to have run.
 func (f *Flight) rebind(now time.Time, binding idempotency.Binding) idempotency.ClaimAction {
 	claim := f.spec.Key.claim
+	// The code has no effect: the Claim uses it only if the execution is not proved.
 	refused := claim.Refused(now, result.Tombstoned, result.NotRun)
 	if refused.Kind == idempotency.ClaimFailed {
 		return refused
@@ -79,7 +81,7 @@
 		case idempotency.ReadRow:
 			next = f.readRow(ctx, next)
 		case idempotency.OfferBound, idempotency.AttachBound:
-			return f.chooseBound(next)
+			return f.reportBound(next)
 		case idempotency.ClaimFailed:
 			return f.machine.ClaimFailed(time.Now(), next.Err)
 		case idempotency.ChooseAgain:
@@ -90,8 +92,8 @@
 	}
 }
 
-// chooseBound reports the agent to which the key is bound as the chosen one.
-func (f *Flight) chooseBound(next idempotency.ClaimAction) attempt.Action {
+// reportBound reports to the machine, as the chosen agent, the one to which the key is bound.
+func (f *Flight) reportBound(next idempotency.ClaimAction) attempt.Action {
 	b := next.Binding
 	f.observe("bound", b.Agent, "by Idempotency-Key")
 	f.target = fleet.Target{Agent: b.Agent, Incarnation: b.Incarnation, Stamp: b.Stamp}
@@ -107,6 +109,7 @@
 func (f *Flight) writeRow(ctx context.Context, next idempotency.ClaimAction) idempotency.ClaimAction {
 	claim := f.spec.Key.claim
 	if !pause(ctx, next.Delay) {
+		// The request has ended. The deadline as the time ends the Claim.
 		return claim.Timer(f.spec.Deadline)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -126,6 +129,7 @@
 func (f *Flight) readRow(ctx context.Context, next idempotency.ClaimAction) idempotency.ClaimAction {
 	claim := f.spec.Key.claim
 	if !pause(ctx, next.Delay) {
+		// The request has ended. The deadline as the time ends the Claim.
 		return claim.Timer(f.spec.Deadline)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -1,5 +1,6 @@
-// Package flight runs one admitted request through its attempts. It translates the actions
-// of core/attempt into messages on links, and received messages into its events.
+// Package flight runs one request that is within its organisation's limits through its
+// attempts. It translates the actions of core/attempt into messages on links, and received
+// messages into the events of core/attempt.
 package flight
 
 import (
@@ -42,7 +43,8 @@
 	Route    routing.Request
 	// MaxRetries bounds the agents that are tried after the first.
 	MaxRetries int
-	Retries    attempt.Retries
+	// Retries allows and delays each retry.
+	Retries attempt.Retries
 	// Key is set for calls that may not be repeated and have an Idempotency-Key.
 	Key *Key
 	// Admit, if not nil, is called once, before the first offer. It returns a refusal if the
@@ -72,15 +74,17 @@
 	mailbox    *mailbox
 	spareBatch contents
 
-	// id is the ID in the offers: the request's own, or that in a keyed call's row.
+	// id is the ID under which the call is offered: spec.ID, or for a keyed call the ID stored in
+	// its row of idempotency.Table.
 	id     call.ID
 	target fleet.Target
 	// pendingAgent is the agent under which pendingOffers counts this request; 0 means none.
 	pendingAgent call.Incarnation
-	retained     *link.Conn
-	sentBody     bool
-	admitted     bool
-	span         collector.Span
+	// conn is the link of the current attempt, retained by this flight; nil means none.
+	conn     *link.Conn
+	sentBody bool
+	admitted bool
+	span     collector.Span
 	// crashes counts the upstreams that crashed under this request.
 	crashes int
 	end     *link.End
@@ -175,9 +179,9 @@
 	f.removePendingOffer()
 	f.registry.remove(f.id, f)
 	f.endSpan(f.finalCode())
-	// A keyed call is not cancelled, because other tries with its key may wait for its run.
-	if f.spec.Key == nil && f.final != nil && f.final.Kind != attempt.Answer && f.retained != nil {
-		_ = f.retained.Send(&link.Cancel{ID: f.id, Attempt: f.receiver.Attempt(), Stamp: int64(f.target.Stamp)})
+	// A keyed call is not cancelled, because other requests with its key may wait for its run.
+	if f.spec.Key == nil && f.final != nil && f.final.Kind != attempt.Answer && f.conn != nil {
+		_ = f.conn.Send(&link.Cancel{ID: f.id, Attempt: f.receiver.Attempt(), Stamp: int64(f.target.Stamp)})
 	}
 	f.releaseLink()
 }
@@ -189,19 +193,19 @@
 }
 
 func (f *Flight) releaseLink() {
-	if f.retained != nil {
-		f.retained.Release()
-		f.retained = nil
+	if f.conn != nil {
+		f.conn.Release()
+		f.conn = nil
 	}
 }
 
 func (f *Flight) retainLink(c *link.Conn) {
-	if f.retained == c {
+	if f.conn == c {
 		return
 	}
 	f.releaseLink()
 	c.Retain()
-	f.retained = c
+	f.conn = c
 }
 
 func (f *Flight) observe(name, agent, detail string) {
@@ -210,7 +214,8 @@
 	}
 }
 
-// perform performs the machine's actions until one waits for an event.
+// perform performs the machine's actions until the machine needs an event or the request has
+// ended.
 func (f *Flight) perform(ctx context.Context, action attempt.Action) {
 	for {
 		if action.Release {
@@ -249,7 +254,8 @@
 	return next(ctx, action)
 }
 
-// choose chooses the agent to which the call is offered.
+// choose chooses the agent to which the call is offered. It reports a refusal by the quarantine
+// or by the admission to the machine like the lack of a replica: as an error that ends the call.
 func (f *Flight) choose(ctx context.Context, action attempt.Action) attempt.Action {
 	ctx, cancel := context.WithDeadline(ctx, f.spec.Deadline)
 	defer cancel()
@@ -278,12 +284,12 @@
 	})
 }
 
-// chooseTarget chooses an agent that is not leaving, and counts this request in
-// pendingOffers until its offer is sent.
-func (f *Flight) chooseTarget(ctx context.Context, route *routing.Request, better string) (fleet.Target, *result.Error) {
+// chooseTarget chooses an agent that is not leaving, preferably recommendedAgent, and counts
+// this request in pendingOffers until its offer is sent.
+func (f *Flight) chooseTarget(ctx context.Context, route *routing.Request, recommendedAgent string) (fleet.Target, *result.Error) {
 	for {
 		f.removePendingOffer()
-		target, err := f.view.Choose(ctx, route, better, f.observeDecision)
+		target, err := f.view.Choose(ctx, route, recommendedAgent, f.observeDecision)
 		if err != nil {
 			return target, err
 		}
@@ -291,7 +297,7 @@
 			f.pendingAgent = target.Incarnation
 			return target, nil
 		}
-		better = ""
+		recommendedAgent = ""
 		route.Exclude = append(route.Exclude, target.Agent)
 	}
 }
@@ -340,6 +346,8 @@
 	offer.BoundTo = action.Replica.Incarnation
 	offer.Stamp = int64(action.Replica.Stamp)
 	offer.TimeLeftMs = deadline.Forward(call.Remaining(f.spec.Deadline, time.Now())).Milliseconds()
+	// A span that is still open belongs to an earlier attempt. Its code is AgentLost, whatever
+	// ended that attempt.
 	f.endSpan(result.AgentLost)
 	f.span = f.registry.tracer.Start(f.spec.Offer.TraceParent, collector.HopLink)
 	offer.TraceParent = f.span.TraceParent()
@@ -360,7 +368,7 @@
 }
 
 // waitFor waits until another request of this entry with the same key has finished. The agent
-// keeps its answer, which this request then gets by its own offer.
+// keeps the answer to that request, and this request then gets it by its own offer.
 func (f *Flight) waitFor(ctx context.Context, other *Flight, action attempt.Action) attempt.Action {
 	ctx, cancel := context.WithDeadline(ctx, f.spec.Deadline)
 	defer cancel()
@@ -372,11 +380,12 @@
 	}
 }
 
-// connect opens the link that an action needs. If it returns no link, it returns the
-// machine's next action for the lost link or agent.
+// connect opens the link that an action needs. If the action asks to redial, it first closes a
+// current link that has been silent for longer than a heartbeat interval. If it returns no link,
+// it returns the machine's next action for the lost link or agent.
 func (f *Flight) connect(ctx context.Context, action attempt.Action) (*link.Conn, attempt.Action) {
-	if action.Redial && f.retained != nil && f.retained.SinceLastReceived() > link.DefaultTiming.Heartbeat {
-		f.retained.Close(link.ErrSilent)
+	if action.Redial && f.conn != nil && f.conn.SinceLastReceived() > link.DefaultTiming.Heartbeat {
+		f.conn.Close(link.ErrSilent)
 	}
 	now := time.Now()
 	addr, ok := f.view.Address(action.Replica.Agent)
@@ -431,7 +440,7 @@
 // releaseAttempt cancels an abandoned attempt at its agent without waiting for an answer, so
 // that the engine's memory is freed before the deadline.
 func (f *Flight) releaseAttempt(action attempt.Action) {
-	if f.retained != nil {
-		_ = f.retained.Send(&link.Cancel{ID: f.id, Attempt: action.Attempt, Stamp: int64(action.Replica.Stamp)})
+	if f.conn != nil {
+		_ = f.conn.Send(&link.Cancel{ID: f.id, Attempt: action.Attempt, Stamp: int64(action.Replica.Stamp)})
 	}
 }
--- a/entry/flight/receive.go
+++ b/entry/flight/receive.go
@@ -74,8 +74,8 @@
 }
 
 func (f *Flight) ack(seq uint64) {
-	if f.retained != nil {
-		_ = f.retained.Send(&link.Ack{ID: f.id, Attempt: f.receiver.Attempt(), Seq: seq})
+	if f.conn != nil {
+		_ = f.conn.Send(&link.Ack{ID: f.id, Attempt: f.receiver.Attempt(), Seq: seq})
 	}
 }
 
@@ -95,7 +95,7 @@
 	now := time.Now()
 	switch m := e.message.(type) {
 	case nil:
-		if e.conn != f.retained {
+		if e.conn != f.conn {
 			return attempt.Action{}
 		}
 		return f.machine.LinkLost(now, f.receiver.Attempt())
--- a/entry/flight/registry.go
+++ b/entry/flight/registry.go
@@ -9,8 +9,8 @@
 	"acaciacleat.example/peers/link"
 )
 
-// shardCount is the number of locks, which keeps requests on different event loops from
-// waiting for each other.
+// shardCount is the number of shards. Each has its own lock, so that requests on different event
+// loops seldom wait for each other.
 const shardCount = 64
 
 // Registry holds the requests in flight and delivers the messages of links to them. It
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -43,8 +43,8 @@
 type Quota interface {
 	// Admit returns nil or the reason why the request is refused. Release must be called at
 	// the end of an admitted request.
-	Admit(key limits.Key, bounds *document.Limits, tokens int) *result.Error
-	Release(key limits.Key, bounds *document.Limits)
+	Admit(key limits.Key, orgLimits *document.Limits, tokens int) *result.Error
+	Release(key limits.Key, orgLimits *document.Limits)
 }
 
 // Config configures a Front.
--- a/entry/front/generate.go
+++ b/entry/front/generate.go
@@ -70,11 +70,14 @@
 		return flight.Spec{}, result.New(result.PromptTooLong, result.NotRun,
 			"about %d prompt tokens and %d for the answer, at most %d in all", demand.PromptTokens, demand.MaxTokens, ref.Model.ContextTokens)
 	}
+	// The deadline's bounds and the record use the class of the estimate. The admission and the
+	// metrics use the class of its upper bound; see runGeneration.
 	class := call.ClassOf(demand.PromptTokens)
-	// An engine refuses a group if its memory is even one token too small for the prompt as
-	// the engine counts it, so memory is requested for the upper bound of the estimate.
+	// The engine's own count of the prompt may be higher than the estimate. An engine refuses a
+	// prompt for which a group of engines has reserved even one token too little, so memory is
+	// requested for the upper bound of the estimate.
 	demand.PromptTokens = q.front.estimates.upperBound(g.Model, len(g.Prompt))
-	allowed, err := deadline.Parse(q.http.Header.Get(deadline.Header), deadline.BoundsFor(ref.Service, class))
+	timeLeft, err := deadline.Parse(q.http.Header.Get(deadline.Header), deadline.BoundsFor(ref.Service, class))
 	if err != nil {
 		return flight.Spec{}, err
 	}
@@ -83,13 +86,13 @@
 		r.Model = g.Model
 		r.PromptTokens = demand.PromptTokens
 		r.Class = class.String()
-		r.Deadline = allowed.String()
+		r.Deadline = timeLeft.String()
 	})
 	digests := prefix.Digests(g.Model, g.Prompt, nil)
 	return flight.Spec{
 		ID:       q.id,
 		Body:     g.Body,
-		Deadline: q.started.Add(allowed),
+		Deadline: q.started.Add(timeLeft),
 		Offer: link.Offer{
 			Service:      ref.Service.Name,
 			Model:        g.Model,
@@ -121,8 +124,8 @@
 
 // runGeneration runs the request and sends the answer, streamed or whole.
 func (q *request) runGeneration(g *caller.Generation, ref *document.ModelRef, spec flight.Spec) {
-	shape := caller.NewAnswerEncoder(g, q.id.String(), q.started.Unix())
-	sink := &generationSink{request: q, shape: shape, stream: g.Stream, maxBytes: q.front.config.Limits.WholeAnswerBytes}
+	encoder := caller.NewAnswerEncoder(g, q.id.String(), q.started.Unix())
+	sink := &generationSink{request: q, encoder: encoder, stream: g.Stream, maxBytes: q.front.config.Limits.WholeAnswerBytes}
 	sink.class = call.ClassOf(spec.Route.Demand.PromptTokens)
 	sink.service = ref.Service.Name
 	spec.Admit = func(predicted time.Duration) *result.Error {
@@ -150,15 +153,15 @@
 
 // generationSink writes an answer to the caller. It implements flight.Sink.
 type generationSink struct {
-	request  *request
-	shape    *caller.AnswerEncoder
-	stream   bool
-	service  string
-	class    call.Class
-	maxBytes int
-	buf      []byte
-	started  bool
-	tooLarge bool
+	request       *request
+	encoder       *caller.AnswerEncoder
+	stream        bool
+	service       string
+	class         call.Class
+	maxBytes      int
+	buf           []byte
+	answerStarted bool
+	tooLarge      bool
 }
 
 // Head implements flight.Sink; generations have none.
@@ -166,11 +169,11 @@
 
 // Data implements flight.Sink.
 func (s *generationSink) Data(_ uint32, data []byte) error {
-	if !s.started {
+	if !s.answerStarted {
 		s.onFirstToken()
 	}
 	if s.stream {
-		s.buf = s.shape.AppendChunk(s.buf, data)
+		s.buf = s.encoder.AppendChunk(s.buf, data)
 		return nil
 	}
 	if len(s.buf)+len(data) > s.maxBytes {
@@ -183,7 +186,7 @@
 
 // onFirstToken records the time to first token and, for a streamed answer, opens the stream.
 func (s *generationSink) onFirstToken() {
-	s.started = true
+	s.answerStarted = true
 	took := time.Since(s.request.started)
 	s.request.front.metrics.recordFirstToken(s.class, took)
 	s.request.front.admission.observe(s.service, s.class, s.request.predicted, took)
@@ -199,7 +202,7 @@
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	s.request.writer.WriteHeader(http.StatusOK)
-	s.buf = s.shape.AppendFirst(s.buf)
+	s.buf = s.encoder.AppendFirst(s.buf)
 }
 
 // Flush implements flight.Sink.
@@ -215,32 +218,32 @@
 	return http.NewResponseController(s.request.writer).Flush()
 }
 
-// finish writes the end of a successful answer.
+// finish writes the end of a successful streamed answer, or the whole of one that is not streamed.
 func (s *generationSink) finish(finishReason string, usage *caller.Usage, includeUsage bool) {
 	if !s.stream {
 		h := s.request.writer.Header()
 		h.Set("Content-Type", "application/json")
-		_, _ = s.request.writer.Write(s.shape.EncodeWhole(s.buf, finishReason, usage))
+		_, _ = s.request.writer.Write(s.encoder.EncodeWhole(s.buf, finishReason, usage))
 		return
 	}
-	if !s.started {
-		s.started = true
+	if !s.answerStarted {
+		s.answerStarted = true
 		s.openStream()
 	}
 	if !includeUsage {
 		usage = nil
 	}
-	s.buf = s.shape.AppendLast(s.buf, finishReason, usage)
+	s.buf = s.encoder.AppendLast(s.buf, finishReason, usage)
 	_ = s.Flush()
 }
 
 // fail answers with an error, within the stream if it has started.
 func (s *generationSink) fail(err *result.Error) {
-	if !s.started && err.Code == result.DeadlinePassed {
+	if !s.answerStarted && err.Code == result.DeadlinePassed {
 		// If requests without a first token were left out, the observed times would be too short.
 		s.request.front.admission.observe(s.service, s.class, s.request.predicted, time.Since(s.request.started))
 	}
-	if !s.started || !s.stream {
+	if !s.answerStarted || !s.stream {
 		s.request.fail(err)
 		return
 	}
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -28,8 +28,8 @@
 	HeaderExecution = "X-Execution"
 )
 
-// minRetryInterval is the time after which a service may always retry once more. Without it,
-// the ratio would allow almost no retries to a service with little traffic.
+// minRetryInterval is the time after which a service may always retry once more. Otherwise
+// Service.RetryRatio would allow almost no retries to a service with little traffic.
 const minRetryInterval = retry.DefaultMinInterval
 
 // request is the state of one HTTP request.
@@ -42,20 +42,22 @@
 	snapshot  *document.Snapshot
 	principal *document.Principal
 	record    *record.Request
-	openAI    bool
-	body      []byte
-	heldBytes int64
-	predicted time.Duration
-	span      collector.Span
-	// quotaKey and bounds are the key and limits under which the request was admitted.
-	quotaKey limits.Key
-	bounds   *document.Limits
+	// openAIErrors is set if errors are encoded as OpenAI's API does.
+	openAIErrors bool
+	body         []byte
+	heldBytes    int64
+	predicted    time.Duration
+	span         collector.Span
+	// quotaKey and orgLimits are the key and the organisation's limits under which the request was
+	// admitted.
+	quotaKey  limits.Key
+	orgLimits *document.Limits
 }
 
 // begin gives a request its ID and authenticates it. It returns nil if it has answered the
 // request with an error.
-func (f *Front) begin(w http.ResponseWriter, r *http.Request, openAI bool) *request {
-	q := &request{front: f, writer: w, http: r, started: time.Now(), openAI: openAI}
+func (f *Front) begin(w http.ResponseWriter, r *http.Request, openAIErrors bool) *request {
+	q := &request{front: f, writer: w, http: r, started: time.Now(), openAIErrors: openAIErrors}
 	// crypto/rand.Read never fails on the systems that Go supports.
 	_, _ = rand.Read(q.id[:])
 	w.Header().Set(HeaderRequestID, q.id.String())
@@ -131,16 +133,16 @@
 // budget without bound. releaseQuota must be called at the end if admit returns nil.
 func (q *request) admit(service *document.Service, spec *flight.Spec) *result.Error {
 	q.quotaKey = limits.Key{Service: service.Name, Organisation: q.principal.Organisation}
-	q.bounds = &q.principal.Row(service.Name).Limits
-	if err := q.front.config.Quota.Admit(q.quotaKey, q.bounds, spec.Route.Demand.Tokens()); err != nil {
+	q.orgLimits = &q.principal.Row(service.Name).Limits
+	if err := q.front.config.Quota.Admit(q.quotaKey, q.orgLimits, spec.Route.Demand.Tokens()); err != nil {
 		return err
 	}
-	spec.Retries = q.front.retryPolicy(service)
+	spec.Retries = q.front.beginRetries(service)
 	return nil
 }
 
 // releaseQuota releases the concurrency that admit acquired.
-func (q *request) releaseQuota() { q.front.config.Quota.Release(q.quotaKey, q.bounds) }
+func (q *request) releaseQuota() { q.front.config.Quota.Release(q.quotaKey, q.orgLimits) }
 
 // fail answers with an error and closes the record.
 func (q *request) fail(err *result.Error) {
@@ -151,7 +153,7 @@
 	caller.SetRetryAfter(h, err)
 	body := caller.ProblemJSON(err, q.id.String())
 	h.Set("Content-Type", "application/problem+json")
-	if q.openAI {
+	if q.openAIErrors {
 		body = caller.ErrorJSON(err, q.id.String())
 		h.Set("Content-Type", "application/json")
 	}
@@ -169,6 +171,7 @@
 	q.front.metrics.countResult(code)
 	q.span.End(q.id.String(), code)
 	event := q.front.config.Log.Info()
+	// The codes from DeadlinePassed on are not faults of the caller or limits; see result.Code.
 	if code >= result.DeadlinePassed {
 		event = q.front.config.Log.Warn()
 	}
@@ -181,11 +184,11 @@
 
 func (q *request) observe(step flight.Step) { q.record.Add(step.Name, step.Agent, step.Detail) }
 
-// retryPolicy returns the retry policy of a service and counts a first attempt. It sets the
-// ratio from the document of each request. If the ratio of the first request were kept, a
-// change would have no effect until the entry restarts, and an operator could not reduce the
-// retries during an outage.
-func (f *Front) retryPolicy(service *document.Service) *lockedRetries {
+// beginRetries counts a first attempt at a service and returns the service's retry policy. It
+// sets the ratio anew for each request, from the request's document. If the ratio of the first
+// request were kept, a change would have no effect until the entry restarts, and an operator
+// could not reduce the retries during an outage.
+func (f *Front) beginRetries(service *document.Service) *lockedRetries {
 	f.retries.mu.Lock()
 	l := f.retries.byService[service.Name]
 	if l == nil {
--- a/entry/front/request_test.go
+++ b/entry/front/request_test.go
@@ -16,9 +16,9 @@
 func TestChangedRetryRatioAppliesImmediately(t *testing.T) {
 	f := New(Config{})
 	service := &document.Service{Name: "parts", RetryRatio: document.DefaultRetryRatio}
-	require.True(t, f.retryPolicy(service).Allow(time.Now()))
+	require.True(t, f.beginRetries(service).Allow(time.Now()))
 	changed := &document.Service{Name: "parts", RetryRatio: 0}
-	require.False(t, f.retryPolicy(changed).Allow(time.Now().Add(time.Hour)))
+	require.False(t, f.beginRetries(changed).Allow(time.Now().Add(time.Hour)))
 }
 
 // Guards against counts of results that add up to more than the requests: a request for an
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -69,7 +69,7 @@
 }
 
 func (q *request) serviceSpec(service *document.Service) (flight.Spec, *result.Error) {
-	allowed, err := deadline.Parse(q.http.Header.Get(deadline.Header), deadline.BoundsFor(service, call.Short))
+	timeLeft, err := deadline.Parse(q.http.Header.Get(deadline.Header), deadline.BoundsFor(service, call.Short))
 	if err != nil {
 		return flight.Spec{}, err
 	}
@@ -81,12 +81,12 @@
 	}
 	q.record.Update(func(r *record.Request) {
 		r.Service = service.Name
-		r.Deadline = allowed.String()
+		r.Deadline = timeLeft.String()
 	})
 	return flight.Spec{
 		ID:       q.id,
 		Body:     q.body,
-		Deadline: q.started.Add(allowed),
+		Deadline: q.started.Add(timeLeft),
 		Offer: link.Offer{
 			Service:      service.Name,
 			Organisation: q.principal.Organisation,
--- a/entry/placement/placement_test.go
+++ b/entry/placement/placement_test.go
@@ -243,6 +243,8 @@
 	})
 }
 
+// Guards against an agent that executes orders of a former lease holder because it has forgotten
+// the newer fencing number in a restart.
 func TestRestartedAgentReadsTheFenceFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, document.Model{Name: "m", Version: "2", Replicas: 1})
@@ -279,6 +281,8 @@
 	}
 }
 
+// Guards against a new lease holder that starts a rolled-back canary again, and against keeping
+// the rejection after the operator has removed the canary and named it again.
 func TestFailingCanaryStaysRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4, document.Model{Name: "m", Version: "1", Canary: "2", CanaryShare: 0.25, Replicas: 4})
--- a/entry/placement/placer.go
+++ b/entry/placement/placer.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// orderTimeout bounds the wait for an agent's answer to an order. It includes the time in
-	// which an agent reads the lease's row after its start.
+	// orderTimeout bounds the wait for an agent's answer to an order. An agent that has just
+	// started first reads the lease's row; the timeout includes that.
 	orderTimeout = 3 * time.Second
-	// orderStartTimeout is how long after the stamp an agent may start an order. The stamp may
-	// be 10 s old when the order is sent.
+	// orderStartTimeout is how long after the order's stamp, a reading of the agent's clock, the
+	// agent may start the order. The stamp may be 10 s old when the order is sent.
 	orderStartTimeout = 15 * time.Second
 	// maxOrderAttempts bounds how often an order without a confirmation is sent.
 	maxOrderAttempts = 5
@@ -48,10 +48,10 @@
 	log      zerolog.Logger
 	history  history
 
-	// The following fields belong to one term as the holder. startTerm resets all but rate and
-	// rejected, which the rounds update.
+	// startTerm sets fence, planner, agentStates and unconfirmed for a new term as the lease's
+	// holder. Each round sets rate and rejected.
 	fence       uint64
-	machine     *placement.Placer
+	planner     *placement.Placer
 	agentStates map[string]*agentState
 	unconfirmed map[string]sentOrder
 	rate        float64
@@ -61,9 +61,9 @@
 // sentOrder is an order that was sent and may not be confirmed yet.
 type sentOrder struct {
 	order placement.Order
-	// slot is the slot that was just taken for the order. It is nil if the order fetches no
-	// weights or if it may have been sent before. Only if slot is set does a refusal prove that
-	// nothing is being fetched.
+	// slot is the slot that was taken for the order. It is set only for the first attempt of an
+	// order that fetches weights. A refusal then proves that nothing is being fetched, and the
+	// slot can be released.
 	slot     *placement.Slot
 	attempts int
 }
@@ -84,10 +84,10 @@
 func (p *placer) round(ctx context.Context, service *document.Service) {
 	grant, held := p.lease.Held()
 	if !held {
-		p.machine = nil
+		p.planner = nil
 		return
 	}
-	if p.machine == nil || p.fence != grant.Fence {
+	if p.planner == nil || p.fence != grant.Fence {
 		p.startTerm(grant.Fence)
 	}
 	in, err := p.observe(ctx, service)
@@ -96,14 +96,14 @@
 		return
 	}
 	p.resendUnconfirmed(ctx, in)
-	for _, action := range p.machine.Decide(time.Now(), in) {
+	for _, action := range p.planner.Decide(time.Now(), in) {
 		p.perform(ctx, action)
 	}
 }
 
 func (p *placer) startTerm(fence uint64) {
 	p.fence = fence
-	p.machine = placement.New(p.settings.Decisions)
+	p.planner = placement.New(p.settings.Decisions)
 	p.agentStates = make(map[string]*agentState)
 	p.unconfirmed = make(map[string]sentOrder)
 	p.log.Info().Uint64("fence", fence).Msg("this entry places the service")
@@ -132,13 +132,13 @@
 // sendSlotOrder takes a slot of the weight store and then sends the order.
 func (p *placer) sendSlotOrder(ctx context.Context, a placement.SlotOrder) {
 	if !p.holdsLease() {
-		p.machine.OrderDropped(a.Order.VM)
+		p.planner.OrderDropped(a.Order.VM)
 		return
 	}
 	version, err := p.rows.setSlot(ctx, a.Slot, a.Version, &a.Order, p.fence)
 	if err != nil {
 		// If the write was applied despite the error, the next round finds the order in the slot.
-		p.machine.OrderDropped(a.Order.VM)
+		p.planner.OrderDropped(a.Order.VM)
 		p.recordStep(a.Order, "no slot of the weight store: "+err.Error())
 		return
 	}
@@ -152,7 +152,7 @@
 // safe because it names the desired state, and its slot is left to expire.
 func (p *placer) sendOrder(ctx context.Context, sent sentOrder) {
 	if !p.holdsLease() {
-		p.machine.OrderDropped(sent.order.VM)
+		p.planner.OrderDropped(sent.order.VM)
 		return
 	}
 	orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -167,7 +167,7 @@
 		p.recordStep(sent.order, "given")
 	case sent.slot != nil:
 		p.recordStep(sent.order, "refused: "+answer.Detail)
-		p.machine.OrderDropped(sent.order.VM)
+		p.planner.OrderDropped(sent.order.VM)
 		p.releaseSlot(ctx, sent.slot.Index, sent.slot.Version)
 	default:
 		p.recordStep(sent.order, "refused: "+answer.Detail)
@@ -185,7 +185,7 @@
 
 // resendUnconfirmed sends unconfirmed orders again unless they are observed as done. If a done
 // order were sent again, an adapter would be fetched a second time while another order may
-// already use its slot.
+// already use its slot. Orders of agents that aren't live are dropped.
 func (p *placer) resendUnconfirmed(ctx context.Context, in *placement.Input) {
 	resend := p.unconfirmed
 	p.unconfirmed = make(map[string]sentOrder)
@@ -211,7 +211,7 @@
 	}
 }
 
-// releaseSlot clears a slot. If the write fails, the next round repeats it or the slot
+// releaseSlot releases a slot. If the write fails, the next round repeats it or the slot
 // expires.
 func (p *placer) releaseSlot(ctx context.Context, index int, version uint64) {
 	if !p.holdsLease() {
--- a/entry/process/policies.go
+++ b/entry/process/policies.go
@@ -55,7 +55,7 @@
 	return b.models.Choose(request, replicas, now)
 }
 
-// Finished implements routing.Learner. It reports to both policies. An agent has only one
+// Finished implements routing.OutcomeObserver. It reports to both policies. An agent has only one
 // service, so the policy of the other kind either does not know it or never uses the report.
 func (b *byKind) Finished(agent string, failed bool, now time.Time) {
 	if learner, ok := b.models.(routing.OutcomeObserver); ok {
--- a/entry/process/policies_test.go
+++ b/entry/process/policies_test.go
@@ -22,6 +22,7 @@
 	require.NotNil(t, policy.models)
 }
 
+// Guards against an entry that can't route because its settings name an unknown policy.
 func TestUnknownPolicyIgnoresLoad(t *testing.T) {
 	policy := Policies("unknown", 1)("s")
 	replicas := []routing.Replica{{Agent: "a", Model: "m", Incarnation: 1}}
--- a/entry/quota/ask.go
+++ b/entry/quota/ask.go
@@ -12,9 +12,9 @@
 // pendingRequest is a grant request that the owner has not answered yet. The shard's lock guards
 // all fields except done until done is closed.
 type pendingRequest struct {
-	request limits.GrantRequest
-	owner   string
-	bounds  *document.Limits
+	request   limits.GrantRequest
+	owner     string
+	orgLimits *document.Limits
 	// decision is the decision on the request for which the grant was requested. It is made
 	// under the same lock under which the grant is handled; otherwise another request could use
 	// the grant.
@@ -23,11 +23,11 @@
 }
 
 // requestUntilDecided sends grant requests to the owner until the request is decided.
-func (e *Enforcer) requestUntilDecided(s *shard, key limits.Key, bounds *document.Limits, tokens int) limits.Decision {
+func (e *Enforcer) requestUntilDecided(s *shard, key limits.Key, orgLimits *document.Limits, tokens int) limits.Decision {
 	timer := time.NewTimer(pendingTimeout)
 	defer timer.Stop()
 	for {
-		decision, q, created := s.decideOrRequest(key, bounds, tokens)
+		decision, q, created := s.decideOrRequest(key, orgLimits, tokens)
 		switch {
 		case q == nil:
 			return decision
@@ -47,11 +47,11 @@
 
 // decideOrRequest decides again or returns the organisation's pending grant request; created is
 // set if it was created for this request.
-func (s *shard) decideOrRequest(key limits.Key, bounds *document.Limits, tokens int) (decision limits.Decision, q *pendingRequest, created bool) {
+func (s *shard) decideOrRequest(key limits.Key, orgLimits *document.Limits, tokens int) (decision limits.Decision, q *pendingRequest, created bool) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	decision = s.entry.Decide(now, key, bounds, tokens)
+	decision = s.entry.Decide(now, key, orgLimits, tokens)
 	if decision.Outcome != limits.AskOwner {
 		return decision, nil, false
 	}
@@ -59,10 +59,10 @@
 		return decision, q, false
 	}
 	q = &pendingRequest{
-		request: s.entry.NewGrantRequest(now, key, tokens),
-		owner:   decision.Owner,
-		bounds:  bounds,
-		done:    make(chan struct{}),
+		request:   s.entry.NewGrantRequest(now, key, tokens),
+		owner:     decision.Owner,
+		orgLimits: orgLimits,
+		done:      make(chan struct{}),
 	}
 	s.pending[key] = q
 	return decision, q, true
@@ -141,7 +141,7 @@
 // complete decides on the request for which q was created, and wakes the requests that wait
 // for q. It is called with mu held.
 func (s *shard) complete(now time.Time, q *pendingRequest) {
-	q.decision = s.entry.Decide(now, q.request.Key, q.bounds, int(q.request.Tokens))
+	q.decision = s.entry.Decide(now, q.request.Key, q.orgLimits, int(q.request.Tokens))
 	delete(s.pending, q.request.Key)
 	close(q.done)
 }
@@ -170,11 +170,11 @@
 }
 
 func (e *Enforcer) grant(from string, request *limits.GrantRequest) limits.Grant {
-	bounds := e.config.Limits(request.Key)
+	orgLimits := e.config.Limits(request.Key)
 	s := e.shard(request.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.entry.HandleGrantRequest(time.Now(), from, request, bounds)
+	return s.entry.HandleGrantRequest(time.Now(), from, request, orgLimits)
 }
 
 func (e *Enforcer) handleGrant(m *link.LimitGrant) {
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -27,17 +27,17 @@
 	// about 3 ms, so a live owner answers long before, and the wait for a dead one delays the
 	// caller only a little.
 	grantTimeout = 200 * time.Millisecond
-	// pendingTimeout bounds the time that a request waits for the pending requests to the owner
-	// of its organisation.
+	// pendingTimeout bounds the time that a caller's request waits for pending grant requests of
+	// its organisation.
 	pendingTimeout = time.Second
-	// pendingRetryAfter is the RetryAfter of a request that waited for pendingTimeout.
+	// pendingRetryAfter is the RetryAfter of a request that is refused after pendingTimeout.
 	pendingRetryAfter = 500 * time.Millisecond
-	// tickInterval is the time between two releases of concurrency; see limits.Entry.Tick.
+	// tickInterval is the time between two reports to the owners; see limits.Entry.Tick.
 	tickInterval = 100 * time.Millisecond
 	// membersInterval is the time between two reads of the live entries.
 	membersInterval = time.Second
-	// shardCount is the number of locks, which keeps requests of different organisations from
-	// waiting for each other.
+	// shardCount is the number of shards. Each has its own lock, so that few organisations share
+	// one.
 	shardCount = 16
 )
 
@@ -63,10 +63,10 @@
 
 // Counters count what an Enforcer did.
 type Counters struct {
-	// Asked counts the grant requests to owners, Granted those that were answered, and Silent
-	// those that were not answered in time.
+	// Asked counts the grant requests to owners, Granted the answers to them, including those
+	// that grant nothing, and Silent the requests without an answer in time.
 	Asked, Granted, Silent atomic.Int64
-	// Answered counts the grant requests of other entries.
+	// Answered counts the answers to grant requests of other entries.
 	Answered atomic.Int64
 	// Refused counts the requests over a limit.
 	Refused atomic.Int64
@@ -103,8 +103,8 @@
 	mu    sync.Mutex
 	entry *limits.Entry
 	// pending holds the grant requests without an answer. There is at most one for each
-	// organisation, because each grants a single slot of concurrency and only the newest
-	// answer counts.
+	// organisation, because the answer to each grants a single slot of concurrency and only the
+	// newest answer counts.
 	pending map[limits.Key]*pendingRequest
 }
 
@@ -128,13 +128,13 @@
 // Admit decides on a request of the given tokens. It returns nil if the request is admitted;
 // Release must then be called at its end. It does not allocate if the request is admitted
 // without a grant request to an owner.
-func (e *Enforcer) Admit(key limits.Key, bounds *document.Limits, tokens int) *result.Error {
+func (e *Enforcer) Admit(key limits.Key, orgLimits *document.Limits, tokens int) *result.Error {
 	s := e.shard(key)
 	s.mu.Lock()
-	decision := s.entry.Decide(time.Now(), key, bounds, tokens)
+	decision := s.entry.Decide(time.Now(), key, orgLimits, tokens)
 	s.mu.Unlock()
 	if decision.Outcome == limits.AskOwner {
-		decision = e.requestUntilDecided(s, key, bounds, tokens)
+		decision = e.requestUntilDecided(s, key, orgLimits, tokens)
 	}
 	if decision.Outcome == limits.Admitted {
 		return nil
@@ -149,11 +149,11 @@
 }
 
 // Release records the end of a request that was admitted under these limits.
-func (e *Enforcer) Release(key limits.Key, bounds *document.Limits) {
+func (e *Enforcer) Release(key limits.Key, orgLimits *document.Limits) {
 	s := e.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entry.Release(key, bounds)
+	s.entry.Release(key, orgLimits)
 }
 
 // Owner returns the entry that owns an organisation's limits.
@@ -167,7 +167,8 @@
 // Members returns the number of live entries, including this one.
 func (e *Enforcer) Members() int { return len(e.members.Load().names) }
 
-// Run updates the live entries and releases concurrency until ctx ends.
+// Run updates the live entries, and reports the concurrency held and released to the owners,
+// until ctx ends.
 func (e *Enforcer) Run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -208,7 +209,8 @@
 	}
 }
 
-// tick sends each owner the concurrency that this entry holds.
+// tick reports to each owner the concurrency that this entry still holds. What has been released
+// since the last report thus becomes available to other entries.
 func (e *Enforcer) tick(ctx context.Context) {
 	holds := make(map[string][]link.LimitHold)
 	now := time.Now()
--- a/entry/quota/quota_test.go
+++ b/entry/quota/quota_test.go
@@ -22,14 +22,14 @@
 // cluster connects enforcers by links that deliver immediately. A silent entry accepts messages
 // and answers none.
 type cluster struct {
-	bounds    document.Limits
+	orgLimits document.Limits
 	enforcers map[string]*Enforcer
 	silent    map[string]*atomic.Bool
 	closed    atomic.Int64
 }
 
-func newCluster(t testing.TB, entries int, bounds document.Limits) *cluster {
-	c := &cluster{bounds: bounds, enforcers: make(map[string]*Enforcer), silent: make(map[string]*atomic.Bool)}
+func newCluster(t testing.TB, entries int, orgLimits document.Limits) *cluster {
+	c := &cluster{orgLimits: orgLimits, enforcers: make(map[string]*Enforcer), silent: make(map[string]*atomic.Bool)}
 	var live []fleet.Entry
 	for i := range entries {
 		name := fmt.Sprint("entry-", i)
@@ -41,7 +41,7 @@
 			Self:    entry.ID,
 			Entries: func() []fleet.Entry { return others(live, entry.ID) },
 			Connect: func(_ context.Context, vm, _ string) (Link, error) { return &fakeLink{c, entry.ID, vm}, nil },
-			Limits:  func(limits.Key) *document.Limits { return &c.bounds },
+			Limits:  func(limits.Key) *document.Limits { return &c.orgLimits },
 		})
 		c.enforcers[entry.ID].updateMembers()
 	}
@@ -90,13 +90,14 @@
 	return nil
 }
 
+// Guards against a limit that each entry enforces by itself: the fleet would admit a multiple of it.
 func TestRequestsOverAllEntriesShareOneLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4, document.Limits{RequestsPerSecond: 5})
 		admitted := 0
 		for range 20 {
 			for _, e := range c.enforcers {
-				err := e.Admit(key, &c.bounds, 1)
+				err := e.Admit(key, &c.orgLimits, 1)
 				if err == nil {
 					admitted++
 					continue
@@ -111,6 +112,8 @@
 	})
 }
 
+// Guards against concurrency that stays with the entry that used it: the other entries would
+// refuse requests below the limit.
 func TestReleasedConcurrencyIsAvailableAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, document.Limits{Concurrency: 2})
@@ -121,11 +124,11 @@
 		for range 5 {
 			for _, e := range c.enforcers {
 				for range 2 {
-					require.Nil(t, e.Admit(key, &c.bounds, 1))
+					require.Nil(t, e.Admit(key, &c.orgLimits, 1))
 				}
-				require.NotNil(t, e.Admit(key, &c.bounds, 1))
-				e.Release(key, &c.bounds)
-				e.Release(key, &c.bounds)
+				require.NotNil(t, e.Admit(key, &c.orgLimits, 1))
+				e.Release(key, &c.orgLimits)
+				e.Release(key, &c.orgLimits)
 				time.Sleep(pendingRetryAfter + tickInterval)
 				synctest.Wait()
 			}
@@ -142,10 +145,10 @@
 		e := c.notOwner()
 		c.silent[e.Owner(key)].Store(true)
 		started := time.Now()
-		require.Nil(t, e.Admit(key, &c.bounds, 1), "the local share admits one of four")
+		require.Nil(t, e.Admit(key, &c.orgLimits, 1), "the local share admits one of four")
 		require.Equal(t, grantTimeout, time.Since(started))
 		for range 3 {
-			_ = e.Admit(key, &c.bounds, 1)
+			_ = e.Admit(key, &c.orgLimits, 1)
 		}
 		require.Equal(t, grantTimeout, time.Since(started), "no request is sent to the owner again immediately")
 		require.Equal(t, int64(1), e.Counters.Silent.Load())
@@ -154,18 +157,19 @@
 		require.Equal(t, int64(1), c.closed.Load(), "the silent link is closed")
 
 		c.silent[e.Owner(key)].Store(false)
-		require.Nil(t, e.Admit(key, &c.bounds, 1))
+		require.Nil(t, e.Admit(key, &c.orgLimits, 1))
 		require.Equal(t, int64(1), e.Counters.Granted.Load(), "a request is sent to the owner again")
 	})
 }
 
+// Guards against waiting for an owner to which no link can be opened.
 func TestUnreachableOwnerCausesNoDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2, document.Limits{RequestsPerSecond: 4})
 		e := c.notOwner()
 		e.config.Connect = func(context.Context, string, string) (Link, error) { return nil, errors.New("refused") }
 		started := time.Now()
-		require.Nil(t, e.Admit(key, &c.bounds, 1))
+		require.Nil(t, e.Admit(key, &c.orgLimits, 1))
 		require.Zero(t, time.Since(started))
 	})
 }
@@ -179,7 +183,7 @@
 		var admitted atomic.Int64
 		for range 80 {
 			go func() {
-				if e.Admit(key, &c.bounds, 10) == nil {
+				if e.Admit(key, &c.orgLimits, 10) == nil {
 					admitted.Add(1)
 				}
 			}()
@@ -194,25 +198,26 @@
 
 var highLimits = document.Limits{RequestsPerSecond: 1e9, TokensPerSecond: 1e12, Concurrency: 1000}
 
+// Guards against an allocation for each request that needs no message.
 func TestDecisionDoesNotAllocate(t *testing.T) {
 	c := newCluster(t, 2, highLimits)
 	e := c.owner()
-	require.Nil(t, e.Admit(key, &c.bounds, 1))
+	require.Nil(t, e.Admit(key, &c.orgLimits, 1))
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		_ = e.Admit(key, &c.bounds, 1)
-		e.Release(key, &c.bounds)
+		_ = e.Admit(key, &c.orgLimits, 1)
+		e.Release(key, &c.orgLimits)
 	}))
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	for _, bounds := range []document.Limits{{}, highLimits} {
-		b.Run(fmt.Sprintf("unlimited=%t", bounds == document.Limits{}), func(b *testing.B) {
-			c := newCluster(b, 2, bounds)
+	for _, orgLimits := range []document.Limits{{}, highLimits} {
+		b.Run(fmt.Sprintf("unlimited=%t", orgLimits == document.Limits{}), func(b *testing.B) {
+			c := newCluster(b, 2, orgLimits)
 			e := c.owner()
 			b.ReportAllocs()
 			for b.Loop() {
-				_ = e.Admit(key, &c.bounds, 1)
-				e.Release(key, &c.bounds)
+				_ = e.Admit(key, &c.orgLimits, 1)
+				e.Release(key, &c.orgLimits)
 			}
 		})
 	}
