--- a/agent/command/examples_test.go
+++ b/agent/command/examples_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against examples that no longer pass the check of settings.
 func TestExamplesPassTheCheck(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "examples", "*", "agent-*.json"))
 	require.NoError(t, err)
@@ -19,6 +20,7 @@
 	require.Equal(t, commandline.ExitOK, code, "%s%s", &out, &errOut)
 }
 
+// Guards against metrics that listen on an address that depends on name resolution.
 func TestMetricsListenMustBeAnIPAddress(t *testing.T) {
 	for text, want := range map[string]bool{
 		`{}`:                                   false,
@@ -33,6 +35,7 @@
 	}
 }
 
+// Guards against an engine without a model, a plain service with one, and an unknown kind.
 func TestModelMustMatchUpstreamKind(t *testing.T) {
 	for text, path := range map[string]string{
 		`{"upstream":{"kind":"engine","service":"s","url":"http://h"}}`:            "$.upstream.model",
--- a/agent/orders/orders.go
+++ b/agent/orders/orders.go
@@ -15,12 +15,12 @@
 //   - A running order is cancelled at its timeout.
 //
 // The engine may check the fencing number as well. If it does not, an order that has reached
-// the engine continues there when this agent dies or cancels it. The next agent does not know
-// of that order, and a newer order may reach the engine while the old one is still loading; it
-// is then up to the engine which of the two it serves in the end. The entry sees what is
-// served and corrects it in a later round. Until then the replica serves a version or model
-// that is not wanted, and loading it has used bandwidth of the weight store. Orders that
-// others send to an engine directly, not through its agent, are not checked at all.
+// the engine continues there when this agent dies or cancels it. After a restart the agent does
+// not know of that order. A newer order may reach the engine while it still executes the old
+// one; which version it serves in the end then depends on the engine. The entry sees what is
+// served and corrects it in a later round. Until then the replica serves a version or model that
+// is not wanted, and loading it has used bandwidth of the weight store. Orders that others send
+// to an engine directly, not through its agent, are not checked at all.
 package orders
 
 import (
@@ -37,7 +37,7 @@
 
 // Reasons for refusing an order, besides those of lease.Guard.
 var (
-	// ErrExpired means that the order could not be started in time.
+	// ErrExpired means that the order was not started in time.
 	ErrExpired = errors.New("orders: not begun in time")
 	// ErrBusy means that the engine is executing another order.
 	ErrBusy = errors.New("orders: another order is under way")
@@ -69,7 +69,7 @@
 // New returns an Executor that has not seen any fencing number.
 func New(config Config) *Executor { return &Executor{config: config} }
 
-// OnMessage handles orders and requests for the status.
+// OnMessage handles orders and requests for the status. clock is as for Accept.
 func (x *Executor) OnMessage(c *link.Conn, clock func() int64, message link.Message) {
 	switch m := message.(type) {
 	case *link.StatusRequest:
@@ -92,44 +92,47 @@
 }
 
 // Accept starts an order, or returns why it is refused. An order that is already running is
-// accepted without being started again. clock is the clock from which order.Stamp was read.
+// accepted without being started again. clock returns the agent's time in nanoseconds, on
+// the clock from which order.Stamp was read.
 func (x *Executor) Accept(ctx context.Context, clock func() int64, order *link.Order) error {
-	if err := x.check(ctx, order.Fence); err != nil {
+	if err := x.checkFence(ctx, order.Fence); err != nil {
 		return err
 	}
 	// The age is taken after the check, because reading the row may have taken long.
 	if age := clock() - order.Stamp; age > order.StartWithinMs*int64(time.Millisecond) {
 		return errors.WithMessagef(ErrExpired, "%v old", time.Duration(age))
 	}
-	return x.begin(order)
+	return x.start(order)
 }
 
-// check asks the guard whether an order with this fencing number may be executed. It first
-// reads the lease's row if that has not been done since the start.
-func (x *Executor) check(ctx context.Context, fence uint64) error {
-	err := x.checkGuard(fence)
+// checkFence asks the guard whether an order with this fencing number may be executed. It first
+// reads the lease's row if the agent has not read it since its start.
+func (x *Executor) checkFence(ctx context.Context, orderFence uint64) error {
+	err := x.checkSeenFence(orderFence)
 	if !errors.Is(err, lease.ErrNotRead) {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	row, readErr := x.config.ReadFence(ctx)
+	fence, readErr := x.config.ReadFence(ctx)
 	if readErr != nil {
 		return errors.WithMessage(err, readErr.Error())
 	}
 	x.mu.Lock()
-	x.guard.ObserveRow(row)
+	x.guard.ObserveRow(fence)
 	x.mu.Unlock()
-	return x.checkGuard(fence)
+	return x.checkSeenFence(orderFence)
 }
 
-func (x *Executor) checkGuard(fence uint64) error {
+// checkSeenFence compares an order's fencing number with those seen so far, without reading the
+// lease's row.
+func (x *Executor) checkSeenFence(orderFence uint64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.guard.Check(fence)
+	return x.guard.Check(orderFence)
 }
 
-func (x *Executor) begin(order *link.Order) error {
+func (x *Executor) start(order *link.Order) error {
 	requested := toEngine(order)
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/agent/orders/orders_test.go
+++ b/agent/orders/orders_test.go
@@ -80,6 +80,7 @@
 	}
 }
 
+// Guards against judging a version by calls that another version served, or by calls from long ago.
 func TestStatusCountsOnlyTheServedVersion(t *testing.T) {
 	x := New(Config{})
 	now := time.Unix(6000, 0)
--- a/agent/server/call.go
+++ b/agent/server/call.go
@@ -22,8 +22,8 @@
 	phaseEnded
 )
 
-// liveCall is one accepted call. Server.mu guards its queue position and phase; its own mu
-// guards its answer.
+// liveCall is one accepted call. Server.mu guards the call's phase and the fields that say so.
+// mu guards the fields after it: the answer, its subscribers and the reason of a cancellation.
 type liveCall struct {
 	offer         link.Offer
 	demand        call.TokenDemand
@@ -43,8 +43,8 @@
 	// retainUntil is how long an ended call is kept for entries that read slowly. It is
 	// guarded by Server.mu.
 	retainUntil time.Time
-	// group lists the base URLs of the other engines that hold part of the call's memory.
-	group []string
+	// memberURLs lists the base URLs of the other engines that hold part of the call's memory.
+	memberURLs []string
 
 	mu          sync.Mutex
 	bufferSpace *sync.Cond
@@ -67,8 +67,8 @@
 	done     bool
 }
 
-// replayBuffer holds the whole answer of a non-repeatable call, so that a repeat with the
-// same key gets the answer of the first run.
+// replayBuffer holds the whole answer of a non-repeatable call, so that another request with
+// the same key gets the answer of the first run.
 type replayBuffer struct {
 	frames []stream.Frame
 	bytes  int
@@ -107,21 +107,21 @@
 	return l.cancelError
 }
 
-// attach sends the preamble and then the answer from its beginning to an entry. It returns
-// false, with nothing sent, if the beginning of the answer is no longer available.
-func (l *liveCall) attach(c *link.Conn, streamBytes int, preamble []link.Message) bool {
+// attach sends the acceptance messages and then the answer from its beginning to an entry. It
+// returns false, with nothing sent, if the beginning of the answer is no longer available.
+func (l *liveCall) attach(c *link.Conn, streamBytes int, acceptance []link.Message) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if sub := l.subscriberFor(c); sub != nil {
 		// The entry repeats its offer on a new link because it has given up the old one.
-		sendAll(c, preamble)
+		sendAll(c, acceptance)
 		l.reattach(sub, c, 1)
 		return true
 	}
 	if l.seq > 0 && (l.offer.Repeatable || l.replay.overflowed) {
 		return false
 	}
-	sendAll(c, preamble)
+	sendAll(c, acceptance)
 	sub := &subscriber{entry: c.Peer(), conn: c, sender: stream.NewSender(streamBytes)}
 	l.subscribers = append(l.subscribers, sub)
 	c.Retain()
@@ -134,8 +134,8 @@
 	return true
 }
 
-func sendAll(c *link.Conn, preamble []link.Message) {
-	for _, message := range preamble {
+func sendAll(c *link.Conn, messages []link.Message) {
+	for _, message := range messages {
 		_ = c.Send(message)
 	}
 }
@@ -224,10 +224,10 @@
 	}
 }
 
-// emit appends one frame to the answer. It blocks while any subscriber's buffer is full, so
-// that backpressure from a slow caller affects only that caller's upstream call. It returns
-// false if the call was cancelled meanwhile.
-func (l *liveCall) emit(tokens uint32, data []byte, keptBytes int) bool {
+// emit appends one frame to the answer. It blocks while any subscriber's buffer is full. A slow
+// caller thus slows this call, with all its subscribers, but no other call. It returns false if
+// the call was cancelled meanwhile.
+func (l *liveCall) emit(tokens uint32, data []byte, maxReplayBytes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.ctx.Err() == nil && !l.hasRoom(len(data)) {
@@ -239,7 +239,7 @@
 	l.seq++
 	frame := stream.Frame{Attempt: l.offer.Attempt, Seq: l.seq, Tokens: tokens, Data: data}
 	if !l.offer.Repeatable {
-		l.replay.add(frame, keptBytes)
+		l.replay.add(frame, maxReplayBytes)
 	}
 	for _, sub := range l.subscribers {
 		sub.sender.Append(frame.Attempt, tokens, data)
@@ -268,14 +268,14 @@
 	return true
 }
 
-func (a *replayBuffer) add(frame stream.Frame, limit int) {
-	a.bytes += len(frame.Data)
-	if a.overflowed || a.bytes > limit {
-		a.overflowed = true
-		a.frames = nil
+func (b *replayBuffer) add(frame stream.Frame, maxBytes int) {
+	b.bytes += len(frame.Data)
+	if b.overflowed || b.bytes > maxBytes {
+		b.overflowed = true
+		b.frames = nil
 		return
 	}
-	a.frames = append(a.frames, frame)
+	b.frames = append(b.frames, frame)
 }
 
 // finish stores the end of the answer and sends it.
@@ -309,8 +309,8 @@
 	return true
 }
 
-// The send functions are called with mu held. They ignore failed sends: a frame stays in
-// the subscriber's buffer until the entry resumes or the subscriber is removed.
+// The send functions are called with mu held. They ignore failed sends: an unacknowledged frame
+// stays in the subscriber's buffer and is sent again when the entry resumes.
 func (l *liveCall) sendHead(sub *subscriber) {
 	if l.head != nil && !sub.detached {
 		_ = sub.conn.Send(l.head)
--- a/agent/server/group.go
+++ b/agent/server/group.go
@@ -15,7 +15,7 @@
 	// left for short requests.
 	groupMemoryShare = 0.9
 	// gatherTimeout bounds one attempt to reserve memory at all members. It is below
-	// groupConfirmTimeout.
+	// groupConfirmTimeout, so that no member's reservation expires while others are being asked.
 	gatherTimeout = 45 * time.Second
 	// groupHeartbeatInterval is how often a leader sends heartbeats to the members. It is well
 	// below OwnerTimeout of core/reservation.
@@ -39,8 +39,11 @@
 type groupCall struct {
 	server *Server
 	call   *liveCall
-	// attempt numbers the attempts to reserve memory, over all offers of the call.
-	attempt   call.Attempt
+	// reservationAttempt is the number of the current attempt to reserve memory. Numbers are not
+	// repeated over all offers of the call; see attemptStride.
+	reservationAttempt call.Attempt
+	// addresses and upstreams map an agent to its address for links and to the base URL of its
+	// engine.
 	addresses map[string]string
 	upstreams map[string]string
 	events    chan groupEvent
@@ -63,19 +66,19 @@
 // runGroup reserves memory at a group of engines, runs the call and releases the memory.
 func (s *Server) runGroup(l *liveCall) {
 	g := &groupCall{
-		server:    s,
-		call:      l,
-		attempt:   l.offer.Attempt * attemptStride,
-		addresses: make(map[string]string),
-		upstreams: make(map[string]string),
-		events:    make(chan groupEvent, groupEventBuffer),
+		server:             s,
+		call:               l,
+		reservationAttempt: l.offer.Attempt * attemptStride,
+		addresses:          make(map[string]string),
+		upstreams:          make(map[string]string),
+		events:             make(chan groupEvent, groupEventBuffer),
 	}
 	s.mu.Lock()
-	s.groups[l.offer.ID] = g
+	s.groupCalls[l.offer.ID] = g
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		delete(s.groups, l.offer.ID)
+		delete(s.groupCalls, l.offer.ID)
 		s.mu.Unlock()
 	}()
 	for l.ctx.Err() == nil {
@@ -98,7 +101,7 @@
 // call and returns false. It also returns false if the call was cancelled.
 func (g *groupCall) awaitRetry() bool {
 	s, l := g.server, g.call
-	g.attempt++
+	g.reservationAttempt++
 	if time.Until(l.deadline) > groupTickInterval && l.ctx.Err() == nil {
 		timer := time.NewTimer(groupTickInterval)
 		defer timer.Stop()
@@ -145,7 +148,7 @@
 	if e.lost {
 		return group.MemberLost(e.agent)
 	}
-	if e.attempt != g.attempt {
+	if e.attempt != g.reservationAttempt {
 		return nil
 	}
 	if e.upstream != "" {
@@ -164,7 +167,7 @@
 	tokens := (int64(l.demand.Tokens()) + int64(count) - 1) / int64(count)
 	members := []reservation.Member{{Agent: s.config.VM, Tokens: tokens}}
 	candidates := l.offer.Group
-	first := int(g.attempt-l.offer.Attempt*attemptStride) % max(len(candidates), 1)
+	first := int(g.reservationAttempt-l.offer.Attempt*attemptStride) % max(len(candidates), 1)
 	for i := range candidates {
 		if len(members) == count {
 			break
@@ -182,14 +185,14 @@
 			g.performLocal(action)
 			continue
 		}
-		go g.performRemote(action, g.attempt)
+		go g.performRemote(action, g.reservationAttempt)
 	}
 }
 
-// performLocal performs an action at this agent's own pool.
+// performLocal performs an action in this agent's own memory.
 func (g *groupCall) performLocal(action reservation.Action) {
 	s, l := g.server, g.call
-	attempt := g.attempt
+	attempt := g.reservationAttempt
 	now := time.Now()
 	answer := func(ok bool) {
 		g.post(groupEvent{agent: action.Agent, operation: action.Operation, attempt: attempt, ok: ok})
@@ -213,7 +216,7 @@
 		s.mu.Unlock()
 		answer(err == nil)
 	case reservation.DoRelease:
-		s.releaseShare(l.offer.ID, attempt)
+		s.releaseReservation(l.offer.ID, attempt)
 	}
 }
 
@@ -261,7 +264,7 @@
 // onHeld handles a member's answer.
 func (s *Server) onHeld(c *link.Conn, m *link.Held) {
 	s.mu.Lock()
-	g := s.groups[m.ID]
+	g := s.groupCalls[m.ID]
 	s.mu.Unlock()
 	if g == nil {
 		return
@@ -277,7 +280,7 @@
 func (s *Server) memberLost(vm string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, g := range s.groups {
+	for _, g := range s.groupCalls {
 		g.post(groupEvent{agent: vm, lost: true})
 	}
 }
@@ -288,7 +291,7 @@
 	var members []string
 	for agent, upstream := range g.upstreams {
 		if agent != s.config.VM {
-			l.group = append(l.group, upstream)
+			l.memberURLs = append(l.memberURLs, upstream)
 			members = append(members, agent)
 		}
 	}
@@ -316,7 +319,7 @@
 			return
 		case <-ticker.C:
 			for _, agent := range members {
-				g.performRemote(reservation.Action{Operation: reservation.DoConfirm, Agent: agent}, g.attempt)
+				g.performRemote(reservation.Action{Operation: reservation.DoConfirm, Agent: agent}, g.reservationAttempt)
 			}
 		}
 	}
--- a/agent/server/hold.go
+++ b/agent/server/hold.go
@@ -87,7 +87,7 @@
 	// The queue counts the prompts of the items that it pops as outstanding prefill in this
 	// engine. The prompt of a group is prefilled by the leader's engine; if it stayed counted
 	// here, no item behind it would ever start.
-	s.updateQueue()
+	s.setRunningInQueue()
 	err := s.memory.Reserve(reservation.Reservation{
 		ID:       p.id,
 		Attempt:  p.attempt,
@@ -115,17 +115,17 @@
 	err := s.config.Engine.Reserve(ctx, p.id, p.tokens, time.Until(p.deadline)+reservationSlack)
 	if err != nil {
 		s.log.Warn().Err(err).Stringer("request", p.id).Msg("the engine did not reserve a group's share")
-		s.releaseShare(p.id, p.attempt)
+		s.releaseReservation(p.id, p.attempt)
 	}
 	p.answer(err == nil)
 }
 
-// onRelease releases a group's share of the memory.
-func (s *Server) onRelease(m *link.Release) { s.releaseShare(m.ID, m.Attempt) }
+// onRelease releases a group's reservation.
+func (s *Server) onRelease(m *link.Release) { s.releaseReservation(m.ID, m.Attempt) }
 
-// releaseShare removes a group reservation from the queue or, if it was granted, from the
-// pool and the engine.
-func (s *Server) releaseShare(id call.ID, attempt call.Attempt) {
+// releaseReservation removes a group reservation from the queue or, if it was granted, from this
+// agent's memory and the engine.
+func (s *Server) releaseReservation(id call.ID, attempt call.Attempt) {
 	s.mu.Lock()
 	if p := s.pendingReservations[id]; p != nil && p.attempt <= attempt {
 		delete(s.pendingReservations, id)
--- a/agent/server/load_exchange.go
+++ b/agent/server/load_exchange.go
@@ -69,7 +69,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.group.SetPeers(peers)
+	s.peers.SetPeers(peers)
 	return addresses
 }
 
@@ -89,8 +89,8 @@
 	s.mu.Lock()
 	own := s.report()
 	digest := toDigest(&own, now)
-	s.group.SetModel(s.model)
-	to := s.group.Recipients(now, &digest)
+	s.peers.SetModel(s.model)
+	to := s.peers.Recipients(now, &digest)
 	s.mu.Unlock()
 	for _, vm := range to {
 		go s.sendLoads(ctx, vm, addresses[vm], &link.Loads{Reports: []link.LoadReport{own}})
@@ -112,14 +112,14 @@
 	defer s.mu.Unlock()
 	for i := range m.Reports {
 		s.revision = max(s.revision, m.Reports[i].Revision)
-		s.group.Receive(toDigest(&m.Reports[i], now))
+		s.peers.Receive(toDigest(&m.Reports[i], now))
 	}
 }
 
 // peerLoads returns the digests of the least loaded peers for a reply, or nil if there are
 // none. It is called with mu held.
 func (s *Server) peerLoads(now time.Time) *link.Loads {
-	best := s.group.LeastLoaded(now, maxPeerDigests)
+	best := s.peers.LeastLoaded(now, maxPeerDigests)
 	if len(best) == 0 {
 		return nil
 	}
--- a/agent/server/memory.go
+++ b/agent/server/memory.go
@@ -45,9 +45,9 @@
 	return options
 }
 
-// reserve reserves a call's memory before the call starts. If that fails, it refuses the
+// reserveOrRefuse reserves a call's memory before the call starts. If that fails, it refuses the
 // call and returns false. It is called with mu held.
-func (s *Server) reserve(l *liveCall, now time.Time) bool {
+func (s *Server) reserveOrRefuse(l *liveCall, now time.Time) bool {
 	if s.config.Engine == nil {
 		return true
 	}
@@ -116,7 +116,7 @@
 	if call.ClassOf(l.demand.PromptTokens) == call.Short {
 		s.running.ShortMemory += sign * int64(l.demand.Tokens())
 	}
-	s.updateQueue()
+	s.setRunningInQueue()
 }
 
 // countPrefill counts a call's prompt as outstanding prefill in the engine, from the call's
@@ -129,10 +129,11 @@
 		s.running.Prefill[call.ClassOf(l.demand.PromptTokens)] += sign * int64(l.demand.PromptTokens)
 	}
 	l.prefilling = sign > 0
-	s.updateQueue()
+	s.setRunningInQueue()
 }
 
-func (s *Server) updateQueue() {
+// setRunningInQueue passes the counts of running calls to the queue. It is called with mu held.
+func (s *Server) setRunningInQueue() {
 	if s.priority != nil {
 		s.priority.SetRunning(s.running)
 	}
--- a/agent/server/memory_test.go
+++ b/agent/server/memory_test.go
@@ -31,10 +31,10 @@
 
 const testCapacity = 1000
 
-// A group's share is reserved and confirmed, then the engine restarts and loses it while the
-// leader's heartbeats continue. If the share stayed reserved, the agent would refuse calls
+// A group's memory is reserved and confirmed, then the engine restarts and loses it while the
+// leader's heartbeats continue. If the memory stayed reserved, the agent would refuse calls
 // for lack of memory beside an empty engine. The reservation of a call with an open stream
-// stays, since the end of the stream frees it.
+// stays, because the end of the stream frees it.
 func TestMemoryLostByEngineIsReleased(t *testing.T) {
 	upstream := &emptyEngine{started: make(chan call.ID, 1)}
 	s := startServer(t, func(c *Config) { c.Engine = upstream })
--- a/agent/server/offer.go
+++ b/agent/server/offer.go
@@ -35,8 +35,8 @@
 //
 // The entry is attached to its call before mu is released, because from then on the handler
 // of any other message may start the call. If the engine answered at once, the first frame
-// would be emitted before the entry is attached; a repeatable call stores no frames, so the
-// entry would be refused a call that runs.
+// would be emitted before the entry is attached. As a repeatable call stores no frames, the
+// entry's offer would be refused although the call runs.
 func (s *Server) applyVerdict(c *link.Conn, offer *link.Offer, now time.Time) *result.Error {
 	verdict := s.ledger.Offer(now, idempotency.Offer{
 		ID:         offer.ID,
@@ -72,10 +72,10 @@
 
 // replay sends the stored answer of a call that has ended. It is called with mu held.
 //
-// Only a call that an entry was attached to becomes live again, and its removal is scheduled
-// as for a call that has just ended. Otherwise the call would stay live forever if the entry
-// dies before its ack, or is refused because the answer was not kept, and a drain would wait
-// for it until its limit.
+// The call becomes live again only if the entry could be attached; a call whose answer was not
+// kept would otherwise stay live. Its removal is scheduled as for a call that has just ended,
+// in case the entry dies before its ack. A call that stayed live would hold up a drain until
+// the drain's limit.
 func (s *Server) replay(c *link.Conn, offer *link.Offer, l *liveCall, now time.Time) *result.Error {
 	if err := s.attachRepeat(c, l); err != nil {
 		return err
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// precheck refuses offers that are invalid in every copy: the body's announced size and the
-// service are the same in all of them, so no copy can have run. It therefore reports not-run
-// without asking the ledger and needs no tombstone.
+// precheck refuses offers that are invalid however often they are repeated: the body's announced
+// size and the service are the same in all repeats, so none of them can have run. It therefore
+// reports not-run without asking the ledger and needs no tombstone.
 func (s *Server) precheck(offer *link.Offer) *result.Error {
 	if offer.BodyBytes > s.config.Limits.BodyBytes {
 		return result.New(result.BodyTooLarge, result.NotRun, "%d bytes, at most %d", offer.BodyBytes, s.config.Limits.BodyBytes)
@@ -159,6 +159,7 @@
 		Deadline:     l.deadline,
 	}
 	if !s.queue.Push(item) {
+		// removeUnstarted must not subtract the call from the queued load, to which it was not added.
 		l.phase = phaseBody
 		s.refuseUnstarted(l, result.New(result.QueueFull, result.NotRun, ""))
 		return
@@ -181,8 +182,9 @@
 	return messages
 }
 
-// betterReplicaMargin is how many outstanding prompt tokens fewer than this agent a replica
-// must have to be named in a refusal. It corresponds to a tenth of a second of prefill.
+// betterReplicaMargin is the smallest difference in outstanding prompt tokens that counts: a
+// refusal names another replica only if it has that many fewer than this agent. It corresponds
+// to a tenth of a second of prefill.
 const betterReplicaMargin = 4000
 
 // refuse sends a refusal of an offer to its entry.
@@ -190,7 +192,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	if err.Better == "" {
-		err.Better = s.group.LessLoadedPeer(now, &s.loadCounters.load, 0, betterReplicaMargin)
+		err.Better = s.peers.LessLoadedPeer(now, &s.loadCounters.load, 0, betterReplicaMargin)
 	}
 	message := &link.Refused{
 		ID:           id,
@@ -274,7 +276,7 @@
 	left := l.unsubscribe(c)
 	switch {
 	case answer.Dequeued:
-		// Other tries of the same key may wait for this call, which will never run here.
+		// Other requests with the same key may wait for this call, which will never run here.
 		s.sendRefusal(l, result.New(result.Tombstoned, result.NotRun, ""))
 	case answer.Running && left == 0 && l.offer.Repeatable:
 		l.cancel(result.New(result.Cancelled, answer.Execution, ""))
@@ -357,14 +359,16 @@
 
 // dropDetached removes the subscribers whose entries have not resumed in time. A repeatable
 // call without subscribers is cancelled, so that its memory becomes free. A non-repeatable
-// call runs to its end, because a repeat of its key may ask for the answer.
+// call runs to its end, because another request with the same key may ask for the answer.
 func (s *Server) dropDetached(l *liveCall) {
 	if l.removeSubscribers(true) == 0 && l.offer.Repeatable {
 		s.abandon(l)
 	}
 }
 
+// abandon ends a repeatable call that has no subscriber left.
 func (s *Server) abandon(l *liveCall) {
+	// Unknown holds whether the call is waiting or running. Usually no subscriber is left to get it.
 	err := result.New(result.CallerGone, result.Unknown, "its entry did not come back")
 	s.mu.Lock()
 	if l.phase < phaseRunning {
--- a/agent/server/run.go
+++ b/agent/server/run.go
@@ -41,8 +41,8 @@
 			continue
 		}
 		l := s.live[item.ID]
-		if l == nil || !s.reserve(l, now) {
-			s.updateQueue()
+		if l == nil || !s.reserveOrRefuse(l, now) {
+			s.setRunningInQueue()
 			continue
 		}
 		l.priority = s.enginePriority(&item, now)
@@ -96,7 +96,7 @@
 func (s *Server) completeCall(l *liveCall, end *link.End) {
 	now := time.Now()
 	s.mu.Lock()
-	if len(l.group) == 0 {
+	if len(l.memberURLs) == 0 {
 		s.memory.Release(l.offer.ID, l.offer.Attempt, now)
 	}
 	s.runningCalls--
@@ -135,7 +135,7 @@
 		s.scheduleRemoval(l)
 		return
 	}
-	// A subscriber retains its link, so it must not outlive the call.
+	// Each remaining subscriber retains a link, which must be released with the call.
 	for _, c := range l.removeAllSubscribers() {
 		c.Release()
 	}
@@ -161,7 +161,7 @@
 		Delivered:       l.offer.Delivered,
 		DeliveredTokens: l.offer.DeliveredTokens,
 		Priority:        l.priority,
-		Group:           l.group,
+		Group:           l.memberURLs,
 		TimeLeft:        time.Until(l.deadline),
 		TraceParent:     traceParent,
 	})
@@ -194,7 +194,8 @@
 	s.countPrefill(l, -1)
 	loads := &link.Loads{Reports: []link.LoadReport{s.report()}}
 	s.mu.Unlock()
-	// Otherwise the entry would count the prompt as outstanding until the answer's end.
+	// Without a new report now, the entry would count the prompt as outstanding until the answer's
+	// end.
 	l.notify(loads)
 	// The engine can prefill the next prompt.
 	s.startQueued()
@@ -240,10 +241,10 @@
 	}
 }
 
-// engineExecution returns what a failure proves about the execution of the call. A refusal
-// for lack of memory may come in the middle of a run, and a connection that broke without an
-// answer may have delivered the request. Reporting either as not-run or ran would claim more
-// than is known.
+// engineExecution returns what a failure proves about the execution of the call. Before the
+// stream has begun, a refusal for lack of memory may come in the middle of the prefill, and a
+// connection that broke without an answer may have delivered the request. Neither proves that
+// the call ran or that it did not, so both are Unknown.
 func engineExecution(err error, begun bool) result.Execution {
 	switch {
 	case begun:
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -105,13 +105,13 @@
 	priority            *scheduling.Priority
 	objective           string
 	pendingReservations map[call.ID]*pendingReservation
-	groups              map[call.ID]*groupCall
+	groupCalls          map[call.ID]*groupCall
 	// running describes the started calls for the queue.
 	running scheduling.Running
 	// runningCalls is the number of calls running at the upstream.
 	runningCalls int
 	loadCounters loadCounters
-	group        *load.Group
+	peers        *load.Group
 	// model is the model in the engine's last report.
 	model string
 	// missedReports counts consecutive missed reports of the engine.
@@ -142,9 +142,9 @@
 		ledger:              idempotency.NewLedger(config.Incarnation, idempotency.DefaultLimits),
 		queue:               config.Queue,
 		live:                make(map[call.ID]*liveCall),
-		group:               load.NewGroup(config.VM),
+		peers:               load.NewGroup(config.VM),
 		pendingReservations: make(map[call.ID]*pendingReservation),
-		groups:              make(map[call.ID]*groupCall),
+		groupCalls:          make(map[call.ID]*groupCall),
 		awaitingLeft:        make(map[*link.Conn]struct{}),
 		model:               config.Model,
 	}
