--- a/core/routing/combined_test.go
+++ b/core/routing/combined_test.go
@@ -85,7 +85,8 @@
 	plain := &Request{Demand: call.TokenDemand{PromptTokens: 1000}, Zone: "zone-1"}
 	chosen := c.Choose(plain, replicas, startTime)
 	require.Equal(t, "zone-1", replicas[chosen.Index].Zone)
-	require.InDelta(t, 25*time.Millisecond, chosen.Predicted, float64(time.Millisecond), "1000 tokens at 40,000 per second")
+	// 1000 tokens at 40,000 per second.
+	require.InDelta(t, 25*time.Millisecond, chosen.Predicted, float64(time.Millisecond))
 	replicas[1].Load.FreeTokens, replicas[4].Load.FreeTokens = 0, 0
 	require.NotEqual(t, "zone-1", replicas[c.Choose(plain, replicas, startTime).Index].Zone, "the replicas of the zone have no free memory")
 }
@@ -105,7 +106,8 @@
 		choice := NewCombined(DefaultOptions(seed)).Choose(&Request{Demand: call.TokenDemand{PromptTokens: 4000}, Zone: "zone-0"}, replicas, startTime.Add(20*time.Second))
 		counts[choice.Index]++
 	}
-	require.GreaterOrEqual(t, len(counts), 5, "if the report's age were ignored, all 40 would choose replica 3")
+	// If the report's age were ignored, all 40 would choose replica 3.
+	require.GreaterOrEqual(t, len(counts), 5)
 	require.Less(t, counts[3], 20)
 }
 
@@ -120,7 +122,8 @@
 		loads.add(2, 100, now)
 	}
 	require.Equal(t, maxHomes, loads.homes(1, 14, now))
-	require.Equal(t, 2, loads.homes(2, 14, now), "a 21st of the load is two thirds of one replica's share, and a home carries half a share")
+	// A 21st of the load is two thirds of one replica's share, and a home carries half a share.
+	require.Equal(t, 2, loads.homes(2, 14, now))
 	for range 4000 {
 		now = now.Add(50 * time.Millisecond)
 		loads.add(3, 2000, now)
