--- a/core/document/apply.go
+++ b/core/document/apply.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNoHeader means that an update without a header concerns a service that the snapshot
+// ErrUnknownService means that an update without a header concerns a service that the snapshot
 // does not have. An earlier update is missing, and all documents must be loaded again.
-var ErrNoHeader = errors.New("document: update of an unknown service")
+var ErrUnknownService = errors.New("document: update of an unknown service")
 
 // Apply returns the snapshot after the updates, at the given revision. It shares unchanged
 // parts with s, which it does not change.
@@ -71,7 +71,7 @@
 		return nil
 	}
 	if old == nil && update.Header == nil {
-		return errors.Wrap(ErrNoHeader, update.Service)
+		return errors.Wrap(ErrUnknownService, update.Service)
 	}
 	header := update.Header
 	var organisations []Organisation
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -200,7 +200,7 @@
 		requireEqualSnapshots(t, Compile(2, new), after)
 		requireEqualSnapshots(t, Compile(1, old), before)
 		_, err = before.Apply(3, []Update{{Service: "absent"}})
-		require.ErrorIs(t, err, ErrNoHeader)
+		require.ErrorIs(t, err, ErrUnknownService)
 	})
 }
 
@@ -218,7 +218,7 @@
 		require.Equal(t, wantPrincipal == nil, gotPrincipal == nil, key)
 		for _, service := range []string{"a", "b", "c"} {
 			if wantPrincipal != nil {
-				require.Equal(t, wantPrincipal.Row(service), gotPrincipal.Row(service))
+				require.Equal(t, wantPrincipal.OrganisationIn(service), gotPrincipal.OrganisationIn(service))
 			}
 		}
 	}
@@ -236,7 +236,7 @@
 func TestLookupsDoNotAllocate(t *testing.T) {
 	snapshot, hash := Compile(1, []*Service{testModelService("chat", "m", testOrganisation("x", "k"))}), HashKey("k")
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		if snapshot.Principal(hash).Row("chat") == nil || snapshot.Model("m") == nil {
+		if snapshot.Principal(hash).OrganisationIn("chat") == nil || snapshot.Model("m") == nil {
 			panic("not found")
 		}
 	}))
@@ -246,7 +246,7 @@
 	snapshot, hash := Compile(1, []*Service{largeService()}), HashKey("17500")
 	b.ReportAllocs()
 	for b.Loop() {
-		if snapshot.Principal(hash).Row("chat") == nil || snapshot.Model("m") == nil {
+		if snapshot.Principal(hash).OrganisationIn("chat") == nil || snapshot.Model("m") == nil {
 			b.Fatal("not found")
 		}
 	}
--- a/core/document/snapshot.go
+++ b/core/document/snapshot.go
@@ -19,9 +19,9 @@
 	organisation *Organisation
 }
 
-// Row returns the organisation as service's document describes it, or nil if it may not call
-// the service.
-func (p *Principal) Row(service string) *Organisation {
+// OrganisationIn returns the organisation as service's document describes it, or nil if it may
+// not call the service.
+func (p *Principal) OrganisationIn(service string) *Organisation {
 	for i := range p.grants {
 		if p.grants[i].service == service {
 			return p.grants[i].organisation
@@ -87,20 +87,20 @@
 // Models calls yield for each model that the principal may call, in no particular order.
 func (s *Snapshot) Models(principal *Principal, yield func(*ModelRef)) {
 	for _, ref := range s.models {
-		if principal.Row(ref.Service.Name) != nil {
+		if principal.OrganisationIn(ref.Service.Name) != nil {
 			yield(ref)
 		}
 	}
 }
 
-// Row returns an organisation as a service's document describes it, or nil if it may not call
-// the service.
-func (s *Snapshot) Row(service, organisation string) *Organisation {
+// OrganisationIn returns an organisation as a service's document describes it, or nil if it may
+// not call the service.
+func (s *Snapshot) OrganisationIn(service, organisation string) *Organisation {
 	principal := s.principalOf(organisation)
 	if principal == nil {
 		return nil
 	}
-	return principal.Row(service)
+	return principal.OrganisationIn(service)
 }
 
 func (s *Snapshot) principalOf(name string) *Principal {
--- a/entry/capacity/documents_test.go
+++ b/entry/capacity/documents_test.go
@@ -29,7 +29,7 @@
 			hash := document.HashKey(fmt.Sprint(n / 2))
 			b.ReportAllocs()
 			for b.Loop() {
-				if snapshot.Principal(hash).Row(serviceName) == nil {
+				if snapshot.Principal(hash).OrganisationIn(serviceName) == nil {
 					b.Fatal("not found")
 				}
 			}
--- a/entry/dev/limits_test.go
+++ b/entry/dev/limits_test.go
@@ -136,7 +136,7 @@
 	answered := func() (sum int64) {
 		for _, e := range survivors {
 			callLimited(t, e)
-			sum += e.Quota.Counters.Granted.Load()
+			sum += e.Quota.Counters.AnswersReceived.Load()
 		}
 		return sum
 	}
--- a/entry/flight/crash.go
+++ b/entry/flight/crash.go
@@ -39,10 +39,10 @@
 	if q == nil {
 		return nil
 	}
-	if f.crashes > 0 && q.OneCrashFromHold(f.spec.Print()) && !pause(ctx, verdictWait) {
+	if f.crashes > 0 && q.OneCrashFromHold(f.spec.Fingerprint()) && !pause(ctx, verdictWait) {
 		return nil // The caller is gone or the deadline has passed; the machine detects both.
 	}
-	left, held := q.Held(f.spec.Print)
+	left, held := q.Held(f.spec.Fingerprint)
 	if !held {
 		return nil
 	}
@@ -55,11 +55,11 @@
 	switch {
 	case q == nil:
 	case end.Code == result.OK:
-		q.RecordAnswer(f.spec.Print)
+		q.RecordAnswer(f.spec.Fingerprint)
 	case end.Code == result.UpstreamCrashed:
 		// The detail distinguishes the incarnations of the upstream beside an agent.
 		q.RecordCrash(dispatch.Upstream{ID: f.target.Agent + ": " + end.Detail}, []quarantine.Suspect{{
-			Print: f.spec.Print(), Request: f.spec.ID.String(), Route: f.spec.Route.Service,
+			Print: f.spec.Fingerprint(), Request: f.spec.ID.String(), Route: f.spec.Route.Service,
 			Organisation: f.spec.Route.Organisation, AfterCrash: f.crashes > 0,
 		}})
 		f.crashes++
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -50,8 +50,8 @@
 	// Admit, if not nil, is called once, before the first offer. It returns a refusal if the
 	// request can't start in time, given the predicted time to its first token.
 	Admit func(predicted time.Duration) *result.Error
-	// Print returns the fingerprint of the request's content.
-	Print func() fingerprint.Print
+	// Fingerprint returns the fingerprint of the request's content.
+	Fingerprint func() fingerprint.Print
 	// Observe is called at each step, for explanations; it may be nil.
 	Observe func(Step)
 }
--- a/entry/front/generate.go
+++ b/entry/front/generate.go
@@ -40,7 +40,7 @@
 		return
 	}
 	ref := q.snapshot.Model(g.Model)
-	if ref == nil || q.principal.Row(ref.Service.Name) == nil {
+	if ref == nil || q.principal.OrganisationIn(ref.Service.Name) == nil {
 		q.fail(result.New(result.UnknownModel, result.NotRun, "model %q", g.Model))
 		return
 	}
@@ -116,9 +116,9 @@
 			Prefix:       digests,
 			PromptBytes:  len(g.Prompt),
 		},
-		MaxRetries: maxRetries,
-		Print:      sync.OnceValue(q.fingerprint),
-		Observe:    q.observe,
+		MaxRetries:  maxRetries,
+		Fingerprint: sync.OnceValue(q.fingerprint),
+		Observe:     q.observe,
 	}, nil
 }
 
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -133,7 +133,7 @@
 // budget without bound. releaseQuota must be called at the end if admit returns nil.
 func (q *request) admit(service *document.Service, spec *flight.Spec) *result.Error {
 	q.quotaKey = limits.Key{Service: service.Name, Organisation: q.principal.Organisation}
-	q.orgLimits = &q.principal.Row(service.Name).Limits
+	q.orgLimits = &q.principal.OrganisationIn(service.Name).Limits
 	if err := q.front.config.Quota.Admit(q.quotaKey, q.orgLimits, spec.Route.Demand.Tokens()); err != nil {
 		return err
 	}
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -62,7 +62,7 @@
 	if service == nil || service.Kind != document.KindPlain {
 		return result.New(result.UnknownService, result.NotRun, "service %q", name)
 	}
-	if q.principal.Row(name) == nil {
+	if q.principal.OrganisationIn(name) == nil {
 		return result.New(result.NotAllowed, result.NotRun, "organisation %q, service %q", q.principal.Organisation, name)
 	}
 	return nil
@@ -103,10 +103,10 @@
 			Organisation: q.principal.Organisation,
 			Zone:         q.front.config.Zone,
 		},
-		MaxRetries: maxRetries,
-		Key:        key,
-		Print:      sync.OnceValue(q.fingerprint),
-		Observe:    q.observe,
+		MaxRetries:  maxRetries,
+		Key:         key,
+		Fingerprint: sync.OnceValue(q.fingerprint),
+		Observe:     q.observe,
 	}, nil
 }
 
--- a/entry/process/process.go
+++ b/entry/process/process.go
@@ -351,8 +351,8 @@
 // not in them has no limits here: the requesting entry has checked it by its own documents.
 func (e *Entry) limitsOf(key limits.Key) *document.Limits {
 	if snapshot := e.snapshot(); snapshot != nil {
-		if row := snapshot.Row(key.Service, key.Organisation); row != nil {
-			return &row.Limits
+		if organisation := snapshot.OrganisationIn(key.Service, key.Organisation); organisation != nil {
+			return &organisation.Limits
 		}
 	}
 	return &document.Limits{}
--- a/entry/quota/ask.go
+++ b/entry/quota/ask.go
@@ -164,7 +164,7 @@
 
 func (e *Enforcer) handleGrantRequest(from string, c Link, m *link.LimitRequest) {
 	request := requestOf(m)
-	e.Counters.Answered.Add(1)
+	e.Counters.AnswersSent.Add(1)
 	grant := e.grant(from, &request)
 	_ = c.Send(grantMessage(&grant))
 }
@@ -179,7 +179,7 @@
 
 func (e *Enforcer) handleGrant(m *link.LimitGrant) {
 	grant := grantOf(m)
-	e.Counters.Granted.Add(1)
+	e.Counters.AnswersReceived.Add(1)
 	now := time.Now()
 	s := e.shard(grant.Key)
 	s.mu.Lock()
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -63,11 +63,11 @@
 
 // Counters count what an Enforcer did.
 type Counters struct {
-	// Asked counts the grant requests to owners, Granted the answers to them, including those
-	// that grant nothing, and Silent the requests without an answer in time.
-	Asked, Granted, Silent atomic.Int64
-	// Answered counts the answers to grant requests of other entries.
-	Answered atomic.Int64
+	// Asked counts the grant requests to owners, AnswersReceived the answers to them, including
+	// those that grant nothing, and Silent the requests without an answer in time.
+	Asked, AnswersReceived, Silent atomic.Int64
+	// AnswersSent counts the answers to grant requests of other entries.
+	AnswersSent atomic.Int64
 	// Refused counts the requests over a limit.
 	Refused atomic.Int64
 }
@@ -76,9 +76,9 @@
 func (c *Counters) Map() map[string]int64 {
 	return map[string]int64{
 		"asked":    c.Asked.Load(),
-		"granted":  c.Granted.Load(),
+		"granted":  c.AnswersReceived.Load(),
 		"silent":   c.Silent.Load(),
-		"answered": c.Answered.Load(),
+		"answered": c.AnswersSent.Load(),
 		"refused":  c.Refused.Load(),
 	}
 }
--- a/entry/quota/quota_test.go
+++ b/entry/quota/quota_test.go
@@ -158,7 +158,7 @@
 
 		c.silent[e.Owner(key)].Store(false)
 		require.Nil(t, e.Admit(key, &c.orgLimits, 1))
-		require.Equal(t, int64(1), e.Counters.Granted.Load(), "a request is sent to the owner again")
+		require.Equal(t, int64(1), e.Counters.AnswersReceived.Load(), "a request is sent to the owner again")
 	})
 }
 
--- a/peers/documents/documents_test.go
+++ b/peers/documents/documents_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	require.Equal(t, `"3"`, loaded.ETag("a"))
 	require.Equal(t, `"2"`, loaded.ETag("b"))
-	require.Nil(t, loaded.Snapshot.Principal(document.HashKey("x")).Row("a"))
+	require.Nil(t, loaded.Snapshot.Principal(document.HashKey("x")).OrganisationIn("a"))
 	changes, err := s.Changes(ctx, 1)
 	require.NoError(t, err)
 	require.Equal(t, []string{"x"}, changes[1].Update.Drop, "only the changed rows are written")
--- a/peers/documents/load.go
+++ b/peers/documents/load.go
@@ -115,7 +115,7 @@
 func (s *Store) Load(ctx context.Context) (*State, error) {
 	for range maxLoadAttempts {
 		state, err := s.loadOnce(ctx)
-		if !errors.Is(err, ErrCompacted) && !errors.Is(err, document.ErrNoHeader) {
+		if !errors.Is(err, ErrCompacted) && !errors.Is(err, document.ErrUnknownService) {
 			return state, err
 		}
 	}
