--- a/entry/dev/limits_test.go
+++ b/entry/dev/limits_test.go
@@ -137,7 +137,7 @@
 	granted := func() (sum int64) {
 		for _, e := range survivors {
 			callLimited(t, e)
-			sum += e.Quota.Counters.Granted.Load()
+			sum += e.Quota.Counters.AnswersReceived.Load()
 		}
 		return sum
 	}
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -62,14 +62,14 @@
 	if service == nil || service.Kind != document.KindPlain {
 		return result.New(result.UnknownService, result.NotRun, "service %q", name)
 	}
-	if q.principal.Row(name) == nil {
+	if q.principal.OrganisationIn(name) == nil {
 		return result.New(result.NotAllowed, result.NotRun, "organisation %q, service %q", q.principal.Organisation, name)
 	}
 	return nil
 }
 
 func (q *request) serviceSpec(service *document.Service) (flight.Spec, *result.Error) {
-	allowed, err := deadline.Parse(q.http.Header.Get(deadline.Header), deadline.BoundsFor(service, call.Short))
+	timeLeft, err := deadline.Parse(q.http.Header.Get(deadline.Header), deadline.BoundsFor(service, call.Short))
 	if err != nil {
 		return flight.Spec{}, err
 	}
@@ -81,12 +81,12 @@
 	}
 	q.record.Update(func(r *record.Request) {
 		r.Service = service.Name
-		r.Deadline = allowed.String()
+		r.Deadline = timeLeft.String()
 	})
 	return flight.Spec{
 		ID:       q.id,
 		Body:     q.body,
-		Deadline: q.started.Add(allowed),
+		Deadline: q.started.Add(timeLeft),
 		Offer: link.Offer{
 			Service:      service.Name,
 			Organisation: q.principal.Organisation,
@@ -103,10 +103,10 @@
 			Organisation: q.principal.Organisation,
 			Zone:         q.front.config.Zone,
 		},
-		MaxRetries: maxRetries,
-		Key:        key,
-		Print:      sync.OnceValue(q.fingerprint),
-		Observe:    q.observe,
+		MaxRetries:  maxRetries,
+		Key:         key,
+		Fingerprint: sync.OnceValue(q.fingerprint),
+		Observe:     q.observe,
 	}, nil
 }
 
