--- a/core/dispatch/costs.go
+++ b/core/dispatch/costs.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// requestValue returns the value of a request by the size of its prompt. It approximates the
-// callers' price sheets: 1.3 for 5,000 tokens, 3.9 for 45,000 and 24 for 182,000.
+// requestValue returns the value of a request by the size of its prompt. It is a linear
+// approximation of the callers' price sheets, which give 1.3 for 5,000 tokens, 3.9 for 45,000
+// and 24 for 182,000.
 func requestValue(promptTokens int) float64 { return 0.7 + 0.12*float64(promptTokens)/1000 }
 
 // lateProbability returns the probability that something predicted to take t misses its target.
 func lateProbability(t, target time.Duration) float64 { return missProbability(t, target, safeShare) }
 
-// missProbability is lateProbability with an explicit share of the target that is surely met.
+// missProbability is lateProbability with an explicit share of the target up to which a
+// prediction counts as surely in time.
 func missProbability(t, target time.Duration, safe float64) float64 {
 	if target <= 0 {
 		return 1
@@ -28,7 +30,8 @@
 	return s.expectedLoss(t) + valuePerSecond*t.Seconds()
 }
 
-// expectedLoss is the value that the request loses if its first event comes after t.
+// expectedLoss is the value that the request is expected to lose if its first event comes after
+// t: lateLossShare past the target, and the rest past the deadline.
 func (s *search) expectedLoss(t time.Duration) float64 {
 	value := requestValue(s.request.PromptTokens)
 	loss := value * lateLossShare * lateProbability(t, s.request.FirstEventTarget)
@@ -61,8 +64,9 @@
 		return 0
 	}
 	pass := s.spec.PassTime(u.streams, u.contextTokens) + u.backlog
-	// Short prompts are many, and several entries may place one on an engine at the same time;
-	// parts of long prompts are known to all entries.
+	// Pauses from parts of long prompts are predicted accurately, because all entries know of
+	// the parts. Of the many short prompts, several entries may place one on an engine at the
+	// same time.
 	safe := safeShare
 	if s.prefillTime >= splitThreshold {
 		safe = safeGapShare
@@ -78,8 +82,9 @@
 	return sum
 }
 
-// safeEndShare is the share of a stream's time left up to which its predicted end is surely in
-// time. The length of its answer is an estimate, and others may be placed beside it.
+// safeEndShare is the share of the time to a stream's deadline up to which its predicted end
+// counts as surely in time. The margin is for the length of its answer, which is an estimate,
+// and for requests that are placed beside it later.
 const safeEndShare = 0.7
 
 // maxPrefillUtilisation bounds the predicted share of time that an engine spends on prefill;
@@ -104,12 +109,12 @@
 	}
 }
 
-// overrunProbability is the probability that a stream exceeds its deadline because its engine
-// prefills for longer.
+// overrunProbability is the increase of the probability that a stream exceeds its deadline if
+// its engine prefills for the given time.
 //
 // Limiting single pauses is not enough: an engine that fills every pass with prefill up to the
-// gap target decodes so slowly that streams of dozens of events reach their deadline, on
-// engines that spend only a third of their time on prefill.
+// gap target decodes so slowly that streams of dozens of events reach their deadline, even if it
+// spends only a third of its time on prefill.
 func (l *load) overrunProbability(prefill time.Duration) float64 {
 	if l.streamEnd == 0 || (l.streamEnd+prefill).Seconds() <= safeEndShare*l.toDeadline.Seconds() {
 		return 0
@@ -130,8 +135,8 @@
 // arrives.
 //
 // Short requests are packed, so all entries see the same engine with one slot left, and several
-// take it before they learn of each other. Without the probability of this, first events at
-// engines chosen with one slot left are hundreds of milliseconds late.
+// take it before they learn of each other. If the probability of this were ignored, first events
+// at engines chosen with one slot left would be hundreds of milliseconds late.
 func (s *search) slotCost(u *upstreamState) float64 {
 	freeSlots := max(s.spec.Slots-u.streams, 0)
 	if freeSlots >= len(s.takenProbability) {
@@ -162,8 +167,8 @@
 	return probabilities
 }
 
-// slotWait returns how long a request waits for a slot on an engine with so many current and
-// future streams. Streams end evenly over the time that one takes.
+// slotWait returns how long a request waits for a slot on an engine with the given number of
+// current and future streams. It assumes that streams end evenly over the time that one takes.
 func (s *search) slotWait(streams int) time.Duration {
 	excess := streams - s.spec.Slots
 	if excess < 0 || s.spec.Slots <= 0 {
@@ -179,11 +184,12 @@
 	return decodeTime * time.Duration(excess+1) / time.Duration(s.spec.Slots)
 }
 
-// fullCost keeps requests off an engine that would only queue them.
+// fullCost is the cost of queueing at a full engine, in addition to that of the wait.
 const fullCost = 0.3
 
 // positionCost is the cost of the engine's position in the list: short requests are packed at
-// the front, unless that opens an engine, and long ones at the back.
+// the front, and long ones at the back. A short request that opens the engine also costs
+// openingPenalty.
 func (s *search) positionCost(u *upstreamState) float64 {
 	if s.prefillTime >= splitThreshold {
 		return costPerPosition * float64(len(s.candidates)-u.position)
@@ -195,9 +201,8 @@
 	return cost
 }
 
-// opensEngine reports whether all streams of the engine tolerate longer pauses than this
-// request's would. Long prompts are prefilled there in larger parts than they could be beside
-// this request.
+// opensEngine reports whether all streams of the engine, if any, tolerate longer pauses than
+// this request. Long prompts can be prefilled there in larger parts than beside this request.
 func (s *search) opensEngine(u *upstreamState) bool {
 	return u.minGapTarget == 0 || u.minGapTarget > s.request.GapTarget
 }
@@ -215,11 +220,12 @@
 // they can be prefilled freely now.
 //
 // Without it, in a surge each short prompt goes where its prefill ends a few hundredths of a
-// second sooner; soon every engine decodes a short stream, and long prompts are refused for
-// lack of engines that tolerate long pauses.
+// second sooner; soon every engine decodes a short stream, and long prompts are refused because
+// no engine's streams tolerate long pauses.
 //
 // A request for several engines at once seldom waits while many sets are free, even at a high
-// utilisation, so the cost is the utilisation raised to the number of free sets.
+// utilisation, so the cost is maxOpeningCost times the utilisation raised to the number of free
+// sets.
 func (s *search) openingCost() float64 {
 	free := 0
 	for _, u := range s.candidates {
--- a/core/dispatch/event.go
+++ b/core/dispatch/event.go
@@ -10,7 +10,7 @@
 
 const (
 	// Placed, FirstEvent and Ended report the placement of a request, the first event of its
-	// answer and its end.
+	// answer, and its end or withdrawal from the queue.
 	Placed EventKind = iota + 1
 	FirstEvent
 	Ended
@@ -36,10 +36,11 @@
 type Event struct {
 	Kind   EventKind
 	Number uint64
-	// The other fields are set for Placed. First is the tag of the primary, and Tickets are the
-	// tokens that each helper holds. PartMs is the prefill time of each part, AimMs the time
-	// left to the target for the first event, GapMs the gap target and LeftMs the time left to
-	// the deadline.
+	// The fields up to LeftMs are set for Placed, and of them PartMs, AimMs and LeftMs for
+	// Waiting. First is the tag of the primary, Helpers are the tags of the helpers, and Tickets
+	// the tokens that each of them holds. Prompt and Output are the numbers of prompt and output
+	// tokens. PartMs is the prefill time of each part, AimMs the time left to the target for the
+	// first event, GapMs the gap target and LeftMs the time left to the deadline.
 	First   Tag
 	Helpers []Tag
 	Tickets []int
@@ -74,10 +75,11 @@
 	return e
 }
 
-// maxPendingEvents bounds the events waiting to be sent. While nobody takes them, the oldest
-// are dropped; other entries drop a placement by its deadline.
+// maxPendingEvents bounds the events waiting to be sent. If they are not taken, the oldest are
+// dropped; other entries remove a placement whose end they missed when it expires.
 const maxPendingEvents = 512
 
+// publish queues an event for the other entries. The least-outstanding rule uses no events.
 func (f *Fleet) publish(e Event) {
 	if f.settings.Rule == LeastOutstanding {
 		return
--- a/core/dispatch/evidence_test.go
+++ b/core/dispatch/evidence_test.go
@@ -44,8 +44,8 @@
 }
 
 // sendWithRetries sends one prompt through an entry with a limited number of tries. It returns
-// how often a draining engine refused it, and whether it was prefilled in the end.
-func (c *cluster) sendWithRetries(now time.Time, entry int, request *Request, draining func(string) bool, tries int) (refusals int, read bool) {
+// how often a draining engine refused it, and whether a try succeeded.
+func (c *cluster) sendWithRetries(now time.Time, entry int, request *Request, draining func(string) bool, tries int) (refusals int, prefilled bool) {
 	f := c.fleets[entry]
 	for range tries {
 		choice, id, verdict := f.Choose(now, request, spec)
@@ -70,8 +70,9 @@
 }
 
 // run simulates long prompts at all entries while a quarter of the engines drains and the
-// registry is unavailable.
-func (c *cluster) run() (refusals, read int) {
+// registry is unavailable. It returns the number of refusals and that of the prompts that were
+// prefilled.
+func (c *cluster) run() (refusals, prefilled int) {
 	draining := func(id string) bool { return id[len(id)-1]%4 == 0 }
 	now := start.Add(time.Second)
 	for n := range 60 {
@@ -79,13 +80,13 @@
 		refused, ok := c.sendWithRetries(now, n%len(c.fleets), request, draining, 2)
 		refusals += refused
 		if ok {
-			read++
+			prefilled++
 		}
 		now = now.Add(eventDelay)
 		c.exchange(now)
 		now = now.Add(60 * time.Millisecond)
 	}
-	return refusals, read
+	return refusals, prefilled
 }
 
 // Guards against every entry discovering draining engines by refusals of its own. The registry
@@ -94,11 +95,11 @@
 func TestDrainingEnginesAreDiscoveredOnce(t *testing.T) {
 	unshared := newCluster(20, 60)
 	unshared.shareReports = false
-	refusedUnshared, readUnshared := unshared.run()
-	refusals, read := newCluster(20, 60).run()
-	t.Logf("refused %d and prefilled %d of 60, without shared reports %d and %d", refusals, read, refusedUnshared, readUnshared)
+	refusedUnshared, prefilledUnshared := unshared.run()
+	refusals, prefilled := newCluster(20, 60).run()
+	t.Logf("refused %d and prefilled %d of 60, without shared reports %d and %d", refusals, prefilled, refusedUnshared, prefilledUnshared)
 	require.LessOrEqual(t, refusals, 2*15, "each draining engine refuses one prompt, and another one to confirm it")
-	require.GreaterOrEqual(t, read, 48)
+	require.GreaterOrEqual(t, prefilled, 48)
 	require.Less(t, refusals*2, refusedUnshared)
 }
 
@@ -122,8 +123,8 @@
 	require.Equal(t, NoUpstream, verdict)
 }
 
-// Choices of several engines are probed only after engines have gone down: otherwise, no round
-// trips are added.
+// Choices of several engines are probed only after engines have gone down, so that probes add no
+// round trips at other times.
 func TestSetsAreProbedOnlyAfterLosses(t *testing.T) {
 	f := newFleet(60, Predicted)
 	choice, id := choose(t, f, start, heavy(260_000))
--- a/core/dispatch/fleet.go
+++ b/core/dispatch/fleet.go
@@ -19,8 +19,8 @@
 	Revision uint64
 	// Removed is set if the registry no longer lists the upstream.
 	Removed bool
-	// Unreadable is set if the registration exists but can't be decoded. Whoever wrote it, it
-	// names no usable upstream.
+	// Unreadable is set if the registration exists but can't be decoded, so that it names no
+	// usable upstream.
 	Unreadable bool
 }
 
@@ -54,8 +54,9 @@
 	placements map[PlacementID]*placement
 	waiters    map[PlacementID]*waiter
 	// byTarget and onTime are buffers of queueAheadOf.
-	byTarget            []*waiter
-	onTime              []*waiter
+	byTarget []*waiter
+	onTime   []*waiter
+	// queueChanged is closed and replaced when a waiting request should call Choose again.
 	queueChanged        chan struct{}
 	lastPlacementNumber uint64
 	registry            registry
@@ -127,7 +128,7 @@
 	return f
 }
 
-// Upstreams returns the number of upstreams of a service that take requests.
+// Upstreams returns the number of upstreams of a service that are not draining.
 func (f *Fleet) Upstreams(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,8 +195,8 @@
 	return f.upstreams[id] != nil
 }
 
-// Draining reports whether an incarnation is registered as draining or no longer registered. An
-// incarnation replaced by a later one under the same ID is not draining.
+// Draining reports whether an incarnation is registered as draining, or its upstream is no
+// longer registered. An incarnation replaced by a later one under the same ID is not draining.
 func (f *Fleet) Draining(upstream Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -293,7 +294,8 @@
 	return previous, restarted
 }
 
-// remove removes an upstream, or schedules its removal if the registry has just had an outage.
+// remove removes an upstream, or schedules its removal if the registry has just had an outage
+// and the upstream is not draining.
 func (f *Fleet) remove(now time.Time, id string) {
 	u := f.upstreams[id]
 	if u == nil {
@@ -360,9 +362,9 @@
 	return u.supersededBy != nil && !u.supersededBy.health.ProvedDown()
 }
 
-// candidates returns the upstreams that may take a request: not draining, not excluded by the
-// request or by evidence, and not superseded. If none is left, evidence and superseding are
-// ignored, so that they never leave a service without upstreams.
+// candidates appends to result the upstreams that may take a request: those that accept it (see
+// accepts) and are neither excluded by evidence nor superseded. If there are none, evidence and
+// superseding are ignored, so that they never leave a service without upstreams.
 func (f *Fleet) candidates(now time.Time, request *Request, result []*upstreamState) []*upstreamState {
 	all := f.services[request.Service]
 	for _, u := range all {
@@ -388,6 +390,8 @@
 	return slices.ContainsFunc(f.services[request.Service], func(u *upstreamState) bool { return u.accepts(now, request) })
 }
 
+// accepts reports whether an upstream may take a request regardless of evidence: it is not
+// draining, its registration has not lapsed and the request does not exclude it.
 func (u *upstreamState) accepts(now time.Time, request *Request) bool {
 	if u.Draining || !u.lapsesAt.IsZero() && !now.Before(u.lapsesAt) {
 		return false
@@ -440,7 +444,8 @@
 	return choice, pl.id, Place
 }
 
-// makePlan decides without recording the placement. Its slices are valid until the next call.
+// makePlan decides without recording the placement; it returns false if no upstream may take the
+// request. The slices of the plan are valid until the next call.
 func (f *Fleet) makePlan(now time.Time, request *Request, spec *enginemodel.Spec) (plan, bool) {
 	f.search.candidates = f.candidates(now, request, f.search.candidates[:0])
 	candidates := f.search.candidates
--- a/core/dispatch/fleet_test.go
+++ b/core/dispatch/fleet_test.go
@@ -69,9 +69,9 @@
 	request := short()
 	request.Exclude = []string{"u-0000"}
 	require.True(t, f.HasAlternative(start, request))
-	leaving := upstreams(2)[1]
-	leaving.Draining = true
-	f.ApplyChanges(start, []Change{leaving}, false)
+	draining := upstreams(2)[1]
+	draining.Draining = true
+	f.ApplyChanges(start, []Change{draining}, false)
 	require.False(t, f.HasAlternative(start, request))
 }
 
@@ -87,9 +87,9 @@
 
 func TestDrainingAndExcludedUpstreamsGetNoRequests(t *testing.T) {
 	f := newFleet(3, Predicted)
-	gone := upstreams(3)[:1]
-	gone[0].Draining = true
-	f.ApplyChanges(start, gone, false)
+	draining := upstreams(3)[:1]
+	draining[0].Draining = true
+	f.ApplyChanges(start, draining, false)
 	request := short()
 	request.Exclude = []string{"u-0001"}
 	for range 20 {
@@ -131,8 +131,8 @@
 		perEngine[choice.Upstream.ID]++
 	}
 	for id, n := range perEngine {
-		read := time.Duration(n) * spec.Read(short().PromptTokens)
-		require.Less(t, read, short().FirstEventTarget, "%s has %d", id, n)
+		prefillTime := time.Duration(n) * spec.Read(short().PromptTokens)
+		require.Less(t, prefillTime, short().FirstEventTarget, "%s has %d", id, n)
 	}
 }
 
@@ -168,8 +168,8 @@
 	require.Zero(t, b.Outstanding())
 }
 
-// Guards against an upstream that looks busy for ever after the entry that placed requests
-// there has died without reporting their end.
+// Guards against an upstream that looks busy for ever after an entry placed requests there and
+// died without reporting their end.
 func TestPlacementsExpireAfterTheirDeadline(t *testing.T) {
 	f := newFleet(2, Predicted)
 	choose(t, f, start, short())
@@ -194,8 +194,8 @@
 }
 
 // Guards against sending a request to an upstream two seconds after it began to shut down. A
-// poll of the registry fails, and at the next answer an upstream is removed, which is the only
-// sign of its shutdown; the removal must take effect in time.
+// poll of the registry fails, and the next answer removes an upstream that is shutting down. The
+// removal must take effect within two seconds although it follows an outage.
 func TestRemovalAfterRegistryOutageTakesEffectInTime(t *testing.T) {
 	const bound = 2 * time.Second
 	f := newFleet(2, Predicted)
@@ -258,8 +258,8 @@
 	require.True(t, seen[failing], "it gets requests again")
 }
 
-// Guards against a service without upstreams after each of them has failed once: if all are
-// excluded, all are used.
+// Guards against a service without upstreams after each of them has failed once: if evidence
+// excludes all of them, it must be ignored.
 func TestExclusionsNeverEmptyAService(t *testing.T) {
 	f := newFleet(2, Predicted)
 	for range 10 {
--- a/core/dispatch/memory_test.go
+++ b/core/dispatch/memory_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against never serving the longest prompts: for a prompt of 900,000 tokens at engines
-// that hold 405,000 each, memory must be reserved for what the primary can't hold.
+// that hold 405,000 each, memory for what the primary can't hold must be reserved at helpers.
 func TestPromptBeyondOneEnginesMemoryReservesAtOthers(t *testing.T) {
 	f := newFleet(14, Predicted)
 	choice, id := choose(t, f, start, heavy(900_000))
@@ -60,8 +60,8 @@
 	f.RecordEnd(start, id, Served)
 }
 
-// Guards against engines that are full but idle: no memory is reserved at helpers while the
-// prompt would wait for a slot of the primary.
+// Guards against engines whose memory is reserved but unused: none may be reserved at helpers
+// while the prompt would wait for a slot of the primary.
 func TestNoReservationWhilePrimaryHasNoSlot(t *testing.T) {
 	f := newFleet(4, Predicted)
 	for _, u := range f.services["model"] {
--- a/core/dispatch/order_test.go
+++ b/core/dispatch/order_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against late long prompts in bursts: a prompt that needs a third of a second took four
-// until the burst ended, because later ones were prefilled before it. Engines prefill the
-// newest part first, so the model must do the same.
+// Guards against late long prompts in bursts. Engines prefill the newest part first; if the
+// model doesn't, a prompt with a third of a second of prefill takes four seconds, because those
+// of later prompts come before it.
 func TestNewestPartIsReadFirst(t *testing.T) {
 	f := newFleet(2, Predicted)
 	engines := f.services["model"]
@@ -29,8 +29,8 @@
 	require.Equal(t, 380*time.Millisecond, single.loads[0].prefillDone, "a whole prompt comes after all parts")
 }
 
-// Guards against a burst whose prompts delay each other: the cost of a prompt must include the
-// prompts that it delays.
+// Guards against a burst whose prompts make each other late: the cost of a placement must
+// include the losses of the prompts that it delays.
 func TestBurstOfLongPromptsIsReadInTime(t *testing.T) {
 	s := newSimulation(newFleet(14, Predicted))
 	for i := range 12 {
@@ -61,9 +61,9 @@
 	require.Len(t, primaries, 1, "one engine decodes all streams while it has room")
 }
 
-// Guards against short requests that are hundreds of milliseconds late, at engines that had a
-// slot left when they were chosen: one in six was. Several entries place a request before they
-// learn of each other; packing to the last slot would lead all of them to the same engine.
+// Guards against placing requests on an engine's last slot. Several entries would choose the
+// same engine for it before they learn of each other; one in six short requests placed on a last
+// slot was hundreds of milliseconds late.
 func TestShortRequestsLeaveLastSlotForOtherEntries(t *testing.T) {
 	f := newFleet(4, Predicted)
 	now := start
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -31,9 +31,9 @@
 // slot is free.
 const shedPause = 60 * time.Millisecond
 
-// recordOutcome records the outcome of a request that was sent at sentAt. Outcomes are what
-// callers see; health checks can be wrong either way, for all callers or for some, and take a
-// slot.
+// recordOutcome records the outcome of a request that was sent at sentAt. Outcomes are used
+// instead of health checks because a check can pass while requests fail, or fail while requests
+// succeed, and takes a slot.
 func (f *Fleet) recordOutcome(now time.Time, u *upstreamState, outcome Outcome, sentAt time.Time) {
 	switch outcome {
 	case Served:
@@ -91,8 +91,8 @@
 // this engine.
 const fastRefusal = 500 * time.Millisecond
 
-// faultKind returns the evidence against a helper that did not prefill its part: it is gone or
-// draining if it refused at once while it had capacity for parts.
+// faultKind returns the evidence against a helper that did not prefill its part: Draining if it
+// refused at once while it had capacity for parts, otherwise Silent.
 func (u *upstreamState) faultKind(now, sentAt time.Time) evidence.Kind {
 	parts := 0
 	for _, l := range u.loads {
@@ -110,8 +110,9 @@
 // its round trip.
 const probeThreshold = 0.05
 
-// downProbability returns the probability that one of a plan's engines is down without anyone
-// knowing it yet. Engines that go down together are found one after the other.
+// downProbability returns the probability that a helper of a plan is down and no entry knows it
+// yet. It follows from the engines that were found down recently, because engines that go down
+// together are found one after the other. It is zero for a single engine, which needs no probe.
 func (f *Fleet) downProbability(now time.Time, p *plan) float64 {
 	if len(p.helpers) == 0 {
 		return 0
--- a/core/dispatch/placement.go
+++ b/core/dispatch/placement.go
@@ -27,8 +27,8 @@
 	// expiresAt is when the placement is removed even if no end was reported.
 	expiresAt time.Time
 	loads     []*load
-	// prefillDone is the predicted end of its prefill, computed for the current choice, and
-	// trialPrefillDone is the same with the set under evaluation.
+	// prefillDone is the predicted time until the end of its prefill, computed for the current
+	// choice, and trialPrefillDone is the same if the set under evaluation is placed.
 	prefillDone      time.Duration
 	trialPrefillDone time.Duration
 }
@@ -43,9 +43,9 @@
 	remaining time.Duration
 	// memoryTokens is the number of tokens that it occupies.
 	memoryTokens int
-	// prefillDone and streamEnd are the predicted ends of its prefill and stream, streamEnd
-	// being zero if unknown; toDeadline is the time left to the deadline. They are computed for
-	// the current choice.
+	// prefillDone and streamEnd are the predicted times until the ends of its prefill and of its
+	// stream, streamEnd being zero if unknown; toDeadline is the time left to the deadline. They
+	// are computed for the current choice.
 	prefillDone time.Duration
 	streamEnd   time.Duration
 	toDeadline  time.Duration
@@ -54,8 +54,8 @@
 // plan is a decision on where to place a request, or not to.
 type plan struct {
 	primary *upstreamState
-	// helpers prefill parts of the prompt for primary; reservations are the tokens of it that
-	// each helper holds, in the same order, zero for none.
+	// helpers prefill parts of the prompt for primary; reservations are the tokens of the prompt
+	// that each helper holds, in the same order, zero for none.
 	helpers      []*upstreamState
 	reservations []int
 	// partTime is the prefill time of each part.
@@ -108,6 +108,7 @@
 // reported end.
 const expiryMargin = time.Second
 
+// commit records the placement of a request and publishes it to the other entries.
 func (f *Fleet) commit(now time.Time, request *Request, p plan) *placement {
 	pl := &placement{
 		id:           f.placementID(request),
@@ -171,6 +172,8 @@
 	}
 }
 
+// markStreaming records that the prefill of a placement is complete; it reports whether that is
+// new.
 func (f *Fleet) markStreaming(now time.Time, id PlacementID) bool {
 	pl := f.placements[id]
 	if pl == nil || pl.streaming {
@@ -266,8 +269,8 @@
 	return spent - step
 }
 
-// predictPrefill predicts when the prefill of each load on an upstream is complete, counted
-// from now.
+// predictPrefill predicts the time until the prefill of each load on an upstream is complete. It
+// also computes partBacklog and minGapTarget.
 func (u *upstreamState) predictPrefill() {
 	var sum time.Duration
 	for i := len(u.loads) - 1; i >= 0; i-- {
@@ -292,12 +295,12 @@
 	}
 }
 
-// isPart reports whether the load is a part of a prompt that several engines prefill. Parts go
-// before other loads.
+// isPart reports whether the load is a part of a prompt that several engines prefill. Engines
+// prefill parts before other loads.
 func (l *load) isPart() bool { return len(l.placement.loads) > 1 }
 
-// RemoveExpired removes expired placements and waiters, whose entries have gone without
-// reporting an end.
+// RemoveExpired removes the placements and waiters that have expired because their entries
+// didn't report an end, and the upstreams whose registration has lapsed.
 func (f *Fleet) RemoveExpired(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/core/dispatch/predicted.go
+++ b/core/dispatch/predicted.go
@@ -20,20 +20,20 @@
 const (
 	// lateLossShare is the share of its value that a late request loses.
 	lateLossShare = 0.75
-	// safeShare is the share of a target up to which a predicted time is surely in time; from
-	// there to the whole target the probability of being late rises to one. Predictions don't
-	// include requests that other entries place at the same time.
+	// safeShare is the share of a target up to which a prediction counts as surely in time; from
+	// there to the whole target the probability of being late rises to one. The margin is for
+	// requests that other entries place at the same time, which predictions don't include.
 	safeShare = 0.6
 	// safeGapShare is the same for pauses from parts of long prompts, which are predicted
 	// accurately. Beside streams with a gap target of 250 ms it allows parts of up to 180 ms;
-	// with 0.6, at twice the usual load, long prompts were refused for lack of engines and
-	// earned half as much.
+	// with 0.6, long prompts were refused for lack of engines at twice the usual load, and only
+	// half of their value was served.
 	safeGapShare = 0.9
-	// costPerPosition is the cost of one position in the order: enough to decide between equal
-	// engines, too little to make a request late.
+	// costPerPosition is the cost of one position in the order of engines: enough to decide
+	// between equal engines, too little to make a request late.
 	costPerPosition = 0.004
-	// costPerPart is the cost of each further engine for a long prompt: the passes of the
-	// engines end at different times.
+	// costPerPart is the cost of each engine of a set: the passes of the engines end at
+	// different times, so the more engines, the later the last of them starts its part.
 	costPerPart = 0.004
 	// networkDelay is the delay of a request to its upstream plus that of its first event back.
 	networkDelay = 4 * time.Millisecond
@@ -68,12 +68,13 @@
 	self       waiter
 	queueAhead queueAhead
 	// usable is the number of engines whose streams tolerate a part of the prompt, and idle the
-	// number of those without parts to prefill; partBacklog is the sum of the parts on all
-	// engines.
+	// number of those with almost no parts to prefill; partBacklog is the prefill time of the
+	// parts on all engines.
 	usable      int
 	idle        int
 	partBacklog time.Duration
-	// avoidProved is set if long prompts avoid engines that are proved to be down.
+	// avoidProved is set if the request is a long prompt and most engines are alive: it then
+	// avoids engines that are proved to be down.
 	avoidProved bool
 	// unseenChoices is the expected number of choices of other entries that are not known here
 	// yet.
@@ -81,8 +82,8 @@
 	// takenProbability holds, by the number of free slots, the probability that other entries
 	// take them first.
 	takenProbability []float64
-	// openingPenalty is the cost to long prompts of placing the request on an engine without
-	// streams like it.
+	// openingPenalty is the cost to long prompts of placing the request on an engine that it
+	// opens, see opensEngine.
 	openingPenalty float64
 	random         *rand.Rand
 	// prefillTime is that of the whole prompt on one engine.
@@ -129,19 +130,19 @@
 	if s.prefillTime >= splitThreshold {
 		best = s.bestSet(best)
 	}
-	load := s.meanBacklog()
+	meanBacklog := s.meanBacklog()
 	decision := s.admit(&best, s.firstEvent(&best))
 	best.retryAfter, best.headOfQueue = decision.retryAfter, decision.headOfQueue
 	best.refused = decision.refused || !request.Committed && (s.outlastsCaller(decision.firstEvent) || s.queuesPastTarget(&best, decision.firstEvent))
 	best.urgency = urgency(request)
-	best.rationale = Explanation{ExpectedLoss: s.leastCost, FirstEvent: decision.firstEvent, Read: s.prefillTime, MeanBacklog: load}
+	best.rationale = Explanation{ExpectedLoss: s.leastCost, FirstEvent: decision.firstEvent, Read: s.prefillTime, MeanBacklog: meanBacklog}
 	if best.refused {
 		best.rationale.ClearTime = s.clearTime()
 	}
 	return best
 }
 
-// mostlyAlive reports whether most engines are not proved to be down.
+// mostlyAlive reports whether more than half of the engines are not proved to be down.
 func (s *search) mostlyAlive() bool {
 	alive := 0
 	for _, u := range s.candidates {
@@ -152,20 +153,21 @@
 	return 2*alive > len(s.candidates)
 }
 
-// avoids reports whether the request avoids an engine that is proved to be down; short requests
-// find out whether it is back. A set of many engines would include one that only a few entries
-// know to be down, and fail as a whole, again at each entry.
+// avoids reports whether the request avoids an engine because it is proved to be down. Only long
+// prompts do, see avoidProved; short requests find out whether the engine is back. Otherwise,
+// when the exclusion of a dead engine ends, a set of many engines would include it and fail as a
+// whole, at one entry after another.
 func (s *search) avoids(u *upstreamState) bool {
 	return s.avoidProved && u != s.pinned && u.health.ProvedDown()
 }
 
-// queuesPastTarget reports whether the request would wait for a slot until it is late, and hold
-// up those behind it. An engine with a free slot is skipped only where the request's prefill
-// would cost the streams there more than it is worth.
+// queuesPastTarget reports whether the plan's engine has no free slot and the first event is
+// expected after the target. Such a plan is the cheapest only if the prefill of the request
+// would cost the streams on each engine with a free slot even more.
 //
 // Under overload each short request would otherwise wait in an engine's queue until it is late,
-// take a slot all the same and make those behind it late, which halves goodput. Refusing it
-// leaves the slot to a request that is in time.
+// take a slot all the same and make those behind it late, which halves goodput. Refusing the
+// late request leaves the slot to one that is in time.
 func (s *search) queuesPastTarget(p *plan, firstEvent time.Duration) bool {
 	return p.primary != nil && p.primary.streams >= s.spec.Slots && firstEvent > s.request.FirstEventTarget
 }
@@ -218,9 +220,9 @@
 	// placementWindow is the time over which the choices of other entries are counted: short,
 	// to follow a surge.
 	placementWindow = time.Second
-	// assumedUnseen is assumed where fewer than minUnseen choices are expected within
-	// propagationDelay: after a start or behind a partition, there are other entries all the
-	// same.
+	// assumedUnseen is the number assumed where fewer than minUnseen choices are expected within
+	// propagationDelay: after a start or during a partition, other entries choose too although
+	// their choices are not known here.
 	assumedUnseen = 0.5
 	minUnseen     = 0.05
 	// enginesPerUnseen is the number of engines to choose from for each unseen choice.
@@ -243,9 +245,9 @@
 // cheapestSingle returns the cheapest single engine, or a random one of the cheapest count
 // engines whose costs hardly differ.
 //
-// The cheapest is the same for all entries, and the more entries there are, the more of them
-// would take its last slots before they learn of each other. First events would be late by the
-// length of a stream on a nearly idle fleet.
+// The cheapest engine is the same for all entries. If each of them took it, several would take
+// its last slots before they learn of each other, and first events would be late by the length
+// of a stream even on a nearly idle fleet.
 func (s *search) cheapestSingle(count int) plan {
 	s.shortlist = s.shortlist[:0]
 	for _, u := range s.candidates {
@@ -276,8 +278,9 @@
 	return slices.Insert(kept, i, value)
 }
 
-// pickOffer picks a random offer among those that cost no more than the expected cost of a
-// collision at the first one. It skips full engines and engines that long prompts need.
+// pickOffer returns the engine of a random offer: the first, which is the cheapest, or one that
+// costs more by at most the expected cost of a collision at the first. Apart from the first it
+// skips full engines, and engines that the request would open if it doesn't open the first.
 func (s *search) pickOffer(offers []offer) *upstreamState {
 	best := offers[0]
 	kept := 1
@@ -300,13 +303,14 @@
 func (s *search) prefillWait(u *upstreamState) time.Duration { return s.passWait(u) + u.backlog }
 
 // passWait returns the time until an engine starts a part of a prompt, which it prefills before
-// all else, plus the time to report it.
+// all else, plus the delay until the first event is reported.
 func (s *search) passWait(u *upstreamState) time.Duration {
 	if u.streams == 0 {
 		return networkDelay
 	}
-	// The current pass ends first, and the first event is sent at the end of the pass in which
-	// the prefill ends; an engine without streams sends it at once. Without the second pass,
-	// first events of short prompts came 68 ms later at the median than predicted.
+	// The current pass, of which half is left on average, ends first, and the first event is
+	// sent at the end of the pass in which the prefill ends; an engine without streams sends it
+	// at once. Without the second pass, first events of short prompts came 68 ms later at the
+	// median than predicted.
 	return networkDelay + s.spec.PassTime(u.streams, u.contextTokens)*3/2
 }
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -11,8 +11,8 @@
 // Long prompts wait in a queue, because engines prefill the newest part first. A prompt sent to
 // several engines while they prefill others delays those, and is itself delayed by later ones:
 // in a burst, a prompt with a third of a second of prefill took four seconds. A prompt held at
-// its entry until engines are free delays nothing, and can still go to the engines that become
-// free first.
+// its entry until engines are free delays nothing, and can still be placed on the engines that
+// become free first.
 //
 // All entries know the queues of the others and order them alike, see queueAheadOf.
 type waiter struct {
@@ -25,8 +25,8 @@
 	target      time.Time
 	// expiresAt is when the waiter is removed even if no end was reported.
 	expiresAt time.Time
-	// blockedSince is the time since which only the requests ahead of it have kept it from
-	// being placed.
+	// blockedSince is the time since which only the requests ahead of it have kept it from being
+	// placed; zero if that is not the case.
 	blockedSince time.Time
 }
 
@@ -169,9 +169,9 @@
 	// queueThreshold is the prefill time on one engine from which a prompt waits in the queue.
 	// A shorter one, split over several engines, delays others by a few hundredths of a second.
 	queueThreshold = time.Second
-	// sendLead is the network delay to the engines. An engine counts as idle this long before
-	// it becomes free, so that the next part arrives as it does. It is also the least time
-	// until a waiting prompt is considered again.
+	// sendLead is the network delay to the engines. An engine counts as idle this long before it
+	// becomes free, so that the next part arrives when it becomes free. It is also the least
+	// time until a waiting prompt is considered again.
 	sendLead = 4 * time.Millisecond
 	// maxRetryAfter bounds the time until a waiting prompt is considered again.
 	maxRetryAfter = 100 * time.Millisecond
@@ -202,19 +202,20 @@
 	headOfQueue bool
 	// firstEvent is when its first event is expected.
 	firstEvent time.Duration
-	// refused is set if the request is late (see queueAhead) and requests are ahead of it, no
-	// engine can take it now, or fewer than half of the usable engines are idle. The caller
-	// should retry later.
+	// refused is set if the request is deferred (see queueAhead.late) and can't be placed now
+	// because requests are ahead of it, no engine can take it, or fewer than half of the usable
+	// engines are idle. The caller should retry later.
 	refused bool
 }
 
+// asHead returns the decision for a request at the head of the queue.
 func (a admission) asHead() admission {
 	a.headOfQueue = true
 	return a
 }
 
 // admit decides whether the request takes the plan, with its first event expected after
-// firstEvent, or waits in the queue.
+// firstEvent, waits in the queue or is refused.
 func (s *search) admit(best *plan, firstEvent time.Duration) admission {
 	if !s.queueable() {
 		return admission{firstEvent: firstEvent}
@@ -223,7 +224,7 @@
 	finish = max(finish, (s.partBacklog+s.queueAhead.prefillTime+s.prefillTime)/time.Duration(len(s.candidates)))
 	wait := admission{retryAfter: min(max(start, s.queueAhead.prefillTime/time.Duration(len(s.candidates)), sendLead), maxRetryAfter), firstEvent: finish}
 	othersCost := max(s.leastCost-s.comparisonCost(firstEvent), 0)
-	if s.bypassesHead(best) { // The requests ahead no longer count.
+	if s.bypassesHead(best) { // The requests ahead are ignored from here on.
 		s.queueAhead.count = 0
 	}
 	switch {
@@ -249,9 +250,9 @@
 
 // bypassesHead reports whether the request may be placed in spite of the requests ahead of it,
 // because only these have kept it from being placed for headTimeout, while at least half of the
-// usable engines were idle. It records in blockedSince when that began. Without it, a request of
-// an entry that is frozen or partitioned would stay at the head of the queue until it expires,
-// and no long prompt would be prefilled meanwhile.
+// usable engines were idle. It records in blockedSince when that began. Without the bypass, a
+// request of a frozen or partitioned entry would stay at the head of the queue until it expires,
+// and no long prompt would be prefilled in the meantime.
 func (s *search) bypassesHead(best *plan) bool {
 	own := s.fleet.waiters[s.request.QueueID]
 	if own == nil || s.queueAhead.count == 0 || best.primary == nil || s.idle*2 < s.usable {
@@ -307,11 +308,12 @@
 	return u.streams == 0 || part <= u.minGapTarget-s.spec.PassTime(u.streams, u.contextTokens)
 }
 
-// patienceShare is the share of the caller's patience within which a first event must be
-// expected. Beyond it the caller is likely to have left.
+// patienceShare is the share of the caller's patience, or of the time to the deadline if that is
+// shorter, within which the first event must be expected.
 const patienceShare = 0.9
 
-// outlastsCaller reports whether the caller will have left before the first event.
+// outlastsCaller reports whether the caller is likely to have left, or the deadline to have
+// passed, before the first event.
 func (s *search) outlastsCaller(firstEvent time.Duration) bool {
 	patience := s.request.TimeToDeadline
 	if s.request.Patience > 0 {
--- a/core/dispatch/queue_test.go
+++ b/core/dispatch/queue_test.go
@@ -98,8 +98,8 @@
 	require.Greater(t, s.requests[7].placed, s.requests[7].at+100*time.Millisecond, "the last one waited")
 }
 
-// Guards against refusing prompts while engines are idle, only because they will miss their
-// target.
+// Guards against refusing a prompt only because it will miss its target, although engines are
+// idle.
 func TestIdleEnginesAcceptPromptsThatWillBeLate(t *testing.T) {
 	s := newSimulation(newFleet(14, Predicted))
 	late := s.add(0, heavy(700_000))
@@ -127,8 +127,8 @@
 	require.GreaterOrEqual(t, inTime, 16)
 }
 
-// Guards against entries sending their waiting prompts all at once, or none of them: entries
-// that know of each other's queues must agree on the order.
+// Guards against several entries placing their waiting prompts at once, or none of them doing
+// so: entries that know of each other's queues must agree on the order.
 func TestEntriesAgreeOnQueueOrder(t *testing.T) {
 	a, b := newFleet(4, Predicted), newFleet(4, Predicted)
 	b.settings.Origin = 2
@@ -188,8 +188,8 @@
 	}
 }
 
-// Guards against idle engines while long prompts wait behind the head of the queue, whose entry
-// is frozen or partitioned.
+// Guards against engines that stay idle while long prompts wait behind the head of the queue,
+// because the entry of the head is frozen or partitioned.
 func TestUnresponsiveQueueHeadIsBypassed(t *testing.T) {
 	f := newFleet(6, Predicted)
 	f.ApplyEvents(start, 2, []Event{{Kind: Waiting, Number: 7, PartMs: 2000, AimMs: 1500, LeftMs: 15_000}})
@@ -229,7 +229,7 @@
 }
 
 // Guards against refusing a high-priority request before a low-priority one: if one of two
-// waiting prompts must be deferred, the priority counts before the length.
+// waiting prompts must be deferred, the higher priority value decides before the length.
 func TestLowerPriorityIsDeferredFirst(t *testing.T) {
 	f := NewFleet(Settings{Origin: 1})
 	urgent := &waiter{id: PlacementID{Origin: 1, Number: 1}, priority: 0, prefillTime: 3 * time.Second, target: start.Add(3 * time.Second)}
@@ -242,8 +242,9 @@
 	require.False(t, f.queueAheadOf(start, other, 0, 1).late)
 }
 
-// Guards against an outdated retry time. A long prompt is considered while engines are busy;
-// when a short one is refused later, the time must follow the present backlog.
+// Guards against telling callers to retry later than necessary. A long prompt is considered
+// while engines are busy, and a short one is refused after they have become idle; its ClearTime
+// must follow from the backlog at the refusal.
 func TestClearTimeFollowsCurrentBacklog(t *testing.T) {
 	f := newFleet(2, Predicted)
 	choose(t, f, start, heavy(160_000))
@@ -283,7 +284,8 @@
 	})
 }
 
-// maxInTime tries all subsets of the waiters.
+// maxInTime returns the largest number of waiters that can be in time together. It tries all
+// subsets.
 func maxInTime(waiters map[PlacementID]*waiter, backlog time.Duration, engines int) int {
 	var all []*waiter
 	for _, w := range waiters {
--- a/core/dispatch/registry.go
+++ b/core/dispatch/registry.go
@@ -8,7 +8,7 @@
 // During an outage upstreams can't renew their registrations, so they lapse although the
 // upstreams are alive. Acting on these removals as soon as the registry answers again would
 // empty every service. Live upstreams register again about two seconds after the registry's
-// return, so removals in that period take effect only shortly before its end.
+// return, so removals within lapseWindow of the return take effect only recoveryGrace after it.
 type registry struct {
 	// unavailable is set from the first failed call to the next answer; recoveredAt is the time
 	// of that answer.
@@ -18,12 +18,13 @@
 }
 
 const (
-	// recoveryGrace is how long after the registry's return a removal is deferred. Live
-	// upstreams register again within about two seconds. An upstream that shuts down and whose
-	// registration is removed in this period must get no requests after two seconds; a live one
-	// that takes longer to register is unused for a few tenths of a second.
+	// recoveryGrace is the time after the registry's return at which deferred removals take
+	// effect. Live upstreams register again within about two seconds. An upstream that shuts
+	// down and whose registration is removed in this period must get no requests after two
+	// seconds; a live one that takes longer to register is unused for a few tenths of a second.
 	recoveryGrace = 1850 * time.Millisecond
-	// lapseWindow is how long after its return the registry still removes lapsed registrations.
+	// lapseWindow is the time after its return in which the registry still removes lapsed
+	// registrations.
 	lapseWindow = 1500 * time.Millisecond
 )
 
--- a/core/dispatch/restart_test.go
+++ b/core/dispatch/restart_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// incarnation returns the registration of one upstream with the given start time.
+// incarnation returns the registration of the nth upstream with the given start time.
 func incarnation(n int, startedAt int64) []Change {
 	changes := upstreams(n)[n-1:]
 	changes[0].StartedAtMs = startedAt
@@ -64,8 +64,8 @@
 	choose(t, f, start, request)
 }
 
-// Guards against ending live requests: a repeated, outdated or incomplete registration is not a
-// restart.
+// Guards against ending requests that still run: a repeated, outdated or incomplete registration
+// is not a restart.
 func TestRegistrationChangesThatAreNoRestart(t *testing.T) {
 	cases := map[string]Change{
 		"repeated":                   {Upstream: Upstream{StartedAtMs: 2000}, Revision: 9},
@@ -177,7 +177,7 @@
 }
 
 // Guards against long prompts failing at one entry after another when the exclusion of several
-// dead engines ends: short prompts retry them first, not sets.
+// dead engines ends: short prompts must retry these engines first, and sets avoid them.
 func TestSetsAvoidUpstreamsProvedDown(t *testing.T) {
 	f := newFleet(12, Predicted)
 	for i := range 4 {
--- a/core/dispatch/sets.go
+++ b/core/dispatch/sets.go
@@ -41,7 +41,8 @@
 func byCost(a, b offer) int { return cmp.Compare(a.cost, b.cost) }
 
 // evaluateSet returns the cost of the cheapest set of the given size, in which each engine
-// prefills one part. Afterwards the set is at the start of s.offers, its primary first.
+// prefills one part. Afterwards the set is at the start of s.offers, its primary first. The
+// result ok is false if the set lacks the memory for the prompt, see reserveMemory.
 func (s *search) evaluateSet(parts int) (cost float64, ok bool) {
 	part := s.prefillTime / time.Duration(parts)
 	s.offers = s.offers[:0]
@@ -66,7 +67,7 @@
 	return cost, s.reserveMemory(parts)
 }
 
-// pinnedCount is the number of engines that are in every set.
+// pinnedCount returns the number of engines that every set must include.
 func (s *search) pinnedCount() int {
 	if s.pinned != nil {
 		return 1
@@ -76,9 +77,9 @@
 
 // preferredPrimary reports whether an engine is a better choice than another one of the set to
 // decode the prompt's stream. Streams of long prompts are packed: prefill on an engine delays
-// the events of its streams, so the fewer engines decode, the more can prefill freely. An
-// engine without room for the prompt is chosen only if none has room, and then the one with the
-// least memory in use.
+// the events of its streams, so the fewer engines decode, the more can prefill freely. An engine
+// without the memory for the prompt or a free slot is chosen only if each engine of the set
+// lacks one of them, and then the one with the least memory in use.
 func (s *search) preferredPrimary(u, other *upstreamState) bool {
 	need := s.request.PromptTokens + s.request.OutputTokens
 	hasRoom := func(u *upstreamState) bool { return s.freeTokens(u) >= need && u.streams < s.spec.Slots }
@@ -103,10 +104,11 @@
 	return last
 }
 
-// usableMemoryShare is the share of an engine's memory that is planned with. The rest covers
+// usableMemoryShare is the share of an engine's memory that placements may use. The rest covers
 // placements of other entries that are not known here yet.
 const usableMemoryShare = 0.95
 
+// freeTokens returns the number of tokens that may still be placed on an engine.
 func (s *search) freeTokens(u *upstreamState) int {
 	if s.now.Before(u.fullUntil) {
 		return 0
@@ -114,11 +116,11 @@
 	return int(usableMemoryShare*float64(s.spec.MemoryTokens)) - u.memoryTokens
 }
 
-// reserveMemory divides the prompt's memory over the first engines of s.offers. What the
-// primary can't hold is reserved at the helpers; the result is false if they can't hold it
-// either, or if the prompt would wait for a slot of the primary. In that case the helpers'
-// memory would stay reserved and unused while the prompt waits in the primary's queue, which
-// can take 11 s.
+// reserveMemory divides the memory for the prompt and its answer over the first engines of
+// s.offers. What the primary can't hold is reserved at the helpers. The result is false if they
+// can't hold it either, or if memory must be reserved and the primary has no free slot: the
+// reserved memory would stay unused while the prompt waits in the primary's queue, which can
+// take 11 s.
 func (s *search) reserveMemory(parts int) bool {
 	s.reservations = s.reservations[:0]
 	rest := s.request.PromptTokens + s.request.OutputTokens - max(s.freeTokens(s.offers[0].upstream), 0)
@@ -134,8 +136,8 @@
 	return rest <= 0 && (!reserved || s.offers[0].upstream.streams < s.spec.Slots)
 }
 
-// minReservation is the least number of tokens to reserve. Less is not worth the two calls for
-// a reservation, and leaves no margin for what the primary takes in meanwhile.
+// minReservation is the least number of tokens to reserve. Less is not worth the two calls for a
+// reservation, and leaves no margin for requests that the primary accepts in the meantime.
 const minReservation = 16_384
 
 // setPlan returns the plan for the first engines of s.offers.
--- a/core/dispatch/spread_test.go
+++ b/core/dispatch/spread_test.go
@@ -30,9 +30,9 @@
 	})
 }
 
-// Guards against an endless loop. After hundreds of thousands of placements at once, the
-// probability of each number of them is too small for a float, so a search for a negligible one
-// would never end.
+// Guards against an endless loop. If hundreds of thousands of placements are expected, the
+// probability of each number of them underflows to zero, so a search that ends only at a
+// negligible rest would never end.
 func TestTakenProbabilitiesTerminate(t *testing.T) {
 	require.Len(t, takenProbabilities(nil, 1e6, 16), 17)
 	require.Empty(t, takenProbabilities(nil, 1, -1))
@@ -136,8 +136,8 @@
 }
 
 // Guards against streams that reach their deadline before their last event. A stream is decoded
-// on an engine that prefills in nearly every pass; although no single pause is too long, the
-// cost must keep further prompts off.
+// on an engine that prefills in nearly every pass; although no single pause is too long, further
+// prompts must have a cost there that keeps them off.
 func TestPrefillThatDelaysStreamsPastDeadlineIsCharged(t *testing.T) {
 	f := newFleet(2, Predicted)
 	slow := f.services["model"][0]
--- a/core/dispatch/upstream.go
+++ b/core/dispatch/upstream.go
@@ -18,7 +18,7 @@
 	Service     string
 	Address     string
 	Zone        string
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that it can run at once.
 	Slots int
 	// Draining is set while the upstream completes its requests and takes no new ones.
 	Draining bool
@@ -57,9 +57,8 @@
 	// PinnedTo is the only incarnation that may serve the request, with others only as helpers;
 	// empty for any.
 	PinnedTo string
-	// Committed is set if an upstream may have worked on the request already and the caller may
-	// have a part of the answer. Such a request is not refused for its cost, which would waste
-	// the work already paid for.
+	// Committed is set if an upstream may have worked on the request already. The request is
+	// then not refused for its cost, because that would waste the work done so far.
 	Committed bool
 }
 
@@ -99,7 +98,8 @@
 	// FirstEvent is the predicted time from the choice to the first event; zero without a
 	// prediction.
 	FirstEvent time.Duration
-	// ExpectedLoss is the request value that the choice is expected to lose.
+	// ExpectedLoss is the cost of the choice in request value: mainly the expected losses of
+	// this request and of those that it delays.
 	ExpectedLoss float64
 	// Read is the prefill time of the whole prompt on one engine, and MeanBacklog the mean
 	// prefill backlog of the engines.
