--- a/core/evidence/evidence.go
+++ b/core/evidence/evidence.go
@@ -2,8 +2,7 @@
 // decides which upstreams to exclude, and for how long. It does no I/O.
 //
 // Sharing evidence saves requests: without it, each of twenty entries loses a request to find
-// the same upstream gone, and each prompt that many engines prefill meets one of those that are
-// gone.
+// the same upstream gone, and a prompt that many engines prefill fails if any of them is gone.
 //
 // Evidence has two strengths. A suspicion (Silent) may be caused by the network: a partitioned
 // entry sees all upstreams behind the partition go silent. Proof can't: no partition makes an
@@ -69,8 +68,8 @@
 // Verdict is a decision to exclude an incarnation, or to readmit it.
 type Verdict struct {
 	Name string
-	// Kind is the deciding evidence, Origin the entry that observed it, zero for this one, and
-	// Age its age.
+	// Kind is the deciding evidence, Origin the entry that observed it (zero for this one), and
+	// Age the time since the observation.
 	Kind   Kind
 	Origin uint64
 	Age    time.Duration
@@ -84,7 +83,7 @@
 type Record struct {
 	failures int
 	// excludedUntil is the end of the exclusion; kind and evidenceAt are the kind and time of
-	// the latest evidence against the incarnation.
+	// the latest evidence against the incarnation, or of the latest proof if there is any.
 	excludedUntil time.Time
 	kind          Kind
 	evidenceAt    time.Time
@@ -94,14 +93,16 @@
 	answeredSentAt time.Time
 	// suspects are the latest suspicions of other entries.
 	suspects [suspicionQuorum]suspicion
-	// unconfirmedReporter is the only other entry that has sent proof against it, zero for none
-	// or if the proof was confirmed. firstProofAt and lastProofAt are the times of the first and
-	// the last proof.
+	// unconfirmedReporter is the only other entry that has sent proof against it; zero if there
+	// is none, or if another entry or this one has confirmed the proof. firstProofAt is when the
+	// first proof from another entry arrived, and lastProofAt when the last one from
+	// unconfirmedReporter did.
 	unconfirmedReporter uint64
 	firstProofAt        time.Time
 	lastProofAt         time.Time
 }
 
+// suspicion is the latest report of the entry origin that the incarnation is silent.
 type suspicion struct {
 	origin uint64
 	at     time.Time
@@ -132,12 +133,12 @@
 // the proof.
 func (r *Record) ProvedDown() bool { return r.kind.proof() }
 
-// propagationDelay is how long after another entry's proof requests may still arrive that were
-// sent without knowing of it.
+// propagationDelay is the time after another entry's proof in which KnownDown is still false,
+// because a request may have been under way before the proof was known.
 const propagationDelay = 100 * time.Millisecond
 
-// KnownDown reports whether a request sent now goes to an incarnation that another entry has
-// proved to be down.
+// KnownDown reports whether another entry has proved the incarnation to be down, more than
+// propagationDelay ago.
 func (r *Record) KnownDown(now time.Time) bool {
 	return !r.firstProofAt.IsZero() && now.Sub(r.firstProofAt) > propagationDelay
 }
@@ -160,6 +161,7 @@
 // the registry at least this often.
 const registryDelay = time.Second
 
+// clear drops all evidence against the incarnation.
 func (r *Record) clear() {
 	*r = Record{answeredSentAt: r.answeredSentAt}
 }
@@ -167,8 +169,9 @@
 // hasEvidence reports whether there is any evidence against the incarnation.
 func (r *Record) hasEvidence() bool { return r.failures > 0 || r.shared }
 
-// outweighs reports whether an answer to a request sent at sentAt outweighs the evidence. A
-// draining upstream still answers requests that it accepted before, but takes no new ones.
+// outweighs reports whether an answer to a request sent at sentAt outweighs the evidence. Proof
+// is outweighed only if the request was sent after it, because a draining upstream still answers
+// requests that it accepted before, but takes no new ones.
 func (r *Record) outweighs(sentAt time.Time) bool {
 	return !r.kind.proof() || sentAt.After(r.evidenceAt)
 }
--- a/core/evidence/evidence_test.go
+++ b/core/evidence/evidence_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Guards against a restarted upstream staying unused: an answer must clear the evidence also at
-// the entries to which it was sent.
+// Guards against a restarted upstream staying unused: an answer to one entry must clear the
+// evidence also at the entries that received it in reports.
 func TestAnswerRetractsSharedEvidence(t *testing.T) {
 	a, b, c := newEntry(1, 4), newEntry(2, 4), newEntry(3, 4)
 	a.observe(start, 2, Absent, start)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Guards against repeated refusals by a draining engine. It refuses a part and then completes
-// an earlier stream; the answer must not count as a sign that it takes new requests.
+// Guards against repeated refusals by a draining engine. It refuses a part and then completes an
+// earlier stream; the end of that stream must not count as a sign that it takes new requests.
 func TestDrainingUpstreamStaysExcludedWhileFinishingRequests(t *testing.T) {
 	a := newEntry(1, 4)
 	a.observe(start, 2, Draining, start)
@@ -92,8 +92,8 @@
 	require.True(t, a.records[2].Excluded(start.Add(2*time.Second)))
 }
 
-// Guards against a partition between two zones excluding all upstreams of one of them
-// everywhere. Two entries are partitioned from these upstreams and report each as silent.
+// Guards against a partition between two zones causing all entries to exclude the upstreams of
+// one zone. Two entries are partitioned from these upstreams and report each as silent.
 func TestPartitionedEntriesExcludeFewUpstreams(t *testing.T) {
 	const upstreams, unreachable = 30, 12
 	healthy := newEntry(9, upstreams)
@@ -134,8 +134,8 @@
 	require.True(t, c.records[2].Excluded(start.Add(100*time.Millisecond)), "two entries suspect it")
 }
 
-// Guards against a faulty entry excluding an upstream for as long as it sends proof: the
-// upstream is retried in between.
+// Guards against a faulty entry keeping an upstream excluded by repeated false proof: once
+// answers have contradicted enough of it, the entry must be distrusted.
 func TestFalseAccuserIsIgnored(t *testing.T) {
 	b := newEntry(2, 8)
 	now, retries := start, 0
--- a/core/evidence/reporter.go
+++ b/core/evidence/reporter.go
@@ -23,8 +23,9 @@
 	// contradictionWindow is the time within which an answer contradicts a proof. A restart
 	// under the same ID takes longer.
 	contradictionWindow = 1500 * time.Millisecond
-	// contradictionDecay and maxContradictions bound the contradicted proofs before an entry is
-	// distrusted. A few are tolerated, because a process may have restarted in the meantime.
+	// maxContradictions is the decaying number of contradicted proofs above which an entry is
+	// distrusted; contradictionDecay is its averaging time. A few are tolerated, because a
+	// process may have restarted in the meantime.
 	contradictionDecay = 30 * time.Second
 	maxContradictions  = 2.5
 	// maxReporters bounds the entries that are tracked: several times the intended deployment
@@ -67,7 +68,8 @@
 
 func (rep *reporter) contradict(now time.Time) { rep.contradicted.Add(now, 1, contradictionDecay) }
 
-// mayReport reports whether the entry may report one more of the known upstreams as down.
+// mayReport reports whether the entry may report an upstream of a service with the given number
+// of known upstreams as down, and records the report if so.
 func (rep *reporter) mayReport(now time.Time, tag uint32, kind Kind, known int) bool {
 	if rep.contradicted.Value(now, contradictionDecay) > maxContradictions {
 		return false
@@ -106,8 +108,8 @@
 	return kept
 }
 
-// ApplyReport applies a checked report from the entry origin on one of a service's known
-// upstreams.
+// ApplyReport applies a checked report from the entry origin on an upstream. known is the number
+// of upstreams of its service.
 func (t *Tracker) ApplyReport(now time.Time, origin uint64, subject Subject, r *Record, report Report, known int) {
 	at := now.Add(-time.Duration(report.AgeMs) * time.Millisecond)
 	if report.Kind == Answered {
@@ -134,8 +136,10 @@
 	}
 }
 
-// applyProof excludes an incarnation for unconfirmedTime on the first entry's proof, and for as
-// long as this entry's own proof would once a second entry confirms it.
+// applyProof excludes an incarnation on another entry's proof. The first proof counts for
+// unconfirmedTime. Once a second entry confirms it, it counts for as long as this entry's own
+// proof would. A random time is added to both. Further proof is ignored while own or confirmed
+// proof excludes the incarnation.
 func (t *Tracker) applyProof(now, at time.Time, origin uint64, subject Subject, r *Record, kind Kind) {
 	if r.firstProofAt.IsZero() {
 		r.firstProofAt = now
@@ -143,7 +147,7 @@
 	excluded := r.Excluded(now) && r.kind.proof()
 	switch {
 	case r.unconfirmedReporter == origin:
-		r.lastProofAt = now // Repeated proof counts once; then this entry tries the incarnation itself.
+		r.lastProofAt = now // Repeated proof does not extend the exclusion.
 	case excluded && r.unconfirmedReporter == 0:
 		return
 	case r.unconfirmedReporter != 0:
--- a/core/evidence/tracker.go
+++ b/core/evidence/tracker.go
@@ -20,7 +20,7 @@
 	// Overruled reports are older than an answer that this entry has received.
 	Overruled
 	// Distrusted reports come from an entry that reports too many upstreams as down, or whose
-	// reports were contradicted.
+	// proofs were contradicted too often.
 	Distrusted
 	reasonCount
 )
@@ -87,10 +87,10 @@
 		return
 	}
 	if kind.proof() && r.kind.proof() && r.Excluded(now) && r.unconfirmedReporter == 0 {
-		return // A further failure of a request that was in flight; the proof is already recorded.
+		return // The request may have been in flight when the recorded proof arrived.
 	}
-	length := r.exclusionTime(kind)
-	t.exclude(now, now, subject, r, kind, 0, length)
+	duration := r.exclusionTime(kind)
+	t.exclude(now, now, subject, r, kind, 0, duration)
 	r.unconfirmedReporter = 0
 	if kind != Erred {
 		t.queueReport(now, subject, r, kind)
@@ -115,7 +115,8 @@
 // found within seconds.
 const recentlyDownWindow = 3 * time.Second
 
-// RecentlyDown returns the number of incarnations that were recently found not to answer.
+// RecentlyDown returns the decaying number of incarnations that were recently found not to
+// answer.
 func (t *Tracker) RecentlyDown(now time.Time) float64 {
 	return t.recentlyDown.Value(now, recentlyDownWindow)
 }
