--- a/core/attempt/direct_test.go
+++ b/core/attempt/direct_test.go
@@ -165,13 +165,13 @@
 // eligibleAgents returns the upstreams to which the request may be sent. There are few, so
 // that one may be chosen again.
 func (d *directCaller) eligibleAgents() []string {
-	var open []string
+	var eligible []string
 	for i := range 12 {
 		if agent := fmt.Sprint("u", i); !slices.Contains(d.machine.Excluded(), agent) {
-			open = append(open, agent)
+			eligible = append(eligible, agent)
 		}
 	}
-	return open
+	return eligible
 }
 
 func (d *directCaller) check(t *rapid.T, final Action, budget int) {
--- a/core/attempt/machine.go
+++ b/core/attempt/machine.go
@@ -42,8 +42,8 @@
 	replica  Replica
 	excluded []string
 	retries  int
-	// sameAgentRetries counts the refusals after which the call could be sent to the same
-	// agent again. pinned is the agent of the last such refusal, until the next offer.
+	// sameAgentRetries counts the refusals after which the same agent could be offered the
+	// call again. pinned is the agent of the last such refusal, until the next offer.
 	sameAgentRetries int
 	pinned           string
 	linkFailures     int
@@ -145,7 +145,7 @@
 		replica.ID = m.request.ID
 	}
 	if m.pinned != "" && m.pinned != replica.Agent {
-		m.retries++ // The allowed retry at the same agent goes to another one, so it counts.
+		m.retries++ // The retry goes to another agent instead of the pinned one, so it counts.
 	}
 	m.pinned = ""
 	m.replica = replica
--- a/core/attempt/steps.go
+++ b/core/attempt/steps.go
@@ -13,7 +13,8 @@
 	return m.step >= offered && m.step < done && attempt == m.attempt
 }
 
-// recordContact resets the count of link failures after a message from the agent.
+// recordContact resets the count of link failures after a message from the agent. Once the
+// agent has accepted the call, it also stops the timer.
 func (m *Machine) recordContact() {
 	m.linkFailures = 0
 	if m.step == accepted || m.step == streaming {
@@ -123,8 +124,9 @@
 	return Outcome{Code: result.RetryBudgetSpent, Detail: detail, RetryAfter: outcome.RetryAfter}
 }
 
-// retry chooses another replica. If the refusal recommended one, it does so immediately, because
-// a backoff would only lose time; otherwise after a delay.
+// retry chooses another replica. If the refusal recommended one, it does so immediately,
+// because a backoff would only lose time; otherwise after a delay. release asks the agent
+// of the ended attempt to free the call's resources.
 func (m *Machine) retry(now time.Time, release bool) Action {
 	var action Action
 	if m.better != "" {
@@ -139,12 +141,12 @@
 	return action
 }
 
-// spendsBudget reports whether a retry on another agent counts against the service's
-// retry budget. The budget prevents retries from amplifying an overload. Two cases cannot
-// amplify one: an agent that refused did no work for the offer, and each call of a lost
-// agent is moved only once. If the second case counted, the loss of one agent would end
-// most of its streams: they are far more calls than the retry budget, a tenth of the
-// current calls, allows.
+// spendsBudget reports whether a retry on another agent counts against the service's retry
+// budget. The budget prevents retries from amplifying an overload. Two cases cannot amplify
+// one and do not count: a proved refusal with one of the codes below, for which the agent
+// did no work, and the loss of an agent, which moves each of its calls only once. If the
+// loss counted, it would end most of the agent's streams: they are far more than the retry
+// budget, a tenth of the current calls, allows.
 func spendsBudget(code result.Code, proved bool) bool {
 	switch code {
 	case result.AgentLost:
--- a/core/attempt/try_test.go
+++ b/core/attempt/try_test.go
@@ -261,6 +261,8 @@
 	answer(late, func() idempotency.ClaimAction { return t.claim.Written(sim.now, a.Op, version) })
 }
 
+// commit performs a conditional write, once for each token. It returns the row's new
+// version, or false if the condition does not hold.
 func (sim *simulation) commit(key string, a idempotency.ClaimAction) (uint64, bool) {
 	if version, done := sim.commits[a.Token]; done {
 		return version, true
--- a/core/idempotency/ledger.go
+++ b/core/idempotency/ledger.go
@@ -68,8 +68,8 @@
 	// Execution is NotRun if the id has not run and never will in this incarnation, Ran
 	// if it is running or has run, and Unknown if the Ledger may have evicted it.
 	Execution result.Execution
-	// Running means that the call is running. The Ledger does not stop it, because only
-	// its caller knows whether another entry waits for the answer.
+	// Running means that the call is running. The Ledger does not stop it, because only the
+	// agent knows whether another entry waits for the answer.
 	Running bool
 	// Dequeued means that the id was queued. The agent must remove it from its queue and
 	// refuse it as tombstoned to every entry that was attached to it.
@@ -254,9 +254,10 @@
 	}
 }
 
-// otherAttempt decides how to handle another attempt of a recorded repeatable call. A
-// later attempt has another prompt (the original one and what was delivered since), so it
-// must neither attach to the earlier attempt nor replay it. An earlier attempt is stale.
+// otherAttempt decides how to handle another attempt of a recorded repeatable call. A later
+// attempt has another prompt (the original one and what was delivered since), so it must
+// neither attach to the earlier attempt nor replay it. A later attempt is refused while the
+// recorded one is queued or running; an earlier attempt is always refused.
 func (l *Ledger) otherAttempt(index int32, o Offer) Verdict {
 	r := l.records.at(index)
 	if o.Attempt < r.attempt || r.state == queued || r.state == running {
@@ -267,9 +268,10 @@
 	return Verdict{Kind: Run}
 }
 
-// checkStamp refuses stamps older than OfferAge. If the stamp is younger than Retention,
-// an id that is not recorded is proved not to have run, because a run under this stamp
-// would still be recorded.
+// checkStamp refuses stamps that are older than OfferAge, not above refusedUpTo, negative
+// or in the future. If the stamp's age is within 0 and Retention, an id that is not
+// recorded is proved not to have run, because a run under this stamp would still be
+// recorded.
 func (l *Ledger) checkStamp(clock, stamp time.Duration) (result.Code, result.Execution) {
 	age := clock - stamp
 	switch {
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -104,6 +104,8 @@
 	return s
 }
 
+// count returns the first attempts and the retries in the window that ends with the slot
+// number current.
 func (b *Budget) count(current int64) (firsts, retries int) {
 	for _, s := range b.window {
 		age := current - s.number
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -62,6 +62,8 @@
 	require.Equal(t, 12, allowed)
 }
 
+// TestBudgetMinimumAndZero checks that a service without traffic gets one retry per
+// minInterval, and that a ratio of zero forbids all retries.
 func TestBudgetMinimumAndZero(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(DefaultRatio, 10*time.Second)
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -7,8 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestServicesShareOneSharedBudget guards against failed requests of a service with little
-// traffic while engines are idle: a tenth of few requests is less than one retry.
+// TestServicesShareOneSharedBudget checks that services without traffic, whose ratio allows
+// no retry, get retries from the SharedBudget, and that all services together get its burst
+// only once. Otherwise, their requests would fail while engines are idle, or their retries
+// would add up to more than the ratio allows.
 func TestServicesShareOneSharedBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	shared := NewSharedBudget()
