--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -20,7 +20,8 @@
 	// backoff is the factor by which an overload reduces the limit, a multiplicative
 	// decrease as in TCP congestion control.
 	backoff = 0.8
-	// window is the least number of answers after which the limit is updated.
+	// window is the least number of answers between two updates of the limit; if the limit
+	// itself is higher, that many are needed.
 	window = 20
 	// probeEvery is the number of windows after which the best latency is measured again.
 	probeEvery = 50
@@ -32,10 +33,11 @@
 // service can process at once before they queue: the limit follows the ratio of the best
 // latency to the current one, and allows a queue of the square root of the limit.
 //
-// The best latency is measured again from time to time, while only half of the limit is
-// admitted for a window. If it never changed, an upstream that became permanently slower
-// would look congested and its limit would stay low. If it simply rose with time, a
-// permanent queue would look normal and the limit would grow without bound.
+// The best latency is measured again from time to time. Only half of the limit is then
+// admitted for two windows: the first drains the queue and the second measures. If the best
+// latency never changed, an upstream that became permanently slower would look congested
+// and its limit would stay low. If it simply rose with time, a permanent queue would look
+// normal and the limit would grow without bound.
 type Limiter struct {
 	limit        float64
 	bestLatency  float64 // seconds; 0 if unknown
@@ -52,8 +54,12 @@
 type probe uint8
 
 const (
+	// probeNone means that no measurement is in progress.
 	probeNone probe = iota
+	// probeDrain ignores the current window, because some of its requests may have been
+	// admitted before the probe.
 	probeDrain
+	// probeMeasure measures the best latency in the current window.
 	probeMeasure
 )
 
--- a/core/breaker/breaker_test.go
+++ b/core/breaker/breaker_test.go
@@ -14,14 +14,14 @@
 
 type trackedCall struct {
 	permit Permit
-	epoch  int
+	period int
 	done   bool
 }
 
-// naive is a reference implementation of Breaker that evaluates the whole list of events.
-// An epoch is the time between two changes of state.
+// naive is a reference implementation of Breaker that evaluates the whole list of events. A
+// period is the time between two changes of state.
 type naive struct {
-	epoch     int
+	period    int
 	state     State
 	since     time.Time
 	reopened  int
@@ -32,7 +32,7 @@
 
 func (n *naive) enter(state State, now time.Time) {
 	n.state, n.since, n.outcomes = state, now, nil
-	n.epoch++
+	n.period++
 }
 
 func (n *naive) openFor() time.Duration {
@@ -45,7 +45,7 @@
 
 func (n *naive) runningCall() *trackedCall {
 	for _, c := range n.calls {
-		if c.epoch == n.epoch && !c.done {
+		if c.period == n.period && !c.done {
 			return c
 		}
 	}
@@ -68,7 +68,7 @@
 
 func (n *naive) finish(c *trackedCall, now time.Time, outcome Outcome) {
 	c.done = true
-	if c.epoch != n.epoch || outcome == Neutral {
+	if c.period != n.period || outcome == Neutral {
 		return
 	}
 	n.outcomes = append(n.outcomes, outcome)
@@ -88,6 +88,8 @@
 	}
 }
 
+// TestAgainstNaive compares a Breaker with the reference implementation under random calls,
+// outcomes and waits.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -103,7 +105,7 @@
 				require.Equal(t, n.allowed(), ok)
 				if ok {
 					n.probeFrom = now
-					n.calls = append(n.calls, &trackedCall{permit: permit, epoch: n.epoch})
+					n.calls = append(n.calls, &trackedCall{permit: permit, period: n.period})
 				}
 			},
 			"done": func(t *rapid.T) {
--- a/core/result/result.go
+++ b/core/result/result.go
@@ -96,7 +96,7 @@
 	Remedy string
 }
 
-// Error is a failure with its code and what is known of execution.
+// Error is a failure with its code and what is known about whether the call ran.
 type Error struct {
 	Code      Code
 	Execution Execution
@@ -127,12 +127,12 @@
 // makes progress.
 const DefaultRetryAfter = time.Second
 
-// RetryAfterOrDefault returns the time after which the caller may try again: RetryAfter if it is set,
-// otherwise DefaultRetryAfter for the HTTP statuses that come with a Retry-After header,
-// and zero for all others.
+// RetryAfterOrDefault returns the time after which the caller may try again: RetryAfter if
+// it is set, otherwise DefaultRetryAfter for the HTTP statuses that come with a Retry-After
+// header, and zero for all others.
 //
-// Without the default, the header would be missing although the remedy names it, and
-// client libraries would all retry immediately during an overload.
+// Without the default, the header would be missing although the remedy names it, and client
+// libraries would all retry immediately during an overload.
 func (e *Error) RetryAfterOrDefault() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
--- a/core/result/result_test.go
+++ b/core/result/result_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// TestRefusalsAlwaysGiveRetryAfter checks that each code with such a status, or with
-// Retry-After in its remedy, has a default. Otherwise a caller would be told to try again
-// after Retry-After without the header.
+// TestRefusalsAlwaysGiveRetryAfter checks that exactly the codes with status 429 or 503, or
+// with Retry-After in their remedy, have a default. Otherwise a caller would be told to try
+// again after Retry-After but not get the header.
 func TestRefusalsAlwaysGiveRetryAfter(t *testing.T) {
 	for _, info := range All {
 		promised := info.HTTPStatus == http.StatusServiceUnavailable ||
--- a/core/stream/receiver.go
+++ b/core/stream/receiver.go
@@ -100,6 +100,7 @@
 // Ended reports whether the end is known and every frame up to it was handed out.
 func (r *Receiver) Ended() bool { return r.endKnown && r.next > r.last }
 
+// hold buffers a frame that follows a missing one.
 func (r *Receiver) hold(f Frame) Outcome {
 	if f.Seq-r.next > uint64(r.maxPending) {
 		return Overflow
