--- a/core/dispatch/evidence_test.go
+++ b/core/dispatch/evidence_test.go
@@ -69,9 +69,9 @@
 	return refusals, false
 }
 
-// run simulates long prompts at all entries while a quarter of the engines drains and the
-// registry is unavailable. It returns the number of refusals and that of the prompts that were
-// prefilled.
+// run simulates long prompts at all entries while the engines whose ID ends in 0, 4 or 8 drain
+// and the registry is unavailable. It returns the number of refusals and that of the prompts
+// that were prefilled.
 func (c *cluster) run() (refusals, prefilled int) {
 	draining := func(id string) bool { return id[len(id)-1]%4 == 0 }
 	now := start.Add(time.Second)
@@ -90,8 +90,8 @@
 }
 
 // Guards against every entry discovering draining engines by refusals of its own. The registry
-// is unavailable and a quarter of the engines drains; without shared evidence, a third of the
-// long prompts is refused for several seconds.
+// is unavailable and 18 of 60 engines drain; without shared evidence, a third of the long
+// prompts or more is refused for several seconds.
 func TestDrainingEnginesAreDiscoveredOnce(t *testing.T) {
 	unshared := newCluster(20, 60)
 	unshared.shareReports = false
--- a/core/dispatch/fleet_test.go
+++ b/core/dispatch/fleet_test.go
@@ -154,6 +154,8 @@
 	require.Equal(t, 1, b.Outstanding(), "only its own placement is left")
 }
 
+// Guards against a new entry that takes busy engines for idle: a snapshot must bring it the
+// placements made before it connected, and count each only once.
 func TestSnapshotInitialisesNewEntry(t *testing.T) {
 	a, b := newFleet(4, Predicted), NewFleet(Settings{Rule: Predicted, Origin: 2})
 	b.ApplyChanges(start, upstreams(4), true)
--- a/core/dispatch/memory_test.go
+++ b/core/dispatch/memory_test.go
@@ -96,8 +96,9 @@
 	}
 }
 
-// Guards against late requests in a burst. Engines have a second of backlog each when a prompt
-// of 900,000 tokens arrives; its 70 s of prefill would make several others late.
+// Guards against late requests in a burst. Of fourteen prompts with two seconds of prefill each,
+// two are placed and the others wait in the queue when a prompt of 900,000 tokens arrives; its
+// 70 s of prefill would make several of them late.
 func TestLongestPromptsAreRefusedFirstUnderLoad(t *testing.T) {
 	f := newFleet(14, Predicted)
 	for range 14 {
--- a/core/dispatch/predicted.go
+++ b/core/dispatch/predicted.go
@@ -162,8 +162,8 @@
 }
 
 // queuesPastTarget reports whether the plan's engine has no free slot and the first event is
-// expected after the target. Such a plan is the cheapest only if the prefill of the request
-// would cost the streams on each engine with a free slot even more.
+// expected after the target. Such a plan is the cheapest only if an engine with a free slot
+// would cost more, mostly because the prefill would delay the streams there.
 //
 // Under overload each short request would otherwise wait in an engine's queue until it is late,
 // take a slot all the same and make those behind it late, which halves goodput. Refusing the
--- a/core/dispatch/spread_test.go
+++ b/core/dispatch/spread_test.go
@@ -70,6 +70,8 @@
 	}
 }
 
+// Guards against choices that can't be reproduced: the random source is seeded with the origin,
+// so two fleets with the same origin and events choose alike.
 func TestChoicesAreDeterministic(t *testing.T) {
 	run := func() (ids []string) {
 		f := newFleet(30, Predicted)
