--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -63,6 +63,8 @@
 	require.Less(t, inTime(false), 100)
 }
 
+// TestLimiterConvergesAndBacksOff checks that the limit settles above the number of servers
+// with a bounded queue, falls on overload, and never falls below one request.
 func TestLimiterConvergesAndBacksOff(t *testing.T) {
 	const servers = 50
 	l := NewLimiter()
--- a/core/idempotency/claim_test.go
+++ b/core/idempotency/claim_test.go
@@ -186,6 +186,8 @@
 	require.Greater(t, again.Op, read.Op)
 }
 
+// TestRowNames checks that a row's name starts with its service and has a fixed length for
+// the key, and that moving a byte from the body to the path changes the request's hash.
 func TestRowNames(t *testing.T) {
 	name := RowName("parts", "omuti", "job/7")
 	require.Equal(t, "parts", ServiceOf(name))
@@ -193,6 +195,8 @@
 	require.NotEqual(t, HashRequest("POST", "/a", []byte("b")), HashRequest("POST", "/ab", nil))
 }
 
+// TestSweep checks that a row is deleted only after SweepMargin, and that entries with the
+// same list in another order agree on the sweeper.
 func TestSweep(t *testing.T) {
 	row := Row{Expires: epoch}
 	require.False(t, Sweepable(&row, epoch.Add(SweepMargin)))
@@ -201,6 +205,8 @@
 	require.Empty(t, Sweeper("parts", nil))
 }
 
+// FuzzDecodeRow checks that a row that can be decoded is equal after it is encoded and
+// decoded again.
 func FuzzDecodeRow(f *testing.F) {
 	f.Add(encodedRow("w", 1, bindingA))
 	f.Add([]byte(`{"format":1}`))
