--- a/core/follow/follow.go
+++ b/core/follow/follow.go
@@ -19,9 +19,9 @@
 	// followersPerZone is the number of followers in an availability zone. With two, one may be
 	// partitioned, frozen or replaced without the listeners having to read.
 	followersPerZone = 2
-	// FollowerTimeout is how long a listener relies on a follower that sends nothing. The read that
-	// the listener then makes itself applies a change within the two seconds promised to
-	// operators, even if all followers of its zone stop at once.
+	// FollowerTimeout is how long a listener relies on a follower that sends nothing. Then
+	// the listener reads the feed itself, so that a change is applied within the two seconds
+	// promised to operators even if all followers of its zone stop at once.
 	FollowerTimeout = 1300 * time.Millisecond
 	// FollowerReadWait is how long a follower's read waits for a change while there are listeners:
 	// each answer, even an empty one, is forwarded as a confirmation that nothing was missed.
@@ -37,7 +37,8 @@
 type Role uint8
 
 const (
-	// Standalone entries read for themselves only: their zone has no entries besides the followers.
+	// Standalone is the role of an entry that reads the feed for itself only, since its zone has
+	// no more entries than followersPerZone.
 	Standalone Role = iota
 	// Follower is the role of an entry that reads the feed and forwards updates to its zone.
 	Follower
@@ -61,18 +62,18 @@
 	return Listener
 }
 
-// Position is a position in a feed: everything up to this version is known.
+// Position is a position in a feed: the version up to which all changes are known.
 type Position uint64
 
 // Feed tracks how current one entry's copy of a feed is. Its methods must be called with
 // increasing times and not concurrently.
 type Feed struct {
 	position Position
-	// previous is the position before the last update.
+	// previous is the position before Read or HandleUpdate last advanced it.
 	previous Position
-	// lastHeard holds, for each follower, when it last confirmed that it had read up to the
+	// lastConfirmed holds, for each follower, when it last confirmed that it had read up to the
 	// present.
-	lastHeard map[string]time.Time
+	lastConfirmed map[string]time.Time
 	// missedUpdate says that an update was missed, so that the entry must read the feed itself.
 	missedUpdate bool
 	pending      pendingContent
@@ -89,7 +90,7 @@
 }
 
 // NewFeed returns a Feed that must be read from the beginning.
-func NewFeed() *Feed { return &Feed{lastHeard: make(map[string]time.Time)} }
+func NewFeed() *Feed { return &Feed{lastConfirmed: make(map[string]time.Time)} }
 
 // Position returns the position from which to read; zero for the beginning.
 func (f *Feed) Position() Position {
@@ -109,7 +110,7 @@
 	if role != Listener || f.missedUpdate || f.position == 0 || overdue {
 		return time.Time{}, false
 	}
-	for _, at := range f.lastHeard {
+	for _, at := range f.lastConfirmed {
 		if due := at.Add(FollowerTimeout); due.After(until) {
 			until = due
 		}
@@ -128,25 +129,25 @@
 	if to < f.position {
 		return false
 	}
-	f.pending = pendingContent{} // The read began before the pending content.
+	f.pending = pendingContent{} // The read began at pending.previous or earlier and returned this content.
 	f.advance(to)
 	return true
 }
 
 func (f *Feed) advance(to Position) { f.previous, f.position = f.position, to }
 
-// Reset resets the position to the beginning because the store no longer has the changes
-// after it.
+// Reset resets the position to the beginning. It is called when the store no longer has the
+// changes after the position.
 func (f *Feed) Reset() { f.position, f.pending = 0, pendingContent{} }
 
 // HandleUpdate handles a follower's update, which says that the follower has just read from one
 // position to another. It reports whether to apply the content of the update.
 //
 // An update that begins after the entry's position is not applied: the changes between the
-// two, such as an upstream that leaves, would never be seen. The entry reads the feed itself
-// instead.
+// two, such as the departure of an upstream, would be lost. MissedUpdate then reports that the
+// entry must read the feed itself.
 func (f *Feed) HandleUpdate(now time.Time, follower string, from, to Position) bool {
-	f.lastHeard[follower] = now
+	f.lastConfirmed[follower] = now
 	switch {
 	case from > f.position:
 		f.missedUpdate = true
@@ -164,8 +165,9 @@
 func (f *Feed) Revert() { f.position, f.missedUpdate = f.previous, true }
 
 // ExpectContent records that the content of the last update passed to HandleUpdate arrives by
-// another path; it counts as applied once content of at least this version is. Until then the
-// position before the update is kept, because a read from after it would never return the content.
+// another path. It counts as applied once ContentApplied gets at least this version. Until then
+// Position returns the position before the first such update, because a read from after it would
+// never return the content.
 func (f *Feed) ExpectContent(now time.Time, version uint64) {
 	if f.pending.version == 0 {
 		f.pending = pendingContent{previous: f.previous, deadline: now.Add(ContentTimeout)}
@@ -182,4 +184,4 @@
 
 // DropFollower records that a follower's read of the feed has failed or that the link to it has
 // ended.
-func (f *Feed) DropFollower(follower string) { delete(f.lastHeard, follower) }
+func (f *Feed) DropFollower(follower string) { delete(f.lastConfirmed, follower) }
--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -31,6 +31,8 @@
 	return roles
 }
 
+// Guards against a zone without followers, and against billed reads of the store that grow with
+// the number of entries.
 func TestTwoEntriesOfAZoneFollow(t *testing.T) {
 	require.Equal(t, map[Role]int{Standalone: 1}, countRoles(entryNames(1)))
 	require.Equal(t, map[Role]int{Standalone: 2}, countRoles(entryNames(2)))
@@ -38,6 +40,7 @@
 	require.Equal(t, map[Role]int{Follower: 2, Listener: 98}, countRoles(entryNames(100)))
 }
 
+// When an entry leaves, the other entries must not all start or stop reading the feed at once.
 func TestRemovedEntryChangesAtMostOneRole(t *testing.T) {
 	names := entryNames(20)
 	follows := func(self string, all []string) bool {
@@ -74,6 +77,8 @@
 	return f
 }
 
+// Guards against followers that wait for each other's updates, and against a listener that has
+// never read the feed and would know only the changes since it started.
 func TestFollowersAndUnreadFeedsMustRead(t *testing.T) {
 	f := newListeningFeed(t)
 	for _, role := range []Role{Standalone, Follower} {
@@ -153,6 +158,8 @@
 	require.True(t, ok)
 }
 
+// After the store has dropped changes that an entry lacks, the entry must not continue with a
+// follower's updates: it would never learn of the dropped changes.
 func TestResetReadsFromTheBeginning(t *testing.T) {
 	f := newListeningFeed(t)
 	f.Reset()
@@ -174,9 +181,10 @@
 	listener  *Feed
 	// known are the changes that the listener has applied.
 	known map[Position]bool
-	// large are the changes that are too large for an update, omitted those of an update with a
-	// large change. version is the content version at each position, fetches are the versions
-	// that reach the listener by another path, and fetched is the newest that has arrived.
+	// large are the changes that are too large for an update. omitted are the changes whose
+	// update was sent without content because it contained a large change. version is the content
+	// version at each position, fetches are the versions that reach the listener by another path,
+	// and fetched is the newest of them that has arrived.
 	large   map[Position]bool
 	omitted map[Position]bool
 	version map[Position]uint64
@@ -257,8 +265,8 @@
 }
 
 // Whatever the followers do, a listener that can read the store misses no change. It knows each
-// change within FollowerTimeout plus two steps, and ContentTimeout later if the content was to arrive by
-// another path.
+// change within FollowerTimeout plus two steps, or ContentTimeout later if the content was
+// announced to arrive by another path.
 func TestListenerMissesNoChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{now: start, store: 1, changed: map[Position]time.Time{}, known: map[Position]bool{}, listener: NewFeed(), large: map[Position]bool{}, omitted: map[Position]bool{}, version: map[Position]uint64{}}
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -9,8 +9,8 @@
 // the holder has stopped before another process may write. If several processes write at
 // once, the conditional write lets only one succeed.
 //
-// Two processes may still act at once if both clocks of a VM stood still during a pause,
-// which exceeds the bound on rates, or if a holder is paused between its call of Held and
+// Two processes may still act at once if both clocks of a VM stood still during a pause, so
+// that their rates were out of bounds, or if a holder is paused between its call of Held and
 // its action. The fencing number then tells their orders apart; see Guard.
 package lease
 
@@ -62,7 +62,7 @@
 type Settings struct {
 	// Length is how long the lease lasts from each write.
 	Length time.Duration
-	// RenewEvery is the age at which the holder renews.
+	// RenewEvery is the time from the last applied write to the next renewal by the holder.
 	RenewEvery time.Duration
 	// PollEvery is the interval at which other processes read the row.
 	PollEvery time.Duration
@@ -85,7 +85,8 @@
 	RateBound:  0.01,
 }
 
-// Check returns ErrSettings if a holder could never renew in time.
+// Check returns an error that wraps ErrSettings if a value is out of range, or if a holder whose
+// first renewal fails could not retry it in time.
 func (s Settings) Check() error {
 	switch {
 	case s.RenewEvery <= 0 || s.PollEvery <= 0 || s.RetryEvery <= 0 || s.Margin < 0:
--- a/core/lease/machine.go
+++ b/core/lease/machine.go
@@ -48,7 +48,7 @@
 	Unknown
 )
 
-// term is a period as the holder.
+// term is a period during which this process is the holder.
 type term struct {
 	fence uint64
 	// startedAt is when the last write known to be applied was sent; the lease counts from it.
@@ -57,6 +57,7 @@
 	suspended bool
 }
 
+// pendingWrite is a write whose outcome is not known, with the time at which it was sent.
 type pendingWrite struct {
 	request ConditionalWrite
 	sentAt  Reading
@@ -75,7 +76,7 @@
 	seenAt, readAt time.Duration
 	retryAt        time.Duration
 	term           *term
-	// pending is the last write if its outcome is not known.
+	// pending is the last write while its outcome is not known; nil for none.
 	pending   *pendingWrite
 	writes    uint64
 	resigning bool
@@ -119,7 +120,8 @@
 	}
 }
 
-// expireTerm ends a term whose time has passed. The row may have a new holder by now.
+// expireTerm ends a term whose time has passed. The row is then read again, as it may have a new
+// holder by now.
 func (m *Machine) expireTerm(now Reading) {
 	if m.term == nil || m.resigning {
 		return
@@ -175,7 +177,8 @@
 	return Action{Kind: Write, Write: request}
 }
 
-// HandleWrite handles the outcome of the last write; version is the row's if it was applied.
+// HandleWrite handles the outcome of the last write; version is the row's new version if the
+// write was applied.
 //
 // After an unknown outcome the row is read back. If it has the write's token, the lease
 // counts from when the write was sent. If not, the write may still arrive late. This is
@@ -213,6 +216,7 @@
 	m.confirmTerm()
 }
 
+// observeRow records the row as read or written at now.
 func (m *Machine) observeRow(now Reading, row Row) {
 	if row.Version != m.row.Version || m.row.Version == 0 {
 		m.seenAt = now.Mono
@@ -240,7 +244,8 @@
 	}
 }
 
-// confirmTerm ends the term unless the row still names it.
+// confirmTerm ends the term unless the row still has its holder and fencing number. If the row
+// does, the term is no longer suspended.
 func (m *Machine) confirmTerm() {
 	if m.term == nil {
 		return
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -56,13 +56,13 @@
 		MinProbeInterval:      250 * time.Millisecond,
 		MaxProbeInterval:      5 * time.Second,
 		UnlistedProbeInterval: 5 * time.Second,
-		// Covers the case that both the list and the evidence were wrong.
+		// Lets a VM come back if both the list and the evidence wrongly showed that it is gone.
 		ForgetAfter: time.Minute,
 		// A probe is about 60 bytes, so the 16 probes of a tick are 1 KB.
 		MaxProbesPerTick: 16,
 		MaxMissingShare:  0.5,
-		// The longest that the platform may take to repair the list. Meanwhile only missing
-		// replies and refused connections remove VMs from use.
+		// The longest that the platform may take to repair the list. Until then the VMs that the
+		// list lacks still count as listed.
 		RejectListFor: 10 * time.Minute,
 	}
 }
@@ -169,8 +169,8 @@
 	}
 }
 
-// ListImplausible reports whether the last list lacked too many VMs, also if it was applied after
-// RejectListFor.
+// ListImplausible reports whether the last list lacked too many VMs, even if it was applied
+// because RejectListFor had passed.
 func (v *View) ListImplausible() bool { return !v.implausibleSince.IsZero() }
 
 // HandleList handles a list that was just read.
@@ -212,10 +212,12 @@
 	return v.updateState(now, actions, m)
 }
 
-// rejectsList reports whether the list is rejected because it lacks too many VMs at once.
+// rejectsList reports whether the list is rejected because it lacks too many VMs at once, and
+// records since when the lists have been implausible.
 //
-// A truncated list would otherwise make every entry forget most VMs at the same time. If so
-// many VMs are really lost, the links show it as well.
+// Without the rejection a truncated list would make every entry probe most VMs at the same time,
+// and forget those that are dead for ForgetAfter although they still exist. If so many VMs are really lost,
+// the links show it as well.
 func (v *View) rejectsList(now time.Time, listed map[ID]bool) bool {
 	known, missing := 0, 0
 	for id, m := range v.members {
@@ -261,7 +263,7 @@
 // HandleTimeout handles the timeout of a message that was sent at sentAt.
 func (v *View) HandleTimeout(now time.Time, id ID, sentAt time.Time) []Action {
 	m := v.members[id]
-	// A later reply means that the connection has failed and not the VM.
+	// If the VM has replied since, the connection has failed and not the VM.
 	if m == nil || m.evidence == refused || m.lastReply.After(sentAt) {
 		return nil
 	}
@@ -314,8 +316,9 @@
 	v.order = slices.Delete(v.order, i, i+1)
 }
 
-// takeDueProbe reports whether to probe a VM now, and if so schedules the next probe. Suspected
-// VMs are probed so that the first answer ends a false suspicion.
+// takeDueProbe reports whether to probe a VM now, and if so schedules the next probe. VMs that
+// were silent or refused a connection are probed so that the first answer makes them live again,
+// and VMs that are not listed to detect when they are gone.
 func (v *View) takeDueProbe(now time.Time, m *member) bool {
 	unresponsive := m.evidence == silent || m.evidence == refused
 	if now.Before(m.nextProbe) || (m.listed && !unresponsive) {
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -150,11 +150,11 @@
 	incarnation call.Incarnation
 }
 
-func (n *eventLog) state(now time.Time) routing.State {
+func (log *eventLog) state(now time.Time) routing.State {
 	var seen []call.Incarnation
 	var reply, silentSince time.Time
 	listedLeaving, agentLeaving, dead := false, false, false
-	for _, e := range n.events {
+	for _, e := range log.events {
 		if e.incarnation != 0 {
 			old := false
 			for i, s := range seen {
@@ -198,7 +198,7 @@
 // keep probing a VM that counts as dead, so that a false suspicion ends.
 func TestViewAgainstEventLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v, n := newView(1), &eventLog{}
+		v, log := newView(1), &eventLog{}
 		reported := routing.Live
 		incarnation := call.Incarnation(1)
 		lastProbe, downSince := at(0), at(0)
@@ -226,7 +226,7 @@
 				e.sent = now.Add(-time.Duration(rapid.IntRange(1, 9).Draw(t, "age")) * 100 * time.Millisecond)
 				actions = append(actions, v.HandleTimeout(now, "vm-00", e.sent)...)
 			}
-			n.events = append(n.events, e)
+			log.events = append(log.events, e)
 			for _, action := range actions {
 				switch a := action.(type) {
 				case StateChanged:
@@ -235,7 +235,7 @@
 					lastProbe = now
 				}
 			}
-			require.Equal(t, n.state(now), v.State("vm-00"))
+			require.Equal(t, log.state(now), v.State("vm-00"))
 			require.Equal(t, reported, v.State("vm-00"))
 			if v.State("vm-00") != routing.Dead {
 				downSince = now
--- a/core/routes/routes.go
+++ b/core/routes/routes.go
@@ -77,7 +77,8 @@
 }
 
 // Service returns the service for a request. The same id always gets the same service, so
-// that a retry by the caller is sent to the same service.
+// that a retry by the caller is sent to the same service. If no target has a weight, it is the
+// first one.
 func (r *Route) Service(id string) string {
 	total := 0
 	for _, target := range r.Targets {
@@ -199,7 +200,7 @@
 	return n
 }
 
-// Match returns the route of the host whose prefix of the path is the longest, or nil. The
+// Match returns the host's route with the longest prefix that the path begins with, or nil. The
 // path is the one in the request, unchanged and without the query.
 func (t *Table) Match(host, path string) *Route {
 	for _, route := range t.hosts[hostOnly(host)] {
--- a/core/routes/routes_test.go
+++ b/core/routes/routes_test.go
@@ -72,6 +72,7 @@
 	require.True(t, (&Route{Kind: Streaming, Resumable: true}).Repeatable())
 }
 
+// A key must identify its organisation, and callers need keys only if an organisation has one.
 func TestCallers(t *testing.T) {
 	table := requireTable(t, &Document{Version: 1, Organisations: []Organisation{{Name: "o", Keys: []string{"k1", "k2"}}}})
 	require.True(t, table.RequiresKeys())
--- a/core/spread/ack_tracker.go
+++ b/core/spread/ack_tracker.go
@@ -17,8 +17,9 @@
 // AckTracker records which live nodes have applied a revision.
 //
 // A write counts as accepted only when every live node has acknowledged it. Otherwise a
-// node that lost the push could go on serving the old configuration after the operator was
-// told of success. The answer to the operator names the nodes that have not acknowledged.
+// node that the push did not reach could go on serving the old configuration after the
+// operator was told that the change is accepted. The answer to the operator names the nodes that
+// have not acknowledged.
 type AckTracker struct {
 	self            NodeID
 	interval        time.Duration
@@ -39,7 +40,8 @@
 	return t
 }
 
-// setPeers removes nodes that have left and adds new ones.
+// setPeers sets the live peers: nodes that have left are no longer missing, and new ones are
+// missing until they acknowledge.
 func (t *AckTracker) setPeers(peers []NodeID) {
 	t.missing = make(map[NodeID]bool, len(peers))
 	for _, peer := range peers {
--- a/core/spread/config.go
+++ b/core/spread/config.go
@@ -95,8 +95,8 @@
 // Action is an instruction to the caller. It is one of the types below.
 type Action interface{ action() }
 
-// PushTo sends the changes after After up to Revision to Nodes. A relay forwards the bytes
-// that it received.
+// PushTo sends the changes after After up to Revision to Nodes. A node that relays a push
+// forwards the bytes that it received.
 type PushTo struct {
 	Nodes []NodeID
 	// Root is the node that started the push.
@@ -128,8 +128,9 @@
 	Nonce uint64
 }
 
-// Apply applies the changes of the event that returned it. It precedes the actions that
-// announce the revision to other nodes and must be performed before them.
+// Apply applies the changes, up to Revision, of the event that returned this action. It
+// precedes the actions that announce the revision to other nodes and must be performed before
+// them.
 type Apply struct{ Revision document.Revision }
 
 // BecomeReady lets the node admit requests.
--- a/core/spread/node.go
+++ b/core/spread/node.go
@@ -15,14 +15,16 @@
 	poller  bool
 
 	applied document.Revision
-	// highestSeen is the highest revision known to exist, upToDatePeer a node that has
-	// applied it and behindSince when the node fell behind it.
+	// highestSeen is the highest revision known to exist. upToDatePeer is a peer that has
+	// applied it and was not queried yet; empty for none. behindSince is when this node fell
+	// behind highestSeen; zero if it is not behind.
 	highestSeen  document.Revision
 	upToDatePeer NodeID
 	behindSince  time.Time
 
 	lastEvent time.Time
-	// lastContact is when the node last heard from a peer or the table, or wrote to the table.
+	// lastContact is when the node last received a message from a peer, or read or wrote the
+	// table.
 	lastContact time.Time
 	lastPoll    time.Time
 	polling     bool
@@ -52,7 +54,8 @@
 	reason Reason
 	// lastNonce is the last nonce used before the confirmation began. An answer to an older
 	// query may have been written before then and does not confirm the current state.
-	lastNonce   uint64
+	lastNonce uint64
+	// confirmedBy holds the peers that have answered a later query.
 	confirmedBy map[NodeID]bool
 	// tableConfirmed says that the table returned at least the applied revision.
 	tableConfirmed bool
@@ -78,7 +81,7 @@
 
 // Ready reports whether a request may be admitted now.
 //
-// Whatever its last event decided, a node is not ready if that event is longer ago than MaxPause:
+// Whatever its last event decided, a node is not ready if that event was more than MaxPause ago:
 // a process that resumes after a pause must not admit a request before its next tick, under a
 // configuration that may have been replaced meanwhile.
 func (n *Node) Ready(now time.Time) bool {
@@ -102,8 +105,8 @@
 	return n.finishEvent(now, nil)
 }
 
-// ObserveRevision handles the highest revision that a peer knows of, as received on link traffic.
-// applied is the revision that the peer has applied.
+// ObserveRevision handles the highest revision that a peer knows of and the one that it has
+// applied, as received with any message of a link.
 func (n *Node) ObserveRevision(now time.Time, from NodeID, highest, applied document.Revision) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
@@ -111,8 +114,9 @@
 	return n.finishEvent(now, nil)
 }
 
-// recordRevision records the highest revision that a node knows of and the one that it has
-// applied. from is the peer, or empty for changes that this node applies itself.
+// recordRevision records the highest revision that a peer knows of and the one that the peer has
+// applied. from is the peer. For the revision of changes that this node has received or written,
+// from is empty and applied is 0.
 func (n *Node) recordRevision(now time.Time, from NodeID, highest, applied document.Revision) {
 	for _, tracker := range n.trackers {
 		tracker.recordAck(from, applied)
@@ -126,6 +130,7 @@
 	n.updateBehindSince(now)
 }
 
+// updateBehindSince updates behindSince after the applied or the highest revision has changed.
 func (n *Node) updateBehindSince(now time.Time) {
 	switch {
 	case n.applied >= n.highestSeen:
@@ -135,8 +140,8 @@
 	}
 }
 
-// applyChanges applies the changes in (after, revision], unless changes between the applied revision
-// and after are missing.
+// applyChanges applies the changes in (after, revision], unless they are applied already or
+// changes between the applied revision and after are missing.
 func (n *Node) applyChanges(now time.Time, actions []Action, after, revision document.Revision) []Action {
 	if after <= n.applied && revision > n.applied {
 		n.applied = revision
@@ -209,7 +214,7 @@
 
 // HandleWrite handles a revision that this node wrote to the table and pushes it to all nodes.
 // The changes are those in (after, revision]; after is at most the applied revision. Tracker then
-// returns the tracker of the nodes that have applied it.
+// returns the tracker of the written revision.
 func (n *Node) HandleWrite(now time.Time, after, revision document.Revision) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
@@ -240,6 +245,8 @@
 	n.lastEvent = now
 }
 
+// startConfirmation makes the node not ready until its revision is confirmed. It abandons the
+// outstanding poll and query, whose answers would confirm nothing.
 func (n *Node) startConfirmation(reason Reason) {
 	n.confirming = &confirmation{reason: reason, lastNonce: n.nonce, confirmedBy: make(map[NodeID]bool)}
 	n.polling = false
@@ -267,8 +274,9 @@
 	return actions
 }
 
-// isConfirmed reports whether the table, or enough peers in its place, have confirmed that
-// no newer revision exists. A node without peers waits for the table.
+// isConfirmed reports whether a running confirmation is complete: the node has applied the
+// highest revision that it knows of, and the table, or enough peers in its place, have answered
+// since the confirmation began. A node without peers waits for the table.
 func (n *Node) isConfirmed() bool {
 	if n.confirming == nil || n.applied < n.highestSeen {
 		return false
@@ -292,15 +300,16 @@
 }
 
 // maybePoll polls the table if a poll is due. A node that is not a poller polls at the same
-// rate while it is isolated, has been behind for half of MaxStaleness, or needs a confirmation.
+// rate while it has had no contact for two ContactIntervals, has been behind for half of
+// MaxStaleness, or needs a confirmation.
 func (n *Node) maybePoll(now time.Time, actions []Action) []Action {
 	sincePoll := now.Sub(n.lastPoll)
 	if n.polling && sincePoll < n.config.AnswerTimeout {
 		return actions
 	}
-	isolated := now.Sub(n.lastContact) >= 2*n.config.ContactInterval
+	outOfContact := now.Sub(n.lastContact) >= 2*n.config.ContactInterval
 	behind := !n.behindSince.IsZero() && now.Sub(n.behindSince) >= n.config.MaxStaleness/2
-	if !n.poller && !isolated && !behind && n.confirming == nil {
+	if !n.poller && !outOfContact && !behind && n.confirming == nil {
 		return actions
 	}
 	if !n.lastPoll.IsZero() && sincePoll < n.config.PollInterval {
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -22,7 +22,7 @@
 	members  []Member
 	nodes    map[NodeID]*Node
 	applied  map[NodeID]document.Revision // reference: the highest revision applied
-	mailbox  []func()
+	inFlight []func()
 	drop     func(to NodeID) bool
 	tableUp  func() bool
 	tableLag func() document.Revision
@@ -68,13 +68,13 @@
 	var deliver func()
 	deliver = func() {
 		if c.paused[to] > 0 {
-			c.mailbox = append(c.mailbox, deliver)
+			c.inFlight = append(c.inFlight, deliver)
 		} else if c.nodes[to] == node {
 			c.received[to]++
 			c.perform(to, handle(node))
 		}
 	}
-	c.mailbox = append(c.mailbox, deliver)
+	c.inFlight = append(c.inFlight, deliver)
 }
 
 func (c *cluster) perform(self NodeID, actions []Action) {
@@ -110,8 +110,8 @@
 
 func (c *cluster) step() {
 	c.now = c.now.Add(step)
-	due := c.mailbox
-	c.mailbox = nil
+	due := c.inFlight
+	c.inFlight = nil
 	for _, deliver := range due {
 		deliver()
 	}
@@ -130,9 +130,8 @@
 	}
 }
 
-// Guards against a root that pushes to every node itself, 1,549 times here, and against a tree
-// that leaves nodes out: four levels must reach all nodes, with at most the fan-out of pushes
-// from each.
+// A push must reach all nodes through the four levels of the tree, and no node may send more
+// pushes than the fan-out. Without the tree the root would push to 1,549 nodes itself.
 func TestPushReachesAllNodes(t *testing.T) {
 	c := newCluster(t, 1550)
 	c.steps(20)
@@ -204,7 +203,7 @@
 		return n
 	}
 	t.Run("pause", func(t *testing.T) {
-		// A VM that resumes after a pause must not admit a call under a key that was removed
+		// A VM that resumes after a pause must not admit a request under a key that was removed
 		// meanwhile.
 		n := fresh(true)
 		run(n, 100, 500)
@@ -245,7 +244,7 @@
 		require.True(t, n.Ready(at(2200)))
 	})
 	t.Run("isolated", func(t *testing.T) {
-		// A node that hears from nobody can't know whether it lacks a change.
+		// A node without contact with the table or a peer can't know whether it lacks a change.
 		n := fresh(true)
 		run(n, 100, 9900)
 		require.True(t, n.Ready(at(9900)))
@@ -255,7 +254,7 @@
 		require.True(t, n.Ready(at(10_100)))
 	})
 	t.Run("table outage", func(t *testing.T) {
-		// Nodes that hear from each other must stay ready.
+		// Nodes that have contact with each other must stay ready.
 		c := newCluster(t, 6)
 		c.tableUp = func() bool { return false }
 		c.steps(300)
@@ -293,8 +292,8 @@
 }
 
 // Under random loss, pauses, restarts and stale reads no node reverts to a lower revision
-// (cluster.perform checks it against the reference) and a restarted node is not ready at
-// once. Once the faults end, all nodes are ready at the highest revision
+// (cluster.perform checks it against the reference), and a restarted node is not ready before
+// its revision is confirmed. After the faults end, all nodes are ready at the highest revision
 // within a bounded number of steps.
 func TestSpreadUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/spread/tree.go
+++ b/core/spread/tree.go
@@ -27,7 +27,7 @@
 	ownAckPending bool
 }
 
-// Push is a message that PushTo sent.
+// Push is the message that a node receives when another node performs PushTo.
 type Push struct {
 	From, Root      NodeID
 	Zone            string
@@ -98,6 +98,7 @@
 	return nil
 }
 
+// pushAsRoot adds a push that this node starts.
 func (n *Node) pushAsRoot(actions []Action, push PushTo) []Action {
 	push.Root = n.config.Self.ID
 	return n.pushDown(actions, push)
@@ -150,8 +151,8 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone != zone })
 }
 
-// isPoller reports whether the node is one of its zone's pollers. A node that is missing in
-// the list of members includes itself: too many pollers for a while are harmless.
+// isPoller reports whether the node is one of its zone's pollers. A node that is missing from
+// the list of members counts itself as a member: too many pollers for a while are harmless.
 func isPoller(config Config, members []Member) bool {
 	names := []string{string(config.Self.ID)}
 	for _, member := range inZone(members, config.Self.Zone) {
@@ -163,9 +164,11 @@
 	return slices.Index(order, 0) < config.PollersPerZone
 }
 
-// initialPeerIndex spreads the nodes' first queries over the peers.
+// initialPeerIndex returns the index at which a node's rotation over its peers starts. It
+// depends on the node's ID, so that the first queries of all nodes are spread over the peers.
 func initialPeerIndex(self NodeID) int { return int(rendezvous.Hash(string(self)) >> 33) }
 
+// startTracking tracks a revision that this node wrote. It replaces the oldest of maxTrackers.
 func (n *Node) startTracking(now time.Time, after, revision document.Revision) {
 	if len(n.trackers) == maxTrackers {
 		n.trackers = slices.Delete(n.trackers, 0, 1)
