--- a/core/fetch/fetch.go
+++ b/core/fetch/fetch.go
@@ -23,7 +23,7 @@
 	// a value from other entries.
 	HoldOff = 150 * time.Millisecond
 	// partTimeout is how long an entry waits for a part. A holder that did not answer in time is
-	// not asked again for as long.
+	// then not asked again for the same time.
 	partTimeout = 500 * time.Millisecond
 	// busyBackoff is how long a holder that was busy is not asked again.
 	busyBackoff = 100 * time.Millisecond
@@ -51,12 +51,12 @@
 // with increasing times and not concurrently.
 type Fetcher struct {
 	random *rand.Rand
-	// newest is the highest version announced, missingSince is when a newer version was first
-	// missing, and fetchAt is when to request it.
+	// newest is the highest version announced. missingSince is when the entry began to lack a
+	// newer version, and fetchAt is when to request one.
 	newest       uint64
 	missingSince time.Time
 	fetchAt      time.Time
-	// holders are the entries that have announced a missing version.
+	// holders are the entries that have announced a version above the applied one.
 	holders []holder
 	// pendingHolder is the holder whose answer is awaited until deadline; empty for none.
 	pendingHolder string
--- a/core/fetch/fetch_test.go
+++ b/core/fetch/fetch_test.go
@@ -70,7 +70,7 @@
 	require.Equal(t, "b", name)
 }
 
-// An entry must not request the same holder only: it may be lost before it answers.
+// An entry must not ask only one holder again and again, since that holder may never answer.
 func TestAllHoldersAreAskedInTurn(t *testing.T) {
 	f := newFetcher()
 	now := start
@@ -269,9 +269,9 @@
 			part *Part
 		}
 		names := []string{"a", "b", "c"}
-		shelves := map[string]*Server{}
+		servers := map[string]*Server{}
 		for _, name := range names {
-			shelves[name] = NewServer()
+			servers[name] = NewServer()
 		}
 		f := New(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)))
 		lossPercent := rapid.IntRange(0, 30).Draw(t, "loss, in 100")
@@ -287,7 +287,7 @@
 		change := func() {
 			version++
 			for _, name := range names {
-				shelves[name].Put(now, version, encoding(version, parts))
+				servers[name].Put(now, version, encoding(version, parts))
 				f.Announce(now, applied, name, name == "a", version)
 			}
 		}
@@ -307,7 +307,7 @@
 				if faulty && rapid.IntRange(0, 99).Draw(t, "lost") < lossPercent {
 					lost++
 				} else {
-					inFlight = append(inFlight, answer{now.Add(time.Duration(delay) * tick), name, shelves[name].Get(now, "x", request)})
+					inFlight = append(inFlight, answer{now.Add(time.Duration(delay) * tick), name, servers[name].Get(now, "x", request)})
 				}
 			}
 			for i := 0; i < len(inFlight); i++ {
--- a/core/fetch/server.go
+++ b/core/fetch/server.go
@@ -45,7 +45,8 @@
 	return s.kept[len(s.kept)-1].version
 }
 
-// Put adds a version that is newer than all others.
+// Put adds a version that is newer than all others. It drops the versions that were not requested
+// within keepTTL, and the least recently requested one if there are still maxKeptVersions.
 func (s *Server) Put(now time.Time, version uint64, data []byte) {
 	s.kept = slices.DeleteFunc(s.kept, func(e encoded) bool { return now.Sub(e.lastRequested) >= keepTTL })
 	if len(s.kept) >= maxKeptVersions {
@@ -65,8 +66,8 @@
 	return least
 }
 
-// Get returns the part that an entry requests, or an empty part if there is no version or too
-// many entries are being served.
+// Get returns the part that an entry requests, as described at Request. It returns an empty part
+// if there is no version or too many entries are being served.
 func (s *Server) Get(now time.Time, name string, request Request) *Part {
 	if len(s.kept) == 0 || !s.admit(now, name) {
 		return &Part{}
@@ -87,6 +88,7 @@
 
 func (e *encoded) parts() int { return max(1, (len(e.data)+PartBytes-1)/PartBytes) }
 
+// admit reports whether an entry may be served now, and if so counts it for clientTTL.
 func (s *Server) admit(now time.Time, name string) bool {
 	for client, at := range s.clients {
 		if now.Sub(at) >= clientTTL {
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -20,15 +20,15 @@
 	MinCrashes int
 	// Hold is how long a request is held back the first time. Then it is on probation for the same
 	// time, during which one more crash is enough, and each further hold is holdGrowth times as
-	// long.
+	// long as the one before.
 	Hold time.Duration
 }
 
 // DefaultSettings require three crashes, which are unlikely to be a coincidence.
 var DefaultSettings = Settings{MinCrashes: 3, Hold: time.Hour}
 
-// HoldLength returns the length of a hold, given how many times in a row the request has been held
-// back with it.
+// HoldLength returns the length of a request's latest hold, given the number of its holds in a row
+// including this one.
 func (s Settings) HoldLength(times int) time.Duration {
 	length := s.Hold
 	for range times - 1 {
@@ -44,7 +44,8 @@
 	// coincidenceWindow is the time within which crashes count as one. When a rack fails, several
 	// upstreams that ran the same popular request crash at once.
 	coincidenceWindow = 20 * time.Millisecond
-	// holdGrowth limits how often a request that keeps crashing upstreams is tried again.
+	// holdGrowth is the factor by which each further hold is longer. It limits how often a request
+	// that keeps crashing upstreams is tried again.
 	holdGrowth = 8
 	// Retention is how long crashes and suspects are kept.
 	Retention = 30 * time.Minute
@@ -80,8 +81,8 @@
 	crashes  map[uint32]*crash
 	suspects map[fingerprint.Print]*suspect
 	holds    map[fingerprint.Print]Hold
-	// cleared holds when a request was cleared. Outdated records and reports of other entries
-	// may still arrive for it.
+	// cleared holds when each request was cleared, so that outdated stored records and holds
+	// that arrive later are ignored. A new crash removes the request from it.
 	cleared map[fingerprint.Print]time.Time
 }
 
@@ -175,6 +176,8 @@
 	return known
 }
 
+// markCleared records that a request was cleared. If there is no room, it first
+// drops the records of all others.
 func (l *Ledger) markCleared(now time.Time, print fingerprint.Print) {
 	if len(l.cleared) >= maxSuspects {
 		clear(l.cleared)
@@ -299,6 +302,7 @@
 	}
 }
 
+// dropCrash removes a crash, and the suspects that have no other.
 func (l *Ledger) dropCrash(upstream uint32) {
 	for print := range l.crashes[upstream].inFlight {
 		s := l.suspects[print]
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -39,7 +39,8 @@
 	return prints
 }
 
-// A request that is in flight at each crash is held back, and one that is there by chance is not.
+// A request that is in flight at each crash is held back. One that is in flight at some of them
+// by chance is not.
 func TestRequestInFlightAtEachCrashIsHeldBack(t *testing.T) {
 	l := newLedger()
 	recordCrashes(l, at(0), 1, "fatal", "a", "b")
@@ -74,7 +75,8 @@
 	require.Equal(t, []fingerprint.Print{printOf("second")}, decidedPrints(l, at(12)), "a second cause is found besides the first")
 }
 
-// An answer proves that a request does not crash upstreams, however many crashes it was in.
+// An answer proves that a request does not crash upstreams, however often it was in flight at a
+// crash.
 func TestAnsweredRequestIsNotHeldBack(t *testing.T) {
 	l := newLedger()
 	for i := range uint32(10) {
@@ -112,8 +114,8 @@
 	require.Equal(t, []fingerprint.Print{printOf("fatal")}, decidedPrints(l, at(2)))
 }
 
-// Of several requests that were in flight at the same crashes any may be the cause, so all are held
-// back.
+// If several requests were in flight at the same crashes, any of them may be the cause, so all are
+// held back.
 func TestEquallyLikelyCausesAreAllHeldBack(t *testing.T) {
 	l := newLedger()
 	for i := range uint32(3) {
@@ -143,6 +145,8 @@
 	require.Empty(t, decidedPrints(l, later.Add(3*time.Minute)), "a cleared request starts without crashes")
 }
 
+// A report of another entry must not hold a request back for longer than MaxHold, and reports with
+// fields out of range must be dropped.
 func TestReportedHoldsAreBounded(t *testing.T) {
 	l := newLedger()
 	require.True(t, l.HandleReport(at(0), Report{Kind: HoldReport, Print: printOf("a"), LeftMs: 5000}))
@@ -229,74 +233,75 @@
 
 const fatalName = "fatal"
 
-// arrive sends a request to engines until one does not crash.
-func (f *loadModel) arrive(name string, tries int) {
+// arrive sends a request to an engine unless it is held back. The fatal request crashes the engine
+// and is sent again, up to the given number of tries.
+func (m *loadModel) arrive(name string, tries int) {
 	for range tries {
-		if !f.ledger.HeldUntil(f.now, printOf(name)).IsZero() {
+		if !m.ledger.HeldUntil(m.now, printOf(name)).IsZero() {
 			if name != fatalName {
-				f.wronglyHeld++
+				m.wronglyHeld++
 			}
 			return
 		}
-		engine := f.random.IntN(len(f.engines))
-		f.engines[engine] = append(f.engines[engine], name)
+		engine := m.random.IntN(len(m.engines))
+		m.engines[engine] = append(m.engines[engine], name)
 		if name != fatalName {
 			return
 		}
-		f.fatalRuns++
-		f.crash(engine)
+		m.fatalRuns++
+		m.crash(engine)
 	}
 }
 
 // crash crashes an engine and sends its requests to other engines.
-func (f *loadModel) crash(engine int) {
-	names := f.engines[engine]
-	f.engines[engine] = nil
-	f.next++
+func (m *loadModel) crash(engine int) {
+	names := m.engines[engine]
+	m.engines[engine] = nil
+	m.next++
 	for _, name := range names {
-		f.ledger.RecordCrash(f.now, Crash{Upstream: f.next, At: f.now}, printOf(name))
+		m.ledger.RecordCrash(m.now, Crash{Upstream: m.next, At: m.now}, printOf(name))
 	}
-	f.now = f.now.Add(150 * time.Millisecond)
-	f.ledger.Decide(f.now)
+	m.now = m.now.Add(150 * time.Millisecond)
+	m.ledger.Decide(m.now)
 	for _, name := range names {
 		if name != fatalName {
-			f.engines[f.random.IntN(len(f.engines))] = append(f.engines[f.random.IntN(len(f.engines))], name)
+			m.engines[m.random.IntN(len(m.engines))] = append(m.engines[m.random.IntN(len(m.engines))], name)
 		}
 	}
 }
 
-// In a load in which one request crashes engines, engines also crash by themselves and requests
-// are retried, the cause is sent to engines only a few times and almost no other request is held
-// back.
+// Under a load in which one request crashes engines, other engines crash without such a cause and
+// requests are retried, the fatal request must run only a few times and almost no other request
+// may be held back.
 func TestCauseIsFoundUnderLoad(t *testing.T) {
 	fatalRuns, wronglyHeld, arrived := 0, 0, 0
 	for seed := range uint64(200) {
-		f := &loadModel{random: rand.New(rand.NewPCG(seed, 1)), ledger: newLedger(), engines: make([][]string, 14), now: start}
+		m := &loadModel{random: rand.New(rand.NewPCG(seed, 1)), ledger: newLedger(), engines: make([][]string, 14), now: start}
 		for i := range 600 {
-			f.now = f.now.Add(30 * time.Millisecond)
+			m.now = m.now.Add(30 * time.Millisecond)
 			arrived++
-			f.arrive(fmt.Sprint("question ", i), 2)
+			m.arrive(fmt.Sprint("question ", i), 2)
 			if i%20 == 10 {
-				f.arrive(fatalName, 2)
+				m.arrive(fatalName, 2)
 			}
 			if i%150 == 75 {
-				f.crash(f.random.IntN(len(f.engines)))
+				m.crash(m.random.IntN(len(m.engines)))
 			}
-			f.answer()
+			m.answer()
 		}
-		fatalRuns = max(fatalRuns, f.fatalRuns)
-		wronglyHeld += f.wronglyHeld
+		fatalRuns = max(fatalRuns, m.fatalRuns)
+		wronglyHeld += m.wronglyHeld
 	}
 	require.LessOrEqual(t, fatalRuns, 6, "three crashes and three retries")
 	require.LessOrEqual(t, wronglyHeld, arrived/1000)
 }
 
 // answer answers some of the running requests and clears them in the ledger.
-func (f *loadModel) answer() {
-	for i, running := range f.engines {
-		if len(running) > 0 && f.random.IntN(4) == 0 {
-			f.ledger.Clear(f.now, printOf(running[0]))
-			f.engines[i] = running[1:]
+func (m *loadModel) answer() {
+	for i, running := range m.engines {
+		if len(running) > 0 && m.random.IntN(4) == 0 {
+			m.ledger.Clear(m.now, printOf(running[0]))
+			m.engines[i] = running[1:]
 		}
 	}
 }
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -12,7 +12,7 @@
 type candidate struct {
 	print   fingerprint.Print
 	suspect *suspect
-	// crashes are those that no held request explains. events is their number, where coincident
+	// crashes are those that no other request explains. events is their number, where coincident
 	// crashes count once unless the request was retried from one upstream to the other.
 	crashes []uint32
 	events  int
@@ -26,8 +26,8 @@
 	return bytes.Compare(a.print[:], b.print[:])
 }
 
-// Decide holds back the requests that are the probable cause of crashes, the most likely first:
-// crashes that it explains no longer count against the other requests in flight. If several
+// Decide holds back the requests that are the probable cause of crashes. It begins with the most
+// likely cause, whose crashes no longer count against the other requests in flight. If several
 // requests explain the same crashes equally well, all of them are held back, since sending the
 // wrong one to an upstream crashes it with all its requests. Decide returns the time at which to
 // call it again; zero if there is nothing to decide before the next crash.
@@ -50,8 +50,8 @@
 	}
 }
 
-// equallyLikely returns the first of the sorted candidates and those with as many crashes of which
-// at least one is the same.
+// equallyLikely returns the first of the sorted candidates, and the others that have the same
+// number of events and share at least one crash with it.
 func equallyLikely(all []candidate) []candidate {
 	first := &all[0]
 	same := []candidate{*first}
@@ -67,7 +67,8 @@
 	return same
 }
 
-// candidates returns the suspects that have enough unexplained crashes.
+// candidates returns the suspects that are not held back and have enough crashes that no other
+// request explains.
 func (l *Ledger) candidates(now time.Time) []candidate {
 	var all []candidate
 	explained := l.explainedCrashes()
@@ -92,7 +93,8 @@
 	return l.settings.MinCrashes, time.Time{}
 }
 
-// newCandidate counts the crashes of a suspect that no other held request explains.
+// newCandidate counts the crashes of a suspect after since that explained does not attribute to
+// another request.
 func (l *Ledger) newCandidate(print fingerprint.Print, s *suspect, explained map[uint32]fingerprint.Print, since time.Time) candidate {
 	c := candidate{print: print, suspect: s}
 	var times []time.Time
--- a/core/reservation/group.go
+++ b/core/reservation/group.go
@@ -141,6 +141,7 @@
 	return g.actionsForFirst(DoRelease, count)
 }
 
+// actionsForFirst returns an action of the given kind for each of the first count members.
 func (g *Group) actionsForFirst(operation Operation, count int) []Action {
 	actions := make([]Action, 0, count)
 	for i := range count {
--- a/core/reservation/group_test.go
+++ b/core/reservation/group_test.go
@@ -122,7 +122,7 @@
 }
 
 // dropIneffective drops messages without effect: those to crashed processes, and answers to
-// a group that is no longer in the phase they belong to.
+// a group that is no longer in the phase in which it waited for them.
 func (c *cluster) dropIneffective() {
 	c.inFlight = slices.DeleteFunc(c.inFlight, func(m message) bool {
 		if !m.answer && !m.memberLost {
@@ -140,15 +140,15 @@
 }
 
 func (c *cluster) handle(m message) {
-	b := c.mutablePool(m.agent)
+	p := c.mutablePool(m.agent)
 	owner := call.Incarnation(m.group + 1)
 	switch m.operation {
 	case DoReserve:
-		m.ok = b.Reserve(newReservation(m.group+1, owner, 100), start) == nil
+		m.ok = p.Reserve(newReservation(m.group+1, owner, 100), start) == nil
 	case DoConfirm:
-		m.ok = b.Confirm(id(m.group+1), 1, owner, start) == nil
+		m.ok = p.Confirm(id(m.group+1), 1, owner, start) == nil
 	case DoRelease:
-		b.Release(id(m.group+1), 1, start)
+		p.Release(id(m.group+1), 1, start)
 		return
 	}
 	m.answer = true
@@ -157,8 +157,8 @@
 
 func (c *cluster) crash(name string) {
 	c.crashed = name
-	if b := c.pools[name]; b != nil {
-		c.pools[name] = NewPool(b.capacity, b.options)
+	if p := c.pools[name]; p != nil {
+		c.pools[name] = NewPool(p.capacity, p.options)
 		for n := range c.groups {
 			c.inFlight = append(c.inFlight, message{group: n, memberLost: true, agent: name})
 		}
@@ -273,13 +273,13 @@
 		c.deliver(0)
 	}
 	for name := range c.pools {
-		b := c.mutablePool(name)
+		p := c.mutablePool(name)
 		for n := range c.groups {
-			_, held := b.Get(id(n + 1))
+			_, held := p.Get(id(n + 1))
 			require.False(e.t, held && c.crashed != leader(n), "live leader %d leaked memory at %s", n, name)
 		}
-		b.Expire(start.Add(b.options.OwnerTimeout))
-		require.Equal(e.t, b.capacity, b.Free(), "memory leaked at %s", name)
+		p.Expire(start.Add(p.options.OwnerTimeout))
+		require.Equal(e.t, p.capacity, p.Free(), "memory leaked at %s", name)
 	}
 }
 
--- a/core/reservation/pool.go
+++ b/core/reservation/pool.go
@@ -26,8 +26,8 @@
 // Reservation is memory that one request holds at one engine.
 type Reservation struct {
 	ID call.ID
-	// Attempt is the number of this attempt of the request, or of its group, to reserve memory
-	// here.
+	// Attempt is the number of the attempt, of the request or of its group, to reserve memory at
+	// this engine.
 	Attempt call.Attempt
 	// Owner is the incarnation of the process that reserved the memory: an entry, or the
 	// agent that leads a group.
@@ -150,6 +150,7 @@
 	return nil
 }
 
+// touchOwner records activity of an owner, which may be new, and returns it.
 func (p *Pool) touchOwner(incarnation call.Incarnation, now time.Time) *owner {
 	o := p.owners[incarnation]
 	if o == nil {
@@ -232,8 +233,8 @@
 // engine.
 //
 // When an entry crashes or its link fails, no release message arrives for its reservations,
-// and the engine would reject requests while it is idle. Every reservation therefore
-// expires unless its owner shows activity.
+// and requests would be refused for lack of memory while the engine is idle. Every reservation
+// therefore expires unless its owner shows activity.
 func (p *Pool) Expire(now time.Time) []Reservation {
 	var expired []Reservation
 	for _, r := range p.reservations {
--- a/core/reservation/pool_test.go
+++ b/core/reservation/pool_test.go
@@ -27,6 +27,8 @@
 	require.Equal(t, result.NotRun, refused.Execution)
 }
 
+// Each refusal must have its own code and say that the request did not run, so that the caller may
+// send the request elsewhere. A late release must not free the memory of a later attempt.
 func TestPoolRefusals(t *testing.T) {
 	p := NewPool(100, DefaultOptions())
 	require.NoError(t, p.Reserve(newReservation(1, 7, 60), start))
--- a/core/reservation/reconcile.go
+++ b/core/reservation/reconcile.go
@@ -27,8 +27,8 @@
 type Difference struct {
 	// Orphans are held by the engine without a reservation. The caller cancels them.
 	Orphans []call.ID
-	// Missing are confirmed in the pool but not held by the engine, since their streams have
-	// ended or broken. The agent releases those without an open stream.
+	// Missing are confirmed in the pool but not held by the engine, usually because their
+	// streams have ended or broken. The agent releases those without an open stream.
 	Missing []call.ID
 }
 
--- a/core/scheduling/dominance.go
+++ b/core/scheduling/dominance.go
@@ -10,14 +10,15 @@
 	// second does not count as a flood, half a minute does.
 	dominanceHalfLife = 10 * time.Second
 	// dominantShare is the share of the recent short tokens above which an organisation is
-	// dominant. The largest of ten organisations whose sizes fall as 1/rank has a third.
+	// dominant. For comparison, the largest of ten organisations whose sizes fall as 1/rank has
+	// a share of a third.
 	dominantShare = 0.5
 	// floodShare is the part of the engine's prefill rate above which the short tokens of the
-	// dominant organisation count as a flood. The largest of ten organisations uses 0.04 at
-	// 70 % load. With a higher threshold a flood fills the memory before it is detected.
+	// dominant organisation count as a flood. The largest of these ten organisations uses 0.04
+	// at 70 % load. With a higher threshold a flood fills the memory before it is detected.
 	floodShare = 0.05
 	// soleShare is the share of the recent short tokens from which an organisation counts as
-	// the only one: there is no other to leave memory for.
+	// the only one. It does not count as flooding, since there is no other to leave memory to.
 	soleShare = 0.995
 	// maxTrackedOrganisations bounds the number of tracked organisations.
 	maxTrackedOrganisations = 4096
@@ -56,6 +57,7 @@
 	return dominanceTracker{started: make(map[string]float64)}
 }
 
+// add adds the tokens of a started short item to an organisation.
 func (d *dominanceTracker) add(organisation string, tokens, now int64) {
 	halvings := float64(now-d.baseTime) / float64(dominanceHalfLife)
 	if halvings > maxHalvings {
@@ -86,8 +88,8 @@
 	d.prune(1)
 }
 
-// prune drops the organisations with a negligible number of recent tokens. If too many
-// remain, it drops all of them.
+// prune drops the organisations with a negligible number of recent tokens; weight is the weight
+// of a token started now. If too many remain, it drops all of them.
 func (d *dominanceTracker) prune(weight float64) {
 	for organisation, sum := range d.started {
 		if sum < negligibleTokens*weight {
--- a/core/scheduling/lane.go
+++ b/core/scheduling/lane.go
@@ -39,6 +39,7 @@
 	latestStartIndex  int // index in Priority.byLatestStart
 }
 
+// earlier orders nodes by the time at which they age, then by arrival.
 func earlier(a, b *node) bool {
 	if a.agesAt != b.agesAt {
 		return a.agesAt < b.agesAt
@@ -69,7 +70,7 @@
 	organisations     map[string]*organisationQueue
 	byUse             heap[*organisationQueue] // organisations with items, by use
 	byAge             heap[*organisationQueue] // organisations with items, by age of the first item
-	idle              heap[*organisationQueue] // idle organisations still ahead of virtualTime, by use
+	idle              heap[*organisationQueue] // organisations without items and ahead of virtualTime, by use
 	freeOrganisations []*organisationQueue
 }
 
@@ -107,6 +108,7 @@
 	}
 }
 
+// organisation returns the queue of an organisation, new if there is none. It is no longer idle.
 func (l *lane) organisation(name string) *organisationQueue {
 	if t := l.organisations[name]; t != nil {
 		if t.idleIndex >= 0 {
@@ -155,9 +157,9 @@
 	l.remove(n)
 }
 
-// retireIdle drops organisations without items once their use is no longer ahead of the
-// lane's virtual time. Dropping them earlier would let an organisation reset its use by
-// pausing for a moment.
+// retireIdle adds an organisation without items to the idle ones. It drops the idle organisations
+// whose use is no longer ahead of the lane's virtual time, or all of them if the lane is empty.
+// Dropping them earlier would let an organisation reset its use by pausing for a moment.
 func (l *lane) retireIdle(t *organisationQueue) {
 	l.idle.push(t)
 	for len(l.idle.items) > 0 {
--- a/core/scheduling/priority.go
+++ b/core/scheduling/priority.go
@@ -40,7 +40,8 @@
 	// Prefill is the number of uncached prompt tokens not yet prefilled, by class, except
 	// those of items with PriorityFlood.
 	Prefill [call.NumClasses]int64
-	// FloodPrefill is the number of such tokens of items with PriorityFlood.
+	// FloodPrefill is the number of uncached prompt tokens not yet prefilled of items with
+	// PriorityFlood.
 	FloodPrefill int64
 }
 
@@ -72,7 +73,7 @@
 	q.runningKnown = true
 }
 
-// Push implements Queue. It also rejects an ID that is already queued.
+// Push implements Queue. It also returns false for an ID that is already queued.
 func (q *Priority) Push(item Item) bool {
 	if len(q.byID) >= q.settings.Limit || q.byID[item.ID] != nil {
 		return false
@@ -139,6 +140,7 @@
 	return q.discard(n), true
 }
 
+// addRunning adds an item that Pop starts to the running ones.
 func (q *Priority) addRunning(n *node, flood bool) {
 	if flood {
 		q.running.FloodPrefill += uncachedTokens(&n.item)
@@ -153,8 +155,8 @@
 // chooseNext returns the item to start, or nil when none may start.
 func (q *Priority) chooseNext(now, free int64) *node {
 	short := q.nextShort(free, now)
-	// Short items of a flooding organisation have neither a quota ahead of aged items nor a
-	// share of the memory.
+	// Short items of a flooding organisation may use neither the quota ahead of aged items nor
+	// the memory share of short items.
 	shortWithQuota := short
 	if short != nil && q.isFlooding(short) {
 		shortWithQuota = nil
@@ -243,6 +245,8 @@
 	return len(items) > 1 || len(items) == 1 && !q.isFlooding(items[0].head())
 }
 
+// fits reports whether the free memory suffices for the item and for the memory that it must leave
+// to others.
 func (q *Priority) fits(n *node, free int64) bool {
 	reserve := q.settings.reservedMemory(n.class, n.memory)
 	if q.isFlooding(n) {
@@ -251,6 +255,8 @@
 	return n.memory+reserve <= free
 }
 
+// ifStartable returns the item if it fits into the free memory and the engine has fewer than
+// Settings.MaxPrefillAhead tokens to prefill ahead of it, otherwise nil.
 func (q *Priority) ifStartable(n *node, free int64) *node {
 	ahead := q.runningPrefill(n.class)
 	if q.isFlooding(n) {
--- a/core/scheduling/priority_test.go
+++ b/core/scheduling/priority_test.go
@@ -164,6 +164,8 @@
 	require.Equal(t, id(1), i.ID)
 }
 
+// Long items that arrive first must not fill the memory share of short items: a short item would
+// wait until one of them finishes.
 func TestLongItemsLeaveTheShareOfShortItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newTestQueue(document.ShortSlowdown)
@@ -279,6 +281,8 @@
 	require.InDelta(t, 10, starts(20)["b"], 1)
 }
 
+// An aged item must also get a higher priority at the engine. Otherwise it would wait there behind
+// items of the medium class.
 func TestAgingRaisesEnginePriority(t *testing.T) {
 	q := newTestQueue(document.ShortSlowdown)
 	long := testItem(1, "a", 200_000, start)
--- a/core/scheduling/scheduling.go
+++ b/core/scheduling/scheduling.go
@@ -20,7 +20,8 @@
 	// Work.Tokens. It is smaller for a request that a group of engines shares.
 	MemoryTokens int64
 	Enqueued     time.Time
-	Deadline     time.Time
+	// Deadline is the time by which the prompt must be prefilled; zero for none.
+	Deadline time.Time
 }
 
 // Queue orders the requests that wait at one agent. It is not safe for concurrent use.
