--- a/core/limits/entry.go
+++ b/core/limits/entry.go
@@ -11,7 +11,8 @@
 // account is the state of an organisation at an entry. Only its concurrency is used when the
 // entry itself is the owner.
 type account struct {
-	owner      string
+	owner string
+	// generation is the Entry.generation for which owner was determined.
 	generation uint64
 	// requests and tokens are the rest of the grants, valid until grantExpires.
 	requests, tokens float64
@@ -21,7 +22,8 @@
 	usedRequests, usedTokens float64
 	// slots is the concurrency granted, inUse the concurrency that requests use.
 	slots, inUse int
-	sequence     uint64
+	// sequence is that of the latest message to the owner.
+	sequence uint64
 	// releasedSinceTick is set while the key is in Entry.releasedKeys.
 	releasedSinceTick bool
 	// refusedTokens and refusedUntil are from the owner's last refusal.
@@ -34,9 +36,10 @@
 // Entry is the state of one entry for all organisations. It is not safe for concurrent use;
 // a caller that needs concurrency uses several, each with a part of the keys.
 type Entry struct {
-	self             string
-	entries          []string
-	hashes           []uint64
+	self    string
+	entries []string
+	hashes  []uint64
+	// generation counts the changes of entries, after which the owners are determined again.
 	generation       uint64
 	sequence         uint64
 	accounts         map[Key]*account
@@ -149,7 +152,8 @@
 }
 
 // decideOnLocalShare decides without the owner, which can't be reached. The entry uses an
-// equal share of the limits, as if no entry could reach the owner.
+// equal share of the limits, as if no entry could reach the owner, or the concurrency already
+// granted if that is more.
 func (e *Entry) decideOnLocalShare(now time.Time, a *account, limits *document.Limits, tokens float64) Decision {
 	slots := max(1, limits.Concurrency/len(e.entries))
 	if limits.Concurrency > 0 && a.inUse >= max(slots, a.slots) {
@@ -257,9 +261,9 @@
 	Request GrantRequest
 }
 
-// Tick returns the messages that release the concurrency of requests ended since the last
-// call and renew what this entry still holds. Call it about every 100 ms: until then the owner counts ended
-// requests and refuses others in their place.
+// Tick returns the messages that release the concurrency of requests ended since the last call,
+// and every renewInterval those that renew what this entry still holds. Call it about every
+// 100 ms: until the next call the owner counts ended requests and refuses others in their place.
 func (e *Entry) Tick(now time.Time) []Renewal {
 	var renewals []Renewal
 	for _, key := range e.releasedKeys {
@@ -281,6 +285,8 @@
 	return renewals
 }
 
+// renew reports the concurrency in use to the owner of an account, by a message unless the owner is
+// this entry.
 func (e *Entry) renew(now time.Time, renewals []Renewal, key Key, a *account) []Renewal {
 	e.assignOwner(key, a)
 	a.slots = a.inUse
--- a/core/limits/limits.go
+++ b/core/limits/limits.go
@@ -73,7 +73,8 @@
 	// Refused means that the organisation is over a limit.
 	Refused
 	// AskOwner means that the caller must send a GrantRequest to the owner and decide again
-	// after its Grant. If no Grant arrives in time, it calls OwnerTimedOut and decides again.
+	// after its Grant. If no Grant arrives in time, the caller calls OwnerTimedOut and decides
+	// again.
 	AskOwner
 )
 
@@ -82,7 +83,7 @@
 	Outcome Outcome
 	// RetryAfter is set when the request is refused.
 	RetryAfter time.Duration
-	// Owner is the entry to ask.
+	// Owner is the entry to ask; set for AskOwner.
 	Owner string
 }
 
--- a/core/limits/owner.go
+++ b/core/limits/owner.go
@@ -25,6 +25,7 @@
 	accounts map[Key]*ownedAccount
 }
 
+// account returns the account of a key, new if there is none.
 func (o *owner) account(now time.Time, key Key) *ownedAccount {
 	a := o.accounts[key]
 	if a == nil {
@@ -35,7 +36,8 @@
 	return a
 }
 
-// answer handles an entry's request for a grant.
+// answer handles an entry's request for a grant, or its renewal. A message that is not newer than
+// the entry's last one has no effect.
 func (o *owner) answer(now time.Time, entry string, request *GrantRequest, limits *document.Limits) Grant {
 	a := o.account(now, request.Key)
 	grant := Grant{Key: request.Key, Sequence: request.Sequence}
@@ -59,7 +61,8 @@
 	grant.Held = h.held
 	if wait > 0 {
 		grant.RetryAfter = wait
-		if full := a.meter.requests.level >= 1 && wait != concurrencyRetryAfter; full {
+		// A request of fewer tokens may be admitted if only the token bucket is too low.
+		if tokensOnly := a.meter.requests.level >= 1 && wait != concurrencyRetryAfter; tokensOnly {
 			grant.Refused = request.Tokens
 		}
 		return grant
--- a/core/load/load.go
+++ b/core/load/load.go
@@ -5,10 +5,10 @@
 // to an entry carries a few of them. The traffic is bounded: the interval between two sends
 // grows with the size of the group.
 //
-// The list of VMs does not contain the model that an agent's engine serves, and orders
-// change it, so peers' models are taken from their digests. A peer whose model is unknown
-// gets digests like one of the same model. A peer of another model gets them seldom, just
-// often enough to learn of a change of model.
+// The list of VMs does not say which model an agent's engine serves, and the model changes by
+// orders, so peers' models are taken from their digests. A peer whose model is unknown gets
+// digests like one of the same model. A peer of another model gets them seldom, just often
+// enough to learn when this agent's model changes.
 package load
 
 import (
@@ -36,8 +36,8 @@
 	// in peers/link logs 114 bytes with all fields large.
 	digestBytes = 112
 	// budgetBytes is the number of bytes per second that an agent may send to its peers. It
-	// receives about as much, so that digests may use nearly all of the 2 KB/s that a node
-	// may spend on control traffic.
+	// receives about as much, which together is nearly all of the 2 KB/s that a node may spend
+	// on control traffic.
 	budgetBytes = 1000
 	// otherModelsBytes is the part of budgetBytes for peers of other models, if there are any.
 	otherModelsBytes = 200
@@ -77,7 +77,8 @@
 // SetModel sets the model that this agent's engine serves.
 func (g *Group) SetModel(model string) { g.model = model }
 
-// SetPeers replaces the peers. It leaves out self.
+// SetPeers replaces the peers. It leaves out self, and drops the digests of agents that are no
+// longer peers.
 func (g *Group) SetPeers(agents []string) {
 	g.peers = g.peers[:0]
 	for _, agent := range agents {
@@ -167,14 +168,16 @@
 	return true
 }
 
-// changedEnough reports whether a digest differs enough from the one sent last.
-func changedEnough(old, now *routing.Load) bool {
-	before, after := outstandingTokens(old), outstandingTokens(now)
+// changedEnough reports whether a digest differs enough from the one sent last: the outstanding
+// prompt tokens have changed by more than minChangeShare, the queue has become empty or no longer
+// is, or the free memory has changed and is less than a quarter of the capacity.
+func changedEnough(last, own *routing.Load) bool {
+	before, after := outstandingTokens(last), outstandingTokens(own)
 	larger := max(before, after)
 	if larger > 0 && float64(max(before-after, after-before)) > minChangeShare*float64(larger) {
 		return true
 	}
-	return old.QueuedCalls == 0 != (now.QueuedCalls == 0) || old.FreeTokens != now.FreeTokens && now.FreeTokens < now.CapacityTokens/4
+	return last.QueuedCalls == 0 != (own.QueuedCalls == 0) || last.FreeTokens != own.FreeTokens && own.FreeTokens < own.CapacityTokens/4
 }
 
 // outstandingTokens returns the number of prompt tokens that wait or run.
@@ -186,8 +189,9 @@
 	return sum
 }
 
-// Receive stores a peer's digest. It drops a digest that is older than the stored one: links
-// may deliver late, and an old digest would route requests to a replica that is full.
+// Receive stores a peer's digest. It drops a digest that is older than the stored one, by its
+// sequence number within an incarnation and by TakenAt otherwise: links may deliver late, and
+// an old digest would route requests to a replica that is full.
 func (g *Group) Receive(report Report) {
 	if !slices.Contains(g.peers, report.Agent) {
 		return
@@ -238,8 +242,9 @@
 	return -1
 }
 
-// LessLoadedPeer returns a peer that has fewer outstanding prompt tokens than own by more than
-// margin and at least need free tokens, or "" if there is none.
+// LessLoadedPeer returns the least loaded peer of the same model that is neither leaving nor down,
+// has fewer outstanding prompt tokens than own by more than margin, and has at least need free
+// tokens. It returns "" if there is none.
 func (g *Group) LessLoadedPeer(now time.Time, own *routing.Load, need int64, margin int64) string {
 	for _, report := range g.LeastLoaded(now, len(g.reports)) {
 		if report.Leaving || report.Load.Down || report.Load.FreeTokens < need {
--- a/core/load/load_test.go
+++ b/core/load/load_test.go
@@ -48,6 +48,8 @@
 	require.Equal(t, int64(500), g.LeastLoaded(start, 1)[0].Load.QueuedPrompt[call.Short])
 }
 
+// An agent must not name a less loaded peer that would probably refuse the request: one without
+// enough free memory, one that is down or leaving, or one whose digest is old.
 func TestLessLoadedPeerHasRoom(t *testing.T) {
 	g := NewGroup("a")
 	g.SetPeers([]string{"b", "c", "d", "e"})
--- a/core/placement/canary.go
+++ b/core/placement/canary.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// isRejected reports whether a canary is rejected, now or by an earlier decision. It requests
-// the storing of a rejection until Input.Rejected shows it.
+// isRejected reports whether a canary is rejected, now or by an earlier decision. Until
+// Input.Rejected lists a rejection, each decision asks the caller to store it.
 func (r *round) isRejected(model *document.Model, version ModelVersion) bool {
 	if slices.Contains(r.in.Rejected, version) {
 		return true
@@ -42,7 +42,8 @@
 }
 
 // canaryReplicas returns the number of replicas for the canary: at least one, so that it is
-// tried at all, and never all, so that it can be compared with the stable version.
+// tried at all, but never all, so that it can be compared with the stable version. A model with
+// a single replica therefore has no canary.
 func canaryReplicas(model *document.Model) int {
 	if model.Canary == "" || model.CanaryShare <= 0 {
 		return 0
@@ -51,7 +52,8 @@
 	return min(n, model.Replicas-1)
 }
 
-// versionStats are the statistics over all replicas of one version.
+// versionStats are the statistics over all replicas of one version: the number of requests, the
+// error rate (0 to 1) and the mean time to first token in nanoseconds.
 type versionStats struct {
 	requests   int
 	errors     float64
@@ -59,28 +61,29 @@
 }
 
 func (r *round) versionStats(model, version string) versionStats {
-	var f versionStats
+	var stats versionStats
 	for _, e := range r.engines {
 		if e.Model != model || e.Version != version {
 			continue
 		}
 		n := float64(e.Requests)
-		f.requests += e.Requests
-		f.errors += n * e.ErrorRate
-		f.firstToken += n * float64(e.FirstToken)
+		stats.requests += e.Requests
+		stats.errors += n * e.ErrorRate
+		stats.firstToken += n * float64(e.FirstToken)
 	}
-	if f.requests > 0 {
-		f.errors /= float64(f.requests)
-		f.firstToken /= float64(f.requests)
+	if stats.requests > 0 {
+		stats.errors /= float64(stats.requests)
+		stats.firstToken /= float64(stats.requests)
 	}
-	return f
+	return stats
 }
 
-// firstTokenFloor is a difference in time to first token that callers do not notice. Up to
-// it the factor is not applied.
-const firstTokenFloor = 50 * time.Millisecond
+// firstTokenTolerance is a difference in time to first token that callers do not notice. A canary
+// may exceed the limit given by Config.FirstTokenFactor by this much.
+const firstTokenTolerance = 50 * time.Millisecond
 
-// evaluateCanary returns the reason to reject the canary, or "" to keep it.
+// evaluateCanary returns the reason to reject the canary, or "" to keep it. It keeps a canary until
+// both versions have had MinRequests.
 func (r *round) evaluateCanary(model *document.Model) Reason {
 	config := &r.placer.config
 	stable, canary := r.versionStats(model.Name, model.Version), r.versionStats(model.Name, model.Canary)
@@ -90,7 +93,7 @@
 	switch {
 	case canary.errors > stable.errors+config.ErrorMargin:
 		return ReasonErrors
-	case canary.firstToken > stable.firstToken*config.FirstTokenFactor+float64(firstTokenFloor):
+	case canary.firstToken > stable.firstToken*config.FirstTokenFactor+float64(firstTokenTolerance):
 		return ReasonFirstTokens
 	}
 	return ""
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -153,8 +153,8 @@
 	// MinRequests is the number of requests that both versions need before a canary is
 	// compared with the stable version.
 	MinRequests int
-	// ErrorMargin is by how much a canary's error rate may exceed that of the stable version,
-	// FirstTokenFactor by which factor its mean time to first token may.
+	// ErrorMargin is by how much a canary's error rate may exceed that of the stable version.
+	// FirstTokenFactor is by which factor its mean time to first token may be longer.
 	ErrorMargin, FirstTokenFactor float64
 }
 
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -82,8 +82,8 @@
 		}
 	}
 	fetching := 0
-	for _, l := range f.running {
-		if l.order.Kind != SetRole {
+	for _, o := range f.running {
+		if o.order.Kind != SetRole {
 			fetching++
 		}
 	}
@@ -94,7 +94,7 @@
 func (f *fleet) startOrder(order Order) {
 	require.NotEmpty(f.t, order.Reason)
 	f.orders = append(f.orders, order)
-	if l, ok := f.running[order.VM]; !ok || l.order != order {
+	if o, ok := f.running[order.VM]; !ok || o.order != order {
 		f.running[order.VM] = runningOrder{order: order, roundsLeft: 3}
 	}
 }
@@ -109,20 +109,20 @@
 // advance advances the time and completes orders.
 func (f *fleet) advance() {
 	f.now = f.now.Add(interval)
-	for vm, l := range f.running {
-		if l.roundsLeft--; l.roundsLeft > 0 {
-			f.running[vm] = l
+	for vm, o := range f.running {
+		if o.roundsLeft--; o.roundsLeft > 0 {
+			f.running[vm] = o
 			continue
 		}
 		delete(f.running, vm)
 		r := f.replica(vm)
-		switch l.order.Kind {
+		switch o.order.Kind {
 		case LoadModel:
-			r.Model, r.Version, r.Adapters, r.Requests = l.order.Model, l.order.Version, nil, 0
+			r.Model, r.Version, r.Adapters, r.Requests = o.order.Model, o.order.Version, nil, 0
 		case LoadAdapter:
-			r.Adapters = append(r.Adapters, l.order.Adapter)
+			r.Adapters = append(r.Adapters, o.order.Adapter)
 		case SetRole:
-			r.Role = l.order.Role
+			r.Role = o.order.Role
 		}
 	}
 }
@@ -160,6 +160,8 @@
 	return document.Model{Name: name, Version: "1", Replicas: replicas}
 }
 
+// Models must get their replicas, evenly over the zones, with their adapters and roles, and a
+// replica that stays dead must be replaced.
 func TestAddsSpreadsAndReplacesReplicas(t *testing.T) {
 	a := model("a", 6)
 	a.Adapters = []string{"x", "y"}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -83,6 +83,7 @@
 	}
 }
 
+// slotExpired reports whether a slot's row has not changed for SlotTimeout.
 func (p *Placer) slotExpired(now time.Time, slot Slot) bool {
 	return now.Sub(p.slotsSeen[slot.Index].since) >= p.config.SlotTimeout
 }
@@ -92,7 +93,8 @@
 	*Replica
 	model, version string
 	busy           bool
-	// present is false for engines that do not count as replicas: leaving or dead ones.
+	// present is false for engines that do not count as replicas: those that are leaving, and
+	// those that have been dead for DeadGracePeriod.
 	present bool
 }
 
@@ -109,7 +111,7 @@
 	engines    []*engine
 	zones      []string
 	targets    []target
-	freeSlots  []Slot // neither held nor expired
+	freeSlots  []Slot // slots without an order, and those whose order has expired
 	ordersLeft int
 	actions    []Action
 }
@@ -164,8 +166,8 @@
 	}
 }
 
-// finishOrders ends the orders that are done or have timed out, and applies the others to
-// the engines.
+// finishOrders ends the orders that are done or have timed out, applies the others to the engines
+// and computes how many orders this round may give.
 func (r *round) finishOrders() {
 	p := r.placer
 	for _, e := range r.engines {
@@ -193,6 +195,7 @@
 	r.ordersLeft = max(0, min(p.config.MaxOrdersPerRound, p.config.MaxPendingOrders-len(p.pending)))
 }
 
+// reissueOrder gives an order found in a slot once more.
 func (r *round) reissueOrder(pending pendingOrder) {
 	if !pending.reissue {
 		return
@@ -202,6 +205,7 @@
 	r.actions = append(r.actions, pending.order)
 }
 
+// endOrder drops the order of a VM and starts its cooldown.
 func (r *round) endOrder(vm string) {
 	delete(r.placer.pending, vm)
 	r.placer.cooldownUntil[vm] = r.now.Add(r.placer.config.Cooldown)
--- a/core/placement/target.go
+++ b/core/placement/target.go
@@ -40,7 +40,8 @@
 	return model.Replicas / max(1, len(r.zones))
 }
 
-// nextVersion returns the version that one more replica of the model should serve.
+// nextVersion returns the version that the next replica to load should serve, and the reason for
+// an order that changes a replica to it.
 func (t *target) nextVersion(engines []*engine) (string, Reason) {
 	if t.canaryReplicas > 0 && countVersion(engines, t.model.Version) >= t.stableReplicas() && countVersion(engines, t.model.Canary) < t.canaryReplicas {
 		return t.model.Canary, ReasonCanary
@@ -100,7 +101,8 @@
 }
 
 // isSpare reports whether an engine's model has enough replicas without it, in total and in
-// the engine's zone.
+// the engine's zone. An engine without a model, or with one that the document does not name, is
+// spare.
 func (r *round) isSpare(e *engine) bool {
 	for i := range r.targets {
 		model := r.targets[i].model
@@ -132,7 +134,8 @@
 	}
 }
 
-// wrongVersion returns the next replica to change and the order for it.
+// wrongVersion returns the next replica whose version must change and the order for it, or nil if
+// there is none.
 func (r *round) wrongVersion(t *target, engines []*engine) (*engine, Order) {
 	version, reason := t.nextVersion(engines)
 	tooManyCanaries := t.canaryReplicas > 0 && countVersion(engines, t.model.Canary) > t.canaryReplicas
--- a/core/prefix/estimator.go
+++ b/core/prefix/estimator.go
@@ -31,8 +31,8 @@
 	Depth  int
 }
 
-// Event is a cache event of an engine. Digest is the digest of the block's prefix, as
-// computed by this package.
+// Event is a cache event of an engine: it has cached or evicted a block. Digest is the digest of
+// the prefix that ends with the block, as computed by this package.
 type Event struct {
 	Sequence uint64
 	Digest   uint64
@@ -53,8 +53,9 @@
 	// validFrom is the first tick whose records are valid.
 	validFrom uint32
 	// sequence is that of the last cache event; synced is false before the first one.
-	sequence  uint64
-	synced    bool
+	sequence uint64
+	synced   bool
+	// lastVisit is the Estimator.visit in which the holder was last among the matches.
 	lastVisit uint32
 }
 
@@ -68,7 +69,8 @@
 	holders []holder
 	byAgent map[string]Holder
 	free    []Holder
-	visit   uint32
+	// visit counts the calls of Match.
+	visit uint32
 }
 
 // NewEstimator returns an Estimator for at least slots digests (DefaultSlots when 0) whose
--- a/core/routing/baselines.go
+++ b/core/routing/baselines.go
@@ -14,7 +14,7 @@
 	NamePowerOfTwo     = "power-of-two"
 	NamePrefixOnly     = "prefix-only"
 	NameCombined       = "combined"
-	NameCombinedSpread = "combined-spread" // with Options.HotSpread
+	NameCombinedSpread = "combined-spread" // with Options.SplitHotPrefixes
 	NamePlain          = "plain"
 )
 
--- a/core/routing/combined.go
+++ b/core/routing/combined.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// best returns the replica with the lowest score.
+// best returns the usable candidate with the lowest score: the predicted time to first token, with
+// a random part that grows with the age of the load report.
 func (c *Combined) best(g *group, request *Request, replicas []Replica) Choice {
 	choice := Choice{Index: -1}
 	lowest := math.Inf(1)
--- a/core/routing/ejecting.go
+++ b/core/routing/ejecting.go
@@ -17,8 +17,9 @@
 // choice among the rest to another policy.
 //
 // An engine that breaks every stream frees its memory at once, so it looks idle and would
-// attract all requests. If more than maxEjectedShare of the replicas are ejected, the
-// cause is probably elsewhere, and the ejections are ignored.
+// attract all requests. If more than maxEjectedShare of the live replicas are ejected, the
+// cause is probably elsewhere, and the ejections are ignored. They are also ignored for a
+// request that can be offered to no other replica.
 type Ejecting struct {
 	policy  Policy
 	health  map[string]*replicaHealth
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -17,8 +17,8 @@
 	// prefer to send its prompts, by rendezvous hashing.
 	maxHomes = 8
 	// fullScanLimit is the largest group of which every replica is scored. In a larger group
-	// only the likely holders, the homes and sampleSize random replicas are scored. This bounds
-	// the time of a choice, and entries with the same old reports choose differently.
+	// at most sampleSize likely holders, the homes and sampleSize random replicas are scored.
+	// This bounds the time of a choice, and entries with the same old reports choose differently.
 	fullScanLimit = 32
 	sampleSize    = 24
 	// recheckInterval is the number of choices after which the replicas of a large group are
--- a/core/routing/hotprefix.go
+++ b/core/routing/hotprefix.go
@@ -15,7 +15,8 @@
 	// a few rounds of queueing and prefill.
 	loadTimeConstant = 28_854 * time.Millisecond
 	// loadPerHome is the load of one prefix, as a share of a replica's fair load, above
-	// which a second home is worth a second copy of the prefix.
+	// which a second home is worth a second copy of the prefix. The fair load is the total
+	// divided by the number of replicas.
 	loadPerHome = 0.5
 	// mergeThreshold is the part of the load for the present number of homes below which one
 	// of them is given up. It is below 1 so that a load near the edge does not add and
@@ -60,7 +61,8 @@
 }
 
 // homes returns the number of replicas that should be homes of the prefix: one for each
-// loadPerHome of a replica's fair load.
+// loadPerHome of a replica's fair load, at most maxHomes. The number falls only once the load is
+// below mergeThreshold.
 func (l *prefixLoads) homes(key uint64, replicas int, now time.Time) int {
 	slot := &l.slots[key%maxTrackedPrefixes]
 	total := l.total.Value(now, loadTimeConstant)
--- a/core/routing/plain.go
+++ b/core/routing/plain.go
@@ -19,7 +19,7 @@
 	maxEjectedShare = 0.5
 	// slowStart is the time in which a new or readmitted replica reaches its full share.
 	slowStart = 20 * time.Second
-	// slowStartMinShare is its share at the start.
+	// slowStartMinShare is the share of its full load that such a replica gets at first.
 	slowStartMinShare = 0.1
 	// maxTrackedReplicas bounds the number of replicas whose health is tracked.
 	maxTrackedReplicas = 4096
@@ -85,6 +85,7 @@
 	return best
 }
 
+// outstanding returns the number of requests at a replica, including the one to be placed.
 func outstanding(replica *Replica) float64 {
 	return float64(replica.InFlight+replica.Load.QueuedCalls+replica.Load.RunningCalls) + 1
 }
@@ -93,6 +94,8 @@
 	return min(1, max(slowStartMinShare, float64(now.Sub(h.slowStartAt))/float64(slowStart)))
 }
 
+// healthOf returns the health of a replica. A replica that is new or has restarted begins with a
+// slow start, unless initial is set.
 func (p *Plain) healthOf(replica *Replica, initial bool, now time.Time) *replicaHealth {
 	state := p.health[replica.Agent]
 	if state == nil || state.incarnation != replica.Incarnation {
