--- a/core/limits/limits.go
+++ b/core/limits/limits.go
@@ -17,8 +17,8 @@
 //   - k entries on their local shares: in addition k·(rate·T/E + max(1, burst/E)) requests,
 //     the same for tokens plus one request for each of the k entries, and k·max(1, limit/E)
 //     of concurrency;
-//   - each change of owner: in addition one burst, and once the concurrency limit until
-//     the holders' next renewals tell the new owner what they hold, at most HoldTimeout.
+//   - each change of owner: in addition one burst, and the concurrency limit once more until
+//     the holders' next renewals tell the new owner what they hold, at most for HoldTimeout.
 //
 // An entry sends one message for a request that no grant covers and, where concurrency is
 // limited, one when the request ends and renewals while it runs. With 350 entries, 12
--- a/core/reservation/group.go
+++ b/core/reservation/group.go
@@ -56,7 +56,7 @@
 // the whole group, so that no memory is held while waiting; and each Pool expires what was
 // not confirmed in time or whose owner is silent. Two groups on the same engines can't
 // both fail because of each other: the one that reserves the first common member is not
-// refused by the other members. A failed group is retried as a new Group with a higher
+// refused by the other common members. A failed group is retried as a new Group with a higher
 // Attempt in its reservations, so that late messages of the old one have no effect on it.
 type Group struct {
 	members    []Member
--- a/core/routing/combined.go
+++ b/core/routing/combined.go
@@ -9,10 +9,10 @@
 	"acaciacleat.example/core/prefix"
 )
 
-// Combined minimises the predicted time to first token. The prediction depends on the tokens
-// ahead, which are the prompt tokens that the agent's priority rules would run first, on the
-// prompt tokens not cached, the zone and the free memory. Older load reports have less weight
-// and add jitter, so that entries with the same old reports don't all choose the same replica.
+// Combined minimises the predicted time to first token. The prediction depends on the prompt
+// tokens that are not cached, the zone, the free memory and the tokens ahead: the prompt tokens
+// that the agent would run first by its priority rules. Older load reports have less weight and
+// add jitter, so that entries with the same old reports don't all choose the same replica.
 type Combined struct {
 	options   Options
 	random    *rand.Rand
--- a/core/spread/node.go
+++ b/core/spread/node.go
@@ -173,8 +173,8 @@
 	return n.finishEvent(now, actions)
 }
 
-// HandlePartialAnswer handles a part of a peer's answer of which more parts will follow. While parts
-// arrive no other peer is queried: a second transfer of the whole state would slow the first.
+// HandlePartialAnswer handles a part, other than the last, of a peer's answer. While parts arrive,
+// no other peer is queried: a second transfer of the whole state would slow the first.
 func (n *Node) HandlePartialAnswer(now time.Time, nonce uint64) []Action {
 	n.beginEvent(now)
 	n.lastContact = now
