--- a/core/routing/combined.go
+++ b/core/routing/combined.go
@@ -9,10 +9,10 @@
 	"acaciacleat.example/core/prefix"
 )
 
-// Combined minimises the predicted time to first token. The prediction depends on the tokens
-// ahead, which are the prompt tokens that the agent's priority rules would run first, on the
-// prompt tokens not cached, the zone and the free memory. Older load reports have less weight
-// and add jitter, so that entries with the same old reports don't all choose the same replica.
+// Combined minimises the predicted time to first token. The prediction depends on the prompt
+// tokens that are not cached, the zone, the free memory and the tokens ahead: the prompt tokens
+// that the agent would run first by its priority rules. Older load reports have less weight and
+// add jitter, so that entries with the same old reports don't all choose the same replica.
 type Combined struct {
 	options   Options
 	random    *rand.Rand
@@ -112,7 +112,8 @@
 	}
 }
 
-// best returns the replica with the lowest score.
+// best returns the usable candidate with the lowest score: the predicted time to first token, with
+// a random part that grows with the age of the load report.
 func (c *Combined) best(g *group, request *Request, replicas []Replica) Choice {
 	choice := Choice{Index: -1}
 	lowest := math.Inf(1)
