--- a/entry/gateway/admit.go
+++ b/entry/gateway/admit.go
@@ -10,8 +10,8 @@
 	"acaciacleat.example/core/routes"
 )
 
-// admit finds the route, the caller's organisation and the service, and reads the body. Nothing
-// has been sent to an upstream before it returns.
+// admit finds the route, the caller's organisation and the service, sets the deadline and reads
+// the body. Nothing has been sent to an upstream before it returns.
 func (e *exchange) admit() *result.Error {
 	table := e.g.config.Directory.Table()
 	if table == nil || !e.g.initialized() {
@@ -31,6 +31,8 @@
 	return e.readBody(table.Limits())
 }
 
+// authorize finds the caller's organisation by its key, unless the route is anonymous or the table
+// requires no keys.
 func (e *exchange) authorize(table *routes.Table) *result.Error {
 	if e.route.Anonymous || !table.RequiresKeys() {
 		return nil
@@ -43,7 +45,7 @@
 }
 
 // setDeadline sets the deadline from the caller's time limit or the route's, whichever is
-// shorter.
+// shorter, or from defaultTimeout if neither sets one.
 func (e *exchange) setDeadline() {
 	allowed := e.route.Timeout
 	if e.meta.TimeLeft > 0 && (allowed == 0 || e.meta.TimeLeft < allowed) {
@@ -58,6 +60,7 @@
 // defaultTimeout bounds requests for which neither the caller nor the route sets a limit.
 const defaultTimeout = time.Minute
 
+// readBody reads the whole body, within the limit of the routes or, without one, the gateway's.
 func (e *exchange) readBody(limits routes.Limits) *result.Error {
 	limit := e.g.config.MaxBodyBytes
 	if limits.BodyBytes > 0 {
--- a/entry/gateway/answer.go
+++ b/entry/gateway/answer.go
@@ -64,7 +64,8 @@
 	return dispatch.Lost
 }
 
-// failAttempt ends the current attempt. Another upstream may be tried after it.
+// failAttempt records that the current attempt has failed and returns the next action, which may
+// be a retry at another upstream.
 func (e *exchange) failAttempt(now time.Time, outcome dispatch.Outcome, failure attempt.Outcome) attempt.Action {
 	switch outcome {
 	case dispatch.Unreached:
@@ -78,11 +79,13 @@
 	return e.machine.Refused(now, e.attemptNumber(), failure)
 }
 
+// recordOutcome reports the end of the current attempt to the fleet.
 func (e *exchange) recordOutcome(now time.Time, outcome dispatch.Outcome) {
 	e.g.config.Fleet.RecordEnd(now, e.placementID, outcome)
 }
 
-// handleAnswer decides how to handle an answer by its head.
+// handleAnswer handles an answer according to its status and headers: it relays the answer or
+// fails the attempt.
 func (e *exchange) handleAnswer(answer *service.Answer) attempt.Action {
 	now := e.now()
 	meta := e.g.config.Dialect.Answer(answer.Header)
@@ -99,8 +102,8 @@
 		return e.failAttempt(now, dispatch.Failed, attempt.Outcome{Code: result.UpstreamFailed, Execution: result.Unknown,
 			Detail: fmt.Sprintf("the answer with status %d is not the upstream's own; it names %q as at fault", answer.Status, meta.FaultAddress)})
 	case e.headSent && answer.Status != http.StatusOK:
-		// The body would be appended to the events that the caller has received, and end them
-		// like a complete stream.
+		// The caller would take the body of this answer for further events, and its end for the
+		// end of a complete stream.
 		return e.failAttempt(now, dispatch.Failed, attempt.Outcome{Code: result.StreamBroken, Execution: result.Ran,
 			Detail: "the upstream that was to go on answered " + http.StatusText(answer.Status)})
 	case answer.Status >= http.StatusInternalServerError && e.route.Repeatable() && e.mayRetry():
@@ -132,7 +135,8 @@
 	}
 }
 
-// handleRefusal handles answers that prove that the request has not run.
+// handleRefusal handles an answer that proves that the request has not run. It reports false for
+// any other answer.
 func (e *exchange) handleRefusal(now time.Time, answer *service.Answer, meta AnswerMeta) (attempt.Action, bool) {
 	switch {
 	case e.helperAtFault(answer, meta):
@@ -165,7 +169,7 @@
 	return refused && impliesNotRun(answer.Status) && e.helperAt(meta.FaultAddress) != nil
 }
 
-// helperAt returns the helper at an address, or nil.
+// helperAt returns the helper with this address in the current choice, or nil.
 func (e *exchange) helperAt(address string) *dispatch.Helper {
 	i := slices.IndexFunc(e.choice.Helpers, func(h dispatch.Helper) bool { return h.Upstream.Address == address })
 	if i < 0 {
--- a/entry/gateway/budgets.go
+++ b/entry/gateway/budgets.go
@@ -26,8 +26,8 @@
 }
 
 // budgetShare is the fraction of the allowance that entries use. An entry and an upstream may
-// count the same request in different windows, so that using all of it could exceed the
-// upstreams' count.
+// count the same request in different windows. If the entries used the whole allowance, an
+// upstream could count more retries than are allowed.
 const budgetShare = 0.7
 
 // noMinimum disables the budget's minimum rate of retries, which the slack replaces.
@@ -48,8 +48,11 @@
 	}
 }
 
+// slack returns the slack of this entry.
 func (b *Budgets) slack() float64 { return b.allowance.Slack * budgetShare / float64(b.entries) }
 
+// budgetFor returns the budget of a service and creates it if there is none. It is called with mu
+// held.
 func (b *Budgets) budgetFor(service string) *retry.Budget {
 	budget := b.budgets[service]
 	if budget == nil {
@@ -82,7 +85,7 @@
 
 var _ attempt.Retries = (*Retries)(nil)
 
-// Reserve reserves a retry for the next Allow and reports whether the budget has one. A request
+// Reserve reserves a retry for the next Allow and reports whether one is reserved. A request
 // must reserve a retry before it abandons an upstream that may still answer; otherwise the
 // answer could be cancelled for a retry that the budget then refuses.
 func (s *Retries) Reserve(now time.Time) bool {
--- a/entry/gateway/budgets_test.go
+++ b/entry/gateway/budgets_test.go
@@ -10,9 +10,9 @@
 )
 
 // The retries of all entries in any ten seconds stay within the allowance, for any number of
-// entries and any sequence of requests. Guards against a first retry that an empty budget
-// allows because the time since the last retry, of which there is none, counts as longer than
-// any minimum interval; each entry would then exceed the allowance by one retry per service.
+// entries and any sequence of requests. Guards against a budget that, before its first retry,
+// takes the minimum interval between retries as passed: each entry would then exceed the allowance
+// by one retry per service.
 func TestBudgetsOfAllEntriesStayUnderTheAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allowance := Allowance{
@@ -73,9 +73,8 @@
 	require.Zero(t, count(NewBudgets(Allowance{Ratio: 0.1, Slack: 1}, 4)), "a fraction of a retry is not a retry")
 }
 
-// Guards against a stream that is broken off because its upstream was silent for a while, and
-// that then can't continue elsewhere because the budget was only checked afterwards and has no
-// retry left.
+// Guards against breaking off the stream of a silent upstream although the budget has no retry
+// left to continue it elsewhere: the retry is reserved first, and Allow uses the reservation.
 func TestARetryThatWasTakenIsNotRefusedLater(t *testing.T) {
 	budgets := NewBudgets(Allowance{Ratio: 0.1, Slack: 10}, 1)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/entry/gateway/clients.go
+++ b/entry/gateway/clients.go
@@ -20,6 +20,7 @@
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
+// client is the HTTP client of one upstream incarnation.
 type client struct {
 	http     *service.HTTP
 	lastUsed time.Time
@@ -51,7 +52,7 @@
 	silenceTimeout = 1200 * time.Millisecond
 )
 
-// NewClients returns Clients.
+// NewClients returns an empty Clients.
 func NewClients() *Clients {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
@@ -81,6 +82,8 @@
 // HTTP returns the HTTP client of an upstream.
 func (c *Clients) HTTP(upstream dispatch.Upstream) *service.HTTP { return c.clientFor(upstream).http }
 
+// clientFor returns the client of an upstream's incarnation. If there is none, it creates one and
+// discards unused clients.
 func (c *Clients) clientFor(upstream dispatch.Upstream) *client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +117,8 @@
 	}
 }
 
-// evictUnused discards the clients that have not been used for unusedTimeout.
+// evictUnused discards the clients that have not been used for unusedTimeout. It is called with mu
+// held.
 func (c *Clients) evictUnused(now time.Time) {
 	for id, cached := range c.clients {
 		if now.Sub(cached.lastUsed) > unusedTimeout {
--- a/entry/gateway/crashes.go
+++ b/entry/gateway/crashes.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 )
 
-// suspect is a request that was at an upstream when its answer broke off.
+// suspect is a request whose answer broke off while an upstream served it.
 type suspect struct {
 	quarantine.Suspect
 	// answerBegun reports whether the first event of the answer had arrived.
@@ -60,8 +60,8 @@
 	confirmDelay = 20 * time.Millisecond
 	// confirmTimeout bounds the dialling.
 	confirmTimeout = 500 * time.Millisecond
-	// suspectTTL is how long requests whose answer broke off wait for proof. It is several
-	// times as long as the registry takes to report a restart.
+	// suspectTTL is how long after the last broken answer proof that the upstream has ended still
+	// counts as its cause. It is several times as long as the registry takes to report a restart.
 	suspectTTL = 5 * time.Second
 	// maxSuspects bounds the requests kept per incarnation, at several times the number that an
 	// engine runs at once.
@@ -101,16 +101,18 @@
 	upstream dispatch.Upstream
 	// leaving reports whether the upstream was due to leave when its first answer broke off.
 	// Its end is then no crash.
-	leaving  bool
+	leaving bool
+	// last is when an answer last broke off.
 	last     time.Time
 	suspects suspects
-	// probing reports whether its address is being dialled. proved is the proof of its end, if
-	// any.
+	// probing reports whether the upstream's address is being dialled. proved is the proof that
+	// the upstream has ended, if there is any.
 	probing bool
 	proved  proof
 }
 
-// answerBroken records a request whose answer broke off.
+// answerBroken records a request whose answer broke off. If the upstream is known to have ended, it
+// reports the request; otherwise it has the upstream's address dialled after confirmDelay.
 func (c *CrashDetector) answerBroken(upstream dispatch.Upstream, s suspect) {
 	now := c.now()
 	c.mu.Lock()
@@ -130,8 +132,8 @@
 	}
 }
 
-// recordFor returns the record of an incarnation and deletes expired ones. It is called with mu
-// held.
+// recordFor returns the record of an incarnation, which it creates if there is none, and deletes
+// expired records. It is called with mu held.
 func (c *CrashDetector) recordFor(now time.Time, upstream dispatch.Upstream) *brokenUpstream {
 	for name, b := range c.broken {
 		if now.Sub(b.last) > suspectTTL && !b.probing {
@@ -161,11 +163,11 @@
 	case errors.Is(err, syscall.ECONNREFUSED), errors.Is(err, syscall.ECONNRESET):
 		found = dialRefused
 	}
-	c.probed(upstream, found, err)
+	c.handleDialResult(upstream, found, err)
 }
 
-// probed handles the result of dialling an upstream's address.
-func (c *CrashDetector) probed(upstream dispatch.Upstream, found proof, err error) {
+// handleDialResult handles the result of dialling an upstream's address.
+func (c *CrashDetector) handleDialResult(upstream dispatch.Upstream, found proof, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.broken[upstream.Incarnation()]
@@ -209,7 +211,8 @@
 	}
 }
 
-// markEnded records that an incarnation has ended. It is called with mu held.
+// markEnded records that an incarnation has ended, and reports the requests whose answers it broke
+// off. It is called with mu held.
 func (c *CrashDetector) markEnded(b *brokenUpstream, found proof) {
 	b.proved = found
 	c.reportSuspects(b, b.suspects)
@@ -218,8 +221,8 @@
 // maxLoggedSuspects bounds the number of requests that one log line lists.
 const maxLoggedSuspects = 32
 
-// reportSuspects logs and reports the requests that an incarnation was serving when it ended. It is
-// called with mu held.
+// reportSuspects logs requests that an incarnation was serving when it ended, and reports them to
+// the quarantine unless the incarnation was due to leave. It is called with mu held.
 func (c *CrashDetector) reportSuspects(b *brokenUpstream, affected suspects) {
 	c.log.Warn().Str("upstream", b.upstream.ID).Str("proof", string(b.proved)).Bool("leaving", b.leaving).
 		Int("in_hand", len(b.suspects)).Array("requests", affected[:min(len(affected), maxLoggedSuspects)]).
--- a/entry/gateway/events.go
+++ b/entry/gateway/events.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// lastEnd returns the length of buffer up to the end of the last whole event.
+// lastEnd returns the length of buffer up to the end of the last whole event, or 0 if there is none.
 func (r *eventReader) lastEnd() int {
+	// The end of an event has at most four bytes, three of which may have been scanned already.
 	from := max(r.scanned-3, 0)
 	r.scanned = len(r.buffer)
 	tail := r.buffer[from:]
--- a/entry/gateway/exchange.go
+++ b/entry/gateway/exchange.go
@@ -41,7 +41,8 @@
 	// choice and placementID belong to the current attempt.
 	choice      dispatch.Choice
 	placementID dispatch.PlacementID
-	sendCount   int
+	// sendCount is the number of attempts sent so far.
+	sendCount int
 	// sentAt is when the current attempt was sent.
 	sentAt   time.Time
 	attempts []attemptRecord
@@ -101,7 +102,7 @@
 }
 
 // choose selects the upstream of the next attempt. The request waits in the queue while the
-// engines are better used by others.
+// engines are better used by other requests.
 func (e *exchange) choose() attempt.Action {
 	var queuedID dispatch.PlacementID
 	startedAt := e.now()
@@ -145,8 +146,8 @@
 	}
 }
 
-// maxProbeRounds bounds how often a request chooses again because an upstream of its choice was
-// gone.
+// maxProbeRounds bounds how often a request chooses again because a probe found that an upstream
+// of its choice has ended.
 const maxProbeRounds = 4
 
 // dispatchRequest returns the request's current parameters for the choice of an upstream.
@@ -291,6 +292,7 @@
 	return service.ReuseNever
 }
 
+// tooBusyError returns the refusal of a request whose prompt the engines are too busy to prefill.
 func tooBusyError(why dispatch.Explanation) *result.Error {
 	err := result.New(result.CannotStartInTime, result.NotRun,
 		"engines are too busy for a prompt that takes %d ms to read: they have %d ms to read each on the mean, "+
@@ -301,5 +303,6 @@
 }
 
 // busyRetryAfter is the minimum Retry-After for callers whose prompt the engines are too busy
-// for. It is a few engine passes long, and used if the queued prompts will be prefilled sooner.
+// for. It is a few engine passes long, and applies if the engines expect to have prefilled all
+// queued prompts sooner.
 const busyRetryAfter = 500 * time.Millisecond
--- a/entry/gateway/finish.go
+++ b/entry/gateway/finish.go
@@ -8,7 +8,9 @@
 	"acaciacleat.example/peers/caller"
 )
 
-// finish ends the exchange. err is nil if the caller has received the whole answer.
+// finish logs the end of the exchange. If the exchange failed, it answers with the error, or aborts
+// the connection if that is no longer possible. err is nil if the caller has received the whole
+// answer.
 func (e *exchange) finish(err *result.Error) {
 	e.logEnd(err)
 	if err == nil {
@@ -32,13 +34,13 @@
 	_, _ = e.w.Write(caller.ProblemJSON(err, e.meta.ID)) // The caller may have disconnected.
 }
 
-// defaultRetryAfter is the Retry-After of answers without a better estimate. Callers retry only
-// once, so it is short against their target latencies.
+// defaultRetryAfter is the Retry-After of answers without an estimate, and the minimum for all
+// others. Callers retry only once, so it is short compared with their target latencies.
 const defaultRetryAfter = 250 * time.Millisecond
 
 // statusOf returns the HTTP status of a failure. A status that implies that the request has not
-// run is used only with proof, and then whenever another try may help: 502 and 504 would keep a
-// caller from retrying a request that must not be repeated.
+// run is used only if that is proved. If it is proved, 503 replaces all other server errors: after
+// 502 or 504 a caller would not retry a request that must not be repeated.
 func statusOf(err *result.Error) int {
 	status := result.Lookup(err.Code).HTTPStatus
 	switch {
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -19,7 +19,8 @@
 
 // RequestMeta is the metadata of a caller's request, besides method, path and body.
 type RequestMeta struct {
-	ID  string
+	ID string
+	// Key is the API key by which the caller's organisation is found.
 	Key string
 	// TimeLeft is how long the caller waits; zero if the caller didn't state it.
 	TimeLeft time.Duration
@@ -49,17 +50,19 @@
 	NotRun bool
 	// Upstream is the ID of the incarnation that refused a request meant for another.
 	Upstream string
-	// FaultAddress is the address of the upstream that caused a refusal, if stated: the one
-	// that refused, or one that was to read a part of the prompt.
+	// FaultAddress is the address of the upstream that caused a refusal, if stated: the one that
+	// refused, or a helper, which was to prefill a part of the prompt.
 	FaultAddress string
 }
 
 // Dialect reads and writes the headers by which callers, the gateway and upstreams exchange a
 // request's metadata.
 type Dialect interface {
+	// Request reads a caller's headers.
 	Request(h http.Header) RequestMeta
 	// Forward turns a caller's headers into those for an upstream.
 	Forward(h http.Header, send ForwardMeta)
+	// Answer reads the headers of an upstream's answer.
 	Answer(h http.Header) AnswerMeta
 	// Failure completes the headers of an error answer that the gateway itself generates.
 	Failure(h http.Header, id string, retryAfter time.Duration)
@@ -90,7 +93,7 @@
 	Log zerolog.Logger
 }
 
-// Gateway is an http.Handler for callers.
+// Gateway is the http.Handler that serves callers.
 type Gateway struct {
 	config   Config
 	draining atomic.Bool
@@ -141,6 +144,7 @@
 // callerGone reports whether the caller has closed its connection.
 func callerGone(ctx context.Context) bool { return ctx.Err() != nil }
 
+// newError returns an error whose detail is used as it is, not as a format.
 func newError(code result.Code, execution result.Execution, detail string) *result.Error {
 	return result.New(code, execution, "%s", detail)
 }
--- a/entry/gateway/heldback.go
+++ b/entry/gateway/heldback.go
@@ -19,7 +19,9 @@
 	Held(print func() fingerprint.Print) (left time.Duration, held bool)
 	// OneCrashFromHold reports whether one more crash would cause the request to be held back.
 	OneCrashFromHold(print fingerprint.Print) bool
+	// RecordCrash records the requests that an upstream was serving when it crashed.
 	RecordCrash(upstream dispatch.Upstream, affected []quarantine.Suspect)
+	// RecordAnswer records that an upstream has answered a request in full.
 	RecordAnswer(print func() fingerprint.Print)
 }
 
@@ -42,10 +44,11 @@
 	return e.caller.Name
 }
 
-// reportBrokenAnswer reports that the upstream may have crashed while it served the request.
+// reportBrokenAnswer reports that the upstream may have crashed while it served the request, unless
+// this entry itself cancelled the call because the upstream stalled.
 func (e *exchange) reportBrokenAnswer() {
 	if e.stall.fired.Load() {
-		return // This entry cancelled the call.
+		return
 	}
 	last := &e.attempts[len(e.attempts)-1]
 	e.g.config.Crashes.answerBroken(e.choice.Upstream, suspect{
@@ -79,7 +82,7 @@
 	}
 }
 
-// heldBack fails a request that is held back and reports whether it is.
+// heldBack fails the request if it is held back, and reports whether it is held back.
 func (e *exchange) heldBack(now time.Time) (attempt.Action, bool) {
 	left, held := e.g.config.Quarantine.Held(e.fingerprint)
 	if !held {
--- a/entry/gateway/metrics.go
+++ b/entry/gateway/metrics.go
@@ -72,8 +72,10 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *Metrics) sendStarted(againstProof bool) {
-	m.sends.WithLabelValues(strconv.FormatBool(againstProof)).Inc()
+// sendStarted counts a send. knownDown reports whether another entry has proved that one of the
+// upstreams is down.
+func (m *Metrics) sendStarted(knownDown bool) {
+	m.sends.WithLabelValues(strconv.FormatBool(knownDown)).Inc()
 }
 
 func (m *Metrics) answerBroken(p proof) { m.broken.WithLabelValues(string(p)).Inc() }
@@ -94,7 +96,7 @@
 	m.requests.WithLabelValues(kind, result.Lookup(code).Name, string(execution)).Inc()
 	m.duration.WithLabelValues(kind).Observe(took.Seconds())
 	if !e.firstEventAt.IsZero() {
-		aim := strconv.FormatInt(e.route.TargetLatency.Milliseconds(), 10)
-		m.firstEvent.WithLabelValues(aim).Observe(e.firstEventAt.Sub(e.arrived).Seconds())
+		target := strconv.FormatInt(e.route.TargetLatency.Milliseconds(), 10)
+		m.firstEvent.WithLabelValues(target).Observe(e.firstEventAt.Sub(e.arrived).Seconds())
 	}
 }
--- a/entry/gateway/node/node.go
+++ b/entry/gateway/node/node.go
@@ -33,8 +33,8 @@
 	Dialect gateway.Dialect
 	// Reserver may be nil if no upstream is an engine.
 	Reserver gateway.Reserver
-	// Store and Tables are used by entries to discover each other. Without a Store there are no
-	// links between them.
+	// Entries discover each other by the Tables of the Store, and keep the quarantine there.
+	// Without a Store there are no links between entries.
 	Store  table.Feed
 	Tables share.Tables
 	// Quarantine is the name of the quarantine's table.
@@ -42,8 +42,8 @@
 }
 
 const (
-	// headerTimeout and headerBytes bound the time that a caller takes to send a request's
-	// headers and their size. Callers stay well within both.
+	// headerTimeout bounds the time in which a caller must send a request's headers, headerBytes
+	// bounds their size. Callers stay well within both.
 	headerTimeout = 10 * time.Second
 	headerBytes   = 64 << 10
 	// idleTimeout is longer than callers keep an idle connection for reuse (12 s), so that the
@@ -66,7 +66,7 @@
 	Fleet   *dispatch.Fleet
 	Keeper  *directory.Keeper
 	Peers   *share.Peers
-	// Quarantine holds back requests under which upstreams crash.
+	// Quarantine holds back requests that make upstreams crash.
 	Quarantine *quarantine.Keeper
 
 	running sync.WaitGroup
@@ -79,6 +79,7 @@
 	log     zerolog.Logger
 }
 
+// addresses are the addresses that the node listens on.
 type addresses struct{ callers, ready, metrics string }
 
 // Start runs a gateway until Drain or Stop.
@@ -112,7 +113,7 @@
 		Fleet:        fleet,
 		Routes:       n.routes,
 		Offer:        func(value []byte) bool { return n.Keeper.EnqueueRoutes(value) },
-		OnFeedUpdate: func(vm string, news *link.FeedUpdate) { n.Keeper.HandleUpdate(vm, news) },
+		OnFeedUpdate: func(vm string, update *link.FeedUpdate) { n.Keeper.HandleUpdate(vm, update) },
 		OnLinkLost:   func(vm string) { n.Keeper.DropFollower(vm) },
 		OnEntryCount: budgets.SetEntries,
 		Log:          log,
@@ -225,6 +226,7 @@
 	return nil, 0
 }
 
+// listen opens the listeners and starts to serve them.
 func (n *Node) listen(s *settings.Gateway, metrics *gateway.Metrics) (err error) {
 	n.callers = n.server(n.Gateway)
 	if n.addrs.callers, err = n.serve("callers", n.callers, s.Callers.Listen); err != nil {
@@ -267,6 +269,7 @@
 	return listener.Addr().String(), nil
 }
 
+// readyz answers 200 if the load balancer should send callers here, and 503 otherwise.
 func (n *Node) readyz(w http.ResponseWriter, _ *http.Request) {
 	if !n.Gateway.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/entry/gateway/node/run.go
+++ b/entry/gateway/node/run.go
@@ -65,7 +65,8 @@
 // signal.
 const reloadInterval = time.Second
 
-// reload reads the settings again on a signal and when the file has changed.
+// reload reads the settings again on a signal and when the file has changed, and logs whether they
+// differ from those in force.
 func (n *Node) reload(file string, s *settings.Gateway, signals <-chan os.Signal) {
 	current := *s
 	ticker := time.NewTicker(reloadInterval)
@@ -89,7 +90,7 @@
 			n.log.Error().Err(err).Msg("settings could not be read again; the last ones stay in force")
 			continue
 		}
-		n.apply(&current, next)
+		n.logChanges(&current, next)
 		current = *next
 	}
 }
@@ -103,8 +104,8 @@
 	return info.ModTime()
 }
 
-// apply logs whether the settings have changed. Changes take effect at the next start.
-func (n *Node) apply(old, next *settings.Gateway) {
+// logChanges logs whether the settings have changed. Changes take effect at the next start.
+func (n *Node) logChanges(old, next *settings.Gateway) {
 	if *old == *next {
 		n.log.Info().Msg("settings read again: no change")
 		return
--- a/entry/gateway/relay.go
+++ b/entry/gateway/relay.go
@@ -16,13 +16,13 @@
 // relayed as it arrives.
 const maxWholeBytes = 256 << 10
 
-// relayWhole reads the answer to its end before it sends the head, so that a broken answer can
-// still be retried at another upstream or reported as a failure.
+// relayWhole reads the answer to its end, or at most maxWholeBytes, before it sends the head. A
+// broken answer can then still be retried at another upstream or reported as a failure.
 func (e *exchange) relayWhole(answer *service.Answer) attempt.Action {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWholeBytes))
 	now := e.now()
 	if err != nil {
-		return e.broken(now, err)
+		return e.handleBrokenAnswer(now, err)
 	}
 	if action := e.machine.Head(now, e.attemptNumber()); action.Kind != attempt.None {
 		// The deadline passed while the answer was read.
@@ -46,12 +46,14 @@
 	return e.machine.Ended(now, e.attemptNumber(), attempt.Outcome{Code: result.OK, Execution: result.Ran})
 }
 
-// copyRest relays the answer beyond maxWholeBytes. If it breaks off, it can't be retried.
+// copyRest relays the answer beyond maxWholeBytes. If the answer breaks off there, the request can
+// no longer be retried.
 func (e *exchange) copyRest(body io.Reader) error {
 	_, err := io.Copy(e.w, body)
 	return err
 }
 
+// statusOutcome returns the outcome of an attempt that got a whole answer.
 func statusOutcome(status int) dispatch.Outcome {
 	if status >= http.StatusInternalServerError {
 		return dispatch.Failed
@@ -59,8 +61,8 @@
 	return dispatch.Served
 }
 
-// broken handles an answer that broke off.
-func (e *exchange) broken(now time.Time, err error) attempt.Action {
+// handleBrokenAnswer handles an answer that broke off.
+func (e *exchange) handleBrokenAnswer(now time.Time, err error) attempt.Action {
 	switch {
 	case callerGone(e.r.Context()):
 		e.recordOutcome(now, dispatch.Abandoned)
@@ -74,7 +76,7 @@
 	}
 }
 
-// sendHead sends the head of the upstream's answer, once.
+// sendHead sends the head of the upstream's answer to the caller, unless a head has been sent.
 func (e *exchange) sendHead(answer *service.Answer) {
 	if e.headSent {
 		return
@@ -93,7 +95,8 @@
 	e.w.WriteHeader(answer.Status)
 }
 
-// relayStream relays a stream's events as they arrive, each as a whole.
+// relayStream relays the events of a stream as they arrive. It sends only whole events, so that a
+// broken stream can be resumed at another upstream.
 func (e *exchange) relayStream(answer *service.Answer) attempt.Action {
 	answer.Header.Del("Content-Length")
 	events := newEventReader(answer.Body)
@@ -138,7 +141,7 @@
 			e.recordOutcome(now, dispatch.Served)
 			return e.machine.Ended(now, e.attemptNumber(), attempt.Outcome{Code: result.OK, Execution: result.Ran})
 		default:
-			return e.broken(now, err)
+			return e.handleBrokenAnswer(now, err)
 		}
 	}
 }
--- a/entry/gateway/requestlog.go
+++ b/entry/gateway/requestlog.go
@@ -14,8 +14,9 @@
 // arrival.
 type attemptRecord struct {
 	choice dispatch.Choice
-	at     time.Duration
-	// queued is how much of that time the request waited to be placed.
+	// at is when the upstream was chosen.
+	at time.Duration
+	// queued is how long before that the request waited to be placed.
 	queued time.Duration
 	// firstEvent is when the first event arrived; zero if none did.
 	firstEvent time.Duration
@@ -61,8 +62,9 @@
 	}
 }
 
-// logEnd logs in one line how a request ended and which decisions were made for it. Under load,
-// lines of successful requests are left out, but never those of failed ones.
+// logEnd counts the request in the metrics, and logs in one line how it ended and which decisions
+// were made for it. Under load, lines of successful requests are left out, but never those of
+// failed ones.
 func (e *exchange) logEnd(err *result.Error) {
 	took := e.now().Sub(e.arrived)
 	e.g.config.Metrics.requestEnded(e, err, took)
@@ -124,13 +126,15 @@
 }
 
 // maxLinesPerSecond bounds the lines of successful requests, and separately those of late ones,
-// to about 20 KB per second each. An entry usually serves fewer requests than that.
+// to about 20 KB per second each. An entry usually serves fewer requests per second.
 const maxLinesPerSecond = 40
 
 // logLimiter drops the log lines of successful requests beyond maxLinesPerSecond and counts
 // them. It is safe for concurrent use.
 type logLimiter struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// second is the start of the current interval of one second. written and omitted count the
+	// lines written and dropped in it.
 	second  time.Time
 	written [endings]int
 	omitted int
--- a/entry/gateway/reserve.go
+++ b/entry/gateway/reserve.go
@@ -19,14 +19,15 @@
 	// Reserve reserves memory for the helper's tokens under its ticket until hold has passed,
 	// or renews the ticket.
 	Reserve(upstream dispatch.Upstream, helper dispatch.Helper, hold time.Duration) service.Call
+	// Release frees the memory reserved under a ticket.
 	Release(upstream dispatch.Upstream, ticket string) service.Call
 	// Probe creates a call that any engine answers at once and that changes nothing.
 	Probe(upstream dispatch.Upstream) service.Call
 }
 
-// Reserved memory must not long outlive the request, nor the entry that reserved it. Tickets
-// therefore have a short lifetime and are renewed while the request lasts. If the entry dies,
-// its tickets expire.
+// Reserved memory must be freed soon after the request has ended or the entry that reserved it
+// has died. Tickets therefore have a short lifetime and are renewed while the request lasts. If
+// the entry dies, its tickets expire.
 const (
 	// ticketTTL is below the four seconds within which memory must be free again after the
 	// request that used it.
@@ -94,12 +95,12 @@
 // has not answered by then may be busy and is assumed to be healthy.
 const probeTimeout = 60 * time.Millisecond
 
-// probeAll probes all upstreams of a choice. It reports false if any of them is proved to be
-// gone, and records that for each of these.
+// probeAll probes all upstreams of a choice. It reports false if any of them is proved to have
+// ended, and records the proof for each of these.
 //
-// If a fifth of the engines fail at once, each set of a dozen contains some of them, and a
-// refusal names only one. Without the probe, the prompt uses up all its retries before half of
-// the failed engines are known.
+// If a fifth of the engines fail at once, every choice of a dozen engines includes some of the
+// failed ones, and a refusal names only one. Without the probe, a prompt uses up all its retries
+// before half of the failed engines are known.
 func (g *Gateway) probeAll(ctx context.Context, choice dispatch.Choice) bool {
 	upstreams := []dispatch.Upstream{choice.Upstream}
 	for _, helper := range choice.Helpers {
@@ -108,23 +109,23 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	sentAt := g.config.Now()
-	var gone atomic.Bool
+	var anyEnded atomic.Bool
 	var all sync.WaitGroup
 	for _, upstream := range upstreams {
 		all.Go(func() {
 			err := g.control(ctx, upstream, g.config.Reserver.Probe(upstream))
 			if outcome := controlOutcome(err); outcome != dispatch.Abandoned {
 				g.config.Fleet.Observe(g.config.Now(), upstream, outcome, sentAt)
-				gone.Store(true)
+				anyEnded.Store(true)
 			}
 		})
 	}
 	all.Wait()
-	return !gone.Load()
+	return !anyEnded.Load()
 }
 
-// controlOutcome returns what a failed control call proves of an upstream: nothing listens at its
-// address, another upstream has the address, or nothing.
+// controlOutcome returns Misdirected if the error of a control call proves that another upstream
+// has the address, Unreached if it proves that nothing listens there, and Abandoned otherwise.
 func controlOutcome(err error) dispatch.Outcome {
 	var refused *controlRefused
 	switch {
@@ -187,6 +188,7 @@
 	})
 }
 
+// releaseAll releases the tickets of all helpers at once and waits for the answers.
 func (r *reservation) releaseAll() {
 	var all sync.WaitGroup
 	for _, helper := range r.helpers {
@@ -195,6 +197,7 @@
 	all.Wait()
 }
 
+// releaseTicket releases a helper's ticket. It tries again if the call gets no answer.
 func (g *Gateway) releaseTicket(helper dispatch.Helper) {
 	var err error
 	for range maxReleaseTries {
--- a/entry/gateway/stall.go
+++ b/entry/gateway/stall.go
@@ -21,7 +21,7 @@
 // all for the times below. An upstream that is merely slow still answers other requests.
 const (
 	// stallGaps is the number of target gaps after which a stream counts as stalled. Callers
-	// leave after eight; with three, an engine's passes over long prompts were mistaken for
+	// give up after eight; with three, an engine's passes over long prompts were mistaken for
 	// silence.
 	stallGaps = 6
 	// stallTargets is the number of target latencies after which an answer of a plain service
@@ -32,8 +32,8 @@
 	stallPredictions = 2
 )
 
-// stallAfter returns how long an upstream may be silent before an answer or event, or zero if
-// the request can't move to another upstream.
+// stallAfter returns after how much silence, before the answer or between events, the request
+// moves to another upstream. It returns zero if the request can't move.
 func (e *exchange) stallAfter() time.Duration {
 	switch {
 	case !e.route.Repeatable() || !e.mayRetry():
@@ -47,8 +47,8 @@
 
 // stallWatch cancels a call whose upstream has been silent for too long, provided that the
 // request can move to another upstream: silence alone is no reason to break off an answer that
-// the upstream may still finish. Silence before the first event counts only after the time
-// passed to start.
+// the upstream may still finish. Silence before the first event counts only after the duration
+// that is given to start.
 type stallWatch struct {
 	client  *client
 	timeout time.Duration
@@ -74,8 +74,8 @@
 	return err
 }
 
-// start starts the watch. first is how long the first event may take. If timeout is zero, start
-// does nothing.
+// start starts the watch. first is how long the upstream may take before silence counts. If
+// timeout is zero, start does nothing.
 func (w *stallWatch) start(first time.Duration) {
 	if w.timeout <= 0 {
 		return
@@ -94,6 +94,8 @@
 // another upstream is checked again.
 const stallRecheckInterval = 100 * time.Millisecond
 
+// check cancels the call if the upstream has been silent for the timeout and the request can move
+// to another one. Otherwise it schedules the next check.
 func (w *stallWatch) check() {
 	now := w.now()
 	since := max(w.silentSince.Load(), w.client.lastReceived.Load())
