--- a/entry/fleet/choose.go
+++ b/entry/fleet/choose.go
@@ -22,9 +22,11 @@
 	Conn        *link.Conn
 	Agent       string
 	Incarnation call.Incarnation
-	Stamp       time.Duration
-	Predicted   time.Duration
-	Zone        string
+	// Stamp is a recent time of the agent's clock.
+	Stamp time.Duration
+	// Predicted is the predicted time to the first token; zero if it isn't known.
+	Predicted time.Duration
+	Zone      string
 }
 
 // Decision is one routing decision, for explanations.
@@ -70,6 +72,7 @@
 	predicted time.Duration
 }
 
+// pick chooses an agent without opening a link to it. It returns false if there is none.
 func (v *View) pick(request *routing.Request, recommendedAgent string, observe func(Decision)) (candidate, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -92,7 +95,8 @@
 	return candidate{vm: v.agents[replica.Agent].vm, predicted: choice.Predicted}, true
 }
 
-// recommended chooses the agent that a refusing agent named, if that replica may be used.
+// recommended chooses the agent that a refusing agent named, if that replica may be used. Otherwise
+// the Index is negative.
 func (v *View) recommended(g *serviceGroup, request *routing.Request, recommendedAgent string) routing.Choice {
 	a := v.agents[recommendedAgent]
 	if a == nil || a.group != g || !routing.Usable(request, &g.replicas[a.index]) {
--- a/entry/fleet/evidence.go
+++ b/entry/fleet/evidence.go
@@ -81,6 +81,7 @@
 	v.apply(v.members.HandleMessage(c.LastReceived(), membership.ID(peer.VM), peer.Incarnation))
 }
 
+// recordTimeout records that a VM has not answered what was sent to it at the given time.
 func (v *View) recordTimeout(vm string, sent time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -32,8 +32,9 @@
 	mu       sync.Mutex
 	members  *membership.View
 	services map[string]*serviceGroup
-	agents   map[string]*agent
-	entries  map[string]vmlist.VM
+	// agents and entries are the listed VMs of each role by ID, without this entry.
+	agents  map[string]*agent
+	entries map[string]vmlist.VM
 }
 
 // serviceGroup holds the replicas of one service and their routing policy.
@@ -46,6 +47,7 @@
 type agent struct {
 	vm    vmlist.VM
 	group *serviceGroup
+	// index is the position of the agent's Replica in group.replicas.
 	index int
 }
 
@@ -154,7 +156,7 @@
 	}
 }
 
-// Address returns the address of an agent for links.
+// Address returns the address at which an agent accepts links.
 func (v *View) Address(vm string) (string, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -186,7 +188,8 @@
 	return live
 }
 
-// RecordLoad handles a load report that came with a reply.
+// RecordLoad handles a load report of an agent. It ignores a report that is not newer than the last
+// one of the same incarnation.
 func (v *View) RecordLoad(report *link.LoadReport) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -205,7 +208,8 @@
 	replica.InFlight = 0
 	replica.InFlightPrompt = 0
 	if report.Load.Down {
-		// No request of this entry has failed there yet, but the next one would.
+		// The agent refuses requests while its upstream is down. The report counts as a failed
+		// request, so that no request has to fail there first.
 		a.group.recordEnd(report.Agent, true)
 	}
 	if report.Leaving {
@@ -252,8 +256,8 @@
 	return append([]routing.Replica(nil), g.replicas...)
 }
 
-// recordIncarnation records a reply and the incarnation at the other end of an agent's link.
-// The load of an earlier incarnation does not apply to a new one.
+// recordIncarnation records a reply of a VM and, for an agent, the incarnation at the other end of
+// the link. The load of an earlier incarnation does not apply to a new one.
 func (v *View) recordIncarnation(vm string, c *link.Conn) {
 	incarnation := c.Peer().Incarnation
 	v.mu.Lock()
--- a/entry/share/routes.go
+++ b/entry/share/routes.go
@@ -12,11 +12,11 @@
 	"github.com/pkg/errors"
 )
 
-// An entry that has read routes from the store announces their version to all other entries;
-// one that has fetched them from another entry announces it to its own availability zone. An
-// entry that lacks an announced version fetches it in compressed parts and at its own pace.
-// Sending whole tables of a megabyte at once would fill the links of the entries that are
-// behind until these links are lost and the transfer starts over.
+// An entry that has read routes from the store announces their version to all other entries. An
+// entry that has fetched them from another entry announces the version in its own availability
+// zone. An entry that lacks an announced version fetches it in compressed parts and at its own
+// pace. If whole tables of a megabyte were sent at once, they would fill the links of entries that
+// are behind until these links are lost and the transfer starts over.
 
 // AnnounceRoutes announces the version of the routes in force to the entries of this zone, or
 // to those of all zones.
@@ -48,30 +48,30 @@
 	now, inForce := time.Now(), p.version()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ask, vm, again := p.fetch.Next(now, inForce)
-	for vm != "" && !p.requestPart(vm, ask, now, inForce) {
+	request, vm, nextAt := p.fetch.Next(now, inForce)
+	for vm != "" && !p.requestPart(vm, request, now, inForce) {
 		p.fetch.RemoveHolder(vm)
-		ask, vm, again = p.fetch.Next(now, inForce)
+		request, vm, nextAt = p.fetch.Next(now, inForce)
 	}
-	if !again.IsZero() {
-		p.fetchTimer.Reset(again.Sub(now))
+	if !nextAt.IsZero() {
+		p.fetchTimer.Reset(nextAt.Sub(now))
 	}
 }
 
 // requestPart requests a part from an entry. It reports false if there is no link to the entry
 // or the request can't be sent. It is called with mu held.
-func (p *Peers) requestPart(vm string, ask fetch.Request, now time.Time, inForce uint64) bool {
+func (p *Peers) requestPart(vm string, request fetch.Request, now time.Time, inForce uint64) bool {
 	known := p.known[vm]
 	if known == nil || known.conn == nil {
 		return false
 	}
-	if ask.Part == 0 {
+	if request.Part == 0 {
 		version, since := p.fetch.Missing(inForce)
 		p.config.Log.Info().Str("entry", vm).Uint64("version", version).
 			Int64("behind_ms", now.Sub(since).Milliseconds()).Msg("asking an entry for routes")
 	}
 	p.partsRequested.Add(1)
-	return known.conn.Send(&link.DispatchUpdate{Origin: p.config.Self.Incarnation, PartRequest: &ask}) == nil
+	return known.conn.Send(&link.DispatchUpdate{Origin: p.config.Self.Incarnation, PartRequest: &request}) == nil
 }
 
 // onRoutesPart handles a received part of the routes.
@@ -87,6 +87,8 @@
 	p.fetchNext()
 }
 
+// applyRoutes unpacks received routes and offers them to this entry's directory. If they are
+// dropped, their version is fetched again.
 func (p *Peers) applyRoutes(vm string, packed []byte, version uint64) {
 	value, err := unpack(packed)
 	if err != nil {
@@ -103,12 +105,12 @@
 }
 
 // sendPart sends the part of the routes in force that an entry has requested.
-func (p *Peers) sendPart(c *link.Conn, ask fetch.Request) {
+func (p *Peers) sendPart(c *link.Conn, request fetch.Request) {
 	value, version := p.config.Routes()
 	if value == nil {
 		return
 	}
-	part, err := p.packed.part(c.Peer().VM, ask, value, version)
+	part, err := p.packed.part(c.Peer().VM, request, value, version)
 	if err != nil {
 		p.config.Log.Error().Err(err).Uint64("version", version).Msg("routes could not be packed")
 		return
@@ -136,7 +138,8 @@
 	*fetch.Server
 }
 
-func (s *packedRoutes) part(vm string, ask fetch.Request, value []byte, version uint64) (*fetch.Part, error) {
+// part returns the requested part of the routes, which it compresses if their version is new.
+func (s *packedRoutes) part(vm string, request fetch.Request, value []byte, version uint64) (*fetch.Part, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.Newest() {
@@ -146,7 +149,7 @@
 		}
 		s.Put(time.Now(), version, packed)
 	}
-	return s.Get(time.Now(), vm, ask), nil
+	return s.Get(time.Now(), vm, request), nil
 }
 
 func pack(value []byte) ([]byte, error) {
--- a/entry/share/rows.go
+++ b/entry/share/rows.go
@@ -13,7 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// secret returns the key that all entries share. The first entry that finds none creates it.
+// secret returns the key that all entries share. An entry that finds none or a damaged one writes a
+// new one.
 func (p *Peers) secret(ctx context.Context) ([]byte, error) {
 	for ctx.Err() == nil {
 		rows, _, err := p.config.Store.All(ctx, p.config.Tables.Secrets)
@@ -28,8 +29,7 @@
 		}
 		key := table.Key{Table: p.config.Tables.Secrets, Row: secretRow}
 		if i >= 0 {
-			// An empty or short key was written by something else. Links keyed with it would
-			// accept anyone.
+			// No entry has written an empty or short key. Links that used it would accept anyone.
 			p.config.Log.Error().Int("bytes", len(rows[i].Value)).Msg("the key of links is damaged; writing a new one")
 			err = p.config.Store.Put(ctx, key, newSecret())
 		} else {
@@ -42,7 +42,7 @@
 		if failed || i >= 0 {
 			pause.For(ctx, storeRetryInterval) // Other entries may write at the same time; the last write wins.
 		}
-		// Whichever entry wrote the row, the key that it now holds is the one to use.
+		// Another entry may have written the row, so the key to use is read from it.
 	}
 	return nil, ctx.Err()
 }
@@ -108,6 +108,7 @@
 	return other, nil
 }
 
+// key returns the key of an entry's row.
 func (p *Peers) key(vm string) table.Key {
 	return table.Key{Table: p.config.Tables.Entries, Row: vm}
 }
@@ -163,6 +164,7 @@
 	}
 }
 
+// connect dials an entry. OnOpen records the link.
 func (p *Peers) connect(ctx context.Context, vm, address string) {
 	_, err := p.node.Dial(ctx, vm, address)
 	p.mu.Lock()
--- a/entry/share/share.go
+++ b/entry/share/share.go
@@ -48,23 +48,25 @@
 	Offer func(value []byte) bool
 	// OnFeedUpdate receives what another entry has read from the platform's feeds. OnLinkLost
 	// is called when the link to an entry has ended.
-	OnFeedUpdate func(vm string, news *link.FeedUpdate)
+	OnFeedUpdate func(vm string, update *link.FeedUpdate)
 	OnLinkLost   func(vm string)
-	// Quarantine exchanges reports on requests under which upstreams crash.
+	// Quarantine exchanges reports on requests that make upstreams crash.
 	Quarantine Quarantine
 	// OnEntryCount receives the number of known entries, including this one.
 	OnEntryCount func(n int)
 	Log          zerolog.Logger
 }
 
-// Quarantine produces and receives reports on requests under which upstreams crash.
+// Quarantine produces and receives reports on requests that make upstreams crash.
 // quarantine.Keeper implements it.
 type Quarantine interface {
 	// Pending returns a channel that has a value when there may be reports.
 	Pending() <-chan struct{}
+	// Reports returns the reports queued since the last call.
 	Reports() []quarantine.Report
-	// Current returns the holds that an entry must learn of when its link opens.
+	// Current returns the current holds, which are sent to an entry when its link opens.
 	Current() []quarantine.Report
+	// Receive applies the reports of another entry.
 	Receive(vm string, reports []quarantine.Report)
 }
 
@@ -101,7 +103,8 @@
 	config Config
 	node   *link.Node
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// known are the other entries by VM.
 	known map[string]*peer
 	// fetch tracks the announced routes that are still missing here.
 	fetch *fetch.Fetcher
@@ -113,8 +116,10 @@
 	partsRequested, bytesSent atomic.Uint64
 }
 
+// peer is another entry.
 type peer struct {
-	row  entryRow
+	row entryRow
+	// conn is the link to the entry; nil means none.
 	conn *link.Conn
 	// unreachableSince is when the last link was lost, or when the entry was first known.
 	unreachableSince time.Time
@@ -290,18 +295,18 @@
 }
 
 // forgetOrigin drops the placements of an entry that is still without a link. If the entry has
-// died, its callers' connections have closed and upstreams cancel their requests. Without this,
-// its upstreams would look busy for as long as those requests could have taken.
+// died, its callers' connections have closed and upstreams cancel their requests. If the placements
+// were kept, these upstreams would look busy for as long as the requests could have taken.
 func (p *Peers) forgetOrigin(vm string) {
 	p.mu.Lock()
 	known := p.known[vm]
-	gone := known != nil && known.conn == nil
+	unlinked := known != nil && known.conn == nil
 	var origin call.Incarnation
-	if gone {
+	if unlinked {
 		origin = known.incarnation
 	}
 	p.mu.Unlock()
-	if gone {
+	if unlinked {
 		p.config.Fleet.RemoveOrigin(time.Now(), uint64(origin))
 	}
 }
