--- a/entry/quarantine/cluster_test.go
+++ b/entry/quarantine/cluster_test.go
@@ -26,9 +26,10 @@
 	// group is the network partition of each entry, startedAt the start time of its process.
 	group     []int
 	startedAt []time.Time
-	cut       atomic.Bool
+	// partitioned reports whether the network is partitioned.
+	partitioned atomic.Bool
 	// crashes are the times at which the fatal request crashed an upstream. lateSends is the
-	// number of sends that count against the bound.
+	// number of sends after settleTime, which the test bounds.
 	crashes   []time.Time
 	lateSends int
 }
@@ -53,7 +54,7 @@
 	}
 	c.keeper[i] = New(Config{
 		VM: fmt.Sprint("entry-", i), Settings: corequarantine.DefaultSettings, Store: c.store, Table: "quarantine",
-		MayHaveUnlinkedEntries: c.cut.Load, Log: zerolog.Nop(),
+		MayHaveUnlinkedEntries: c.partitioned.Load, Log: zerolog.Nop(),
 	})
 	var ctx context.Context
 	ctx, c.stop[i] = context.WithCancel(c.t.Context())
@@ -90,7 +91,7 @@
 // partition splits the network into up to three random parts, or heals it.
 func (c *cluster) partition() {
 	parts := 1 + c.random.IntN(3)
-	c.cut.Store(parts > 1)
+	c.partitioned.Store(parts > 1)
 	for i := range c.group {
 		c.group[i] = c.random.IntN(parts)
 	}
@@ -126,6 +127,7 @@
 // before a send counts as late.
 const settleTime = 3 * time.Second
 
+// countSend records a send, which crashes an upstream, and counts it if it is late.
 func (c *cluster) countSend(i int) {
 	now := time.Now()
 	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > settleTime && now.Sub(c.startedAt[i]) > settleTime {
--- a/entry/quarantine/keeper.go
+++ b/entry/quarantine/keeper.go
@@ -80,9 +80,11 @@
 	// suspects are the requests that upstreams were serving when this entry saw them crash.
 	suspects map[fingerprint.Print]Suspect
 	reports  []queuedReport
-	dropped  uint64
-	timer    *time.Timer
-	rows     rows
+	// dropped counts the malformed reports of other entries.
+	dropped uint64
+	// timer calls decide when the next verdict is due.
+	timer *time.Timer
+	rows  rows
 }
 
 // New returns a Keeper. Run synchronises it with the store.
@@ -153,14 +155,15 @@
 		k.queueReport(corequarantine.Report{Kind: kind, Print: s.Print, Upstream: tag})
 		k.queueRecord(now, s.Print)
 	}
-	// Entries without a link may have seen other upstreams crash while they served the same
-	// request, so the store is read again.
+	// An entry without a link may have seen the same requests make other upstreams crash, so the
+	// store is read again.
 	k.rows.reread = true
 	k.wake()
 	k.decide(now)
 }
 
-// RecordAnswer records that an upstream has answered a request in full.
+// RecordAnswer records that an upstream has answered a request in full, which ends the suspicion
+// and any hold.
 func (k *Keeper) RecordAnswer(print func() fingerprint.Print) {
 	if !k.active.Load() {
 		return
@@ -179,8 +182,8 @@
 	}
 }
 
-// clearRequest drops the request's crashes at this entry and queues the removal of the named
-// rows and this entry's own row. It is called with mu held.
+// clearRequest forgets a request that the ledger has cleared, and queues the removal of the named
+// rows and of this entry's own row. It is called with mu held.
 func (k *Keeper) clearRequest(print fingerprint.Print, names ...string) {
 	delete(k.suspects, print)
 	if _, own := k.rows.own[print]; own {
@@ -213,9 +216,10 @@
 	})
 }
 
-// holdBack logs a request that is held back from now on and reports it to the other entries. An
-// entry that saw no crash of an upstream serving the request doesn't report it: all entries decide
-// alike, so the entries that saw a crash report it. It is called with mu held.
+// holdBack logs a request that is held back from now on. If this entry itself saw an upstream crash
+// that was serving the request, it also reports the hold to the other entries and writes it to the
+// store. An entry that saw no such crash leaves that to those that did: all entries decide alike.
+// It is called with mu held.
 func (k *Keeper) holdBack(now time.Time, v corequarantine.Verdict) {
 	s, seen := k.suspects[v.Print]
 	k.config.Log.Warn().Stringer("fingerprint", v.Print).Int("crashes", v.Crashes).Bool("shared", v.Shared).
--- a/entry/quarantine/keeper_test.go
+++ b/entry/quarantine/keeper_test.go
@@ -146,11 +146,13 @@
 	waitOneSecond()
 }
 
+// holds reports whether an entry holds a request back.
 func (e *entry) holds(name string) bool {
 	_, held := e.Held(func() fingerprint.Print { return printOf(name) })
 	return held
 }
 
+// answered reports to an entry that an upstream has answered a request.
 func (e *entry) answered(name string) {
 	e.RecordAnswer(func() fingerprint.Print { return printOf(name) })
 	waitOneSecond()
@@ -302,7 +304,8 @@
 	})
 }
 
-// Rows of other writers or with invalid values are skipped, with an error that names the fault.
+// Rows that no entry has written or that have invalid values are skipped, with an error that names
+// the fault.
 func TestUnreadableRowsAreSkipped(t *testing.T) {
 	name := rowName(printOf("x"), "entry-9")
 	for want, row := range map[string]table.Row{
--- a/entry/quarantine/record.go
+++ b/entry/quarantine/record.go
@@ -18,7 +18,8 @@
 type Record struct {
 	Crashes     []RecordedCrash `json:"crashes,omitempty"`
 	HeldUntilMs int64           `json:"heldUntilMs,omitempty"`
-	Times       int             `json:"times,omitempty"`
+	// Times is the number of times in a row that the request has been held back.
+	Times int `json:"times,omitempty"`
 	// ReleasedMs is set in an operator's row. Rows written before this time no longer count.
 	ReleasedMs   int64  `json:"releasedMs,omitempty"`
 	WrittenMs    int64  `json:"writtenMs"`
@@ -29,9 +30,10 @@
 
 // RecordedCrash is a crash of one incarnation of an upstream.
 type RecordedCrash struct {
-	Upstream   uint32 `json:"upstream"`
-	AtMs       int64  `json:"atMs"`
-	AfterCrash bool   `json:"again,omitempty"`
+	Upstream uint32 `json:"upstream"`
+	AtMs     int64  `json:"atMs"`
+	// AfterCrash corresponds to Suspect.AfterCrash.
+	AfterCrash bool `json:"again,omitempty"`
 }
 
 // Row is a Record with its fingerprint, its writer and its name in the store.
@@ -73,7 +75,9 @@
 	return row, nil
 }
 
-// expired reports whether a row no longer counts.
+// expired reports whether a row no longer counts. A row counts for corequarantine.Retention after
+// it was written and after its last crash. A row with a hold also counts during the probation after
+// the hold, which is as long as the hold and in which one crash causes the next hold.
 func (r *Row) expired(now time.Time, settings corequarantine.Settings) bool {
 	last := time.UnixMilli(max(r.WrittenMs, r.ReleasedMs))
 	for _, c := range r.Crashes {
@@ -81,12 +85,12 @@
 			last = at
 		}
 	}
-	over := last.Add(corequarantine.Retention)
+	expiry := last.Add(corequarantine.Retention)
 	if r.HeldUntilMs > 0 {
 		probation := time.UnixMilli(r.HeldUntilMs).Add(settings.HoldLength(max(r.Times, 1)))
-		over = slices.MaxFunc([]time.Time{over, probation}, time.Time.Compare)
+		expiry = slices.MaxFunc([]time.Time{expiry, probation}, time.Time.Compare)
 	}
-	return now.After(over)
+	return now.After(expiry)
 }
 
 // maxClockSkew bounds the difference between the clocks of two VMs.
--- a/entry/quarantine/reports.go
+++ b/entry/quarantine/reports.go
@@ -8,7 +8,7 @@
 )
 
 // maxPendingReports bounds the reports that wait to be sent. Beyond it the oldest are dropped;
-// the relevant crashes are in the store as well.
+// the crashes of a request with at least minRecordedCrashes of them are in the store as well.
 const maxPendingReports = corequarantine.MaxReports
 
 // queuedReport is a report that waits to be sent, with the time at which it was queued.
@@ -90,6 +90,7 @@
 	k.decide(now)
 }
 
+// logHeld logs a request that is held back because of another entry's report or row.
 func (k *Keeper) logHeld(from string, print fingerprint.Print, leftMs int64) {
 	k.config.Log.Warn().Stringer("fingerprint", print).Str("said_by", from).Int64("for_ms", leftMs).
 		Msg("request is held back: another entry says so")
--- a/entry/quarantine/store.go
+++ b/entry/quarantine/store.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// minRecordedCrashes is the number of crashes from which a request is written to the store.
-	// A single crash affects every request in flight, and a failing rack affects thousands,
-	// each known to one entry only; writing all of them would flood the store.
+	// minRecordedCrashes is the number of crashes from which on a request is written to the store.
+	// A single crash affects every request in flight, and a failing rack affects thousands. Each
+	// of these requests is known to one entry only, and writing all of them would flood the store.
 	minRecordedCrashes = 2
 	// batchDelay is how long a wakeup waits for further changes.
 	batchDelay = 5 * time.Millisecond
@@ -57,7 +57,7 @@
 }
 
 // drop discards this entry's row of a request and queues the removal of the named rows. It
-// reports whether there are any to remove.
+// reports whether any are named.
 func (r *rows) drop(print fingerprint.Print, names ...string) bool {
 	delete(r.own, print)
 	delete(r.dirty, print)
@@ -114,13 +114,13 @@
 			wait = unlinkedRereadInterval
 		}
 		pause.For(ctx, minPassInterval)
-		k.waitForWork(ctx, wait)
+		k.waitForPass(ctx, wait)
 	}
 }
 
-// waitForWork waits until a pass over the store is requested, or until wait has passed and a
+// waitForPass waits until a pass over the store is requested, or until wait has passed and a
 // reread is due.
-func (k *Keeper) waitForWork(ctx context.Context, wait time.Duration) {
+func (k *Keeper) waitForPass(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -135,7 +135,8 @@
 	}
 }
 
-// expire drops crashes and holds that are too old to count. It is called with mu held.
+// expire drops crashes and holds that are too old to count, and the requests that are neither
+// suspected nor held back any more. It is called with mu held.
 func (k *Keeper) expire(now time.Time) {
 	k.ledger.Expire(now)
 	for print := range k.suspects {
@@ -232,6 +233,8 @@
 	return nil
 }
 
+// decode returns the rows that can be decoded, up to maxRows, and logs the number of the others in
+// one line.
 func (k *Keeper) decode(stored []table.Row) []Row {
 	var all []Row
 	var first error
@@ -257,7 +260,7 @@
 }
 
 // applyRelease ends a hold that an operator released at the given time, in Unix milliseconds,
-// unless the request has caused a crash after that.
+// unless the request has crashed an upstream after that. It is called with mu held.
 func (k *Keeper) applyRelease(now time.Time, print fingerprint.Print, at int64) {
 	for _, c := range k.ledger.Crashes(print) {
 		if c.At.UnixMilli() > at {
@@ -273,7 +276,8 @@
 }
 
 // applyRow applies one row, or queues its removal if it no longer counts. A row older than a
-// release is removed because it would count again once the release's own row is gone.
+// release is removed because it would count again once the release's own row is gone. applyRow is
+// called with mu held.
 func (k *Keeper) applyRow(now time.Time, r Row, released int64) {
 	if r.expired(now, k.config.Settings) || r.ReleasedMs == 0 && r.WrittenMs <= released {
 		k.rows.remove[r.name] = true
@@ -291,7 +295,8 @@
 	}
 }
 
-// rewriteMissing queues this entry's rows that are missing from the store for writing.
+// rewriteMissing queues this entry's rows that are missing from the store for writing. It is called
+// with mu held.
 func (k *Keeper) rewriteMissing() {
 	for print := range k.rows.own {
 		found := slices.Contains(k.rows.listed[print], rowName(print, k.config.VM))
