--- a/entry/flight/claim.go
+++ b/entry/flight/claim.go
@@ -72,7 +72,8 @@
 	return claim.Rebind(now, binding)
 }
 
-// runClaim performs the claim's actions until the key is bound or the claim has failed.
+// runClaim performs the claim's actions until the key is bound, another agent must be chosen or the
+// claim has failed.
 func (f *Flight) runClaim(ctx context.Context, next idempotency.ClaimAction) attempt.Action {
 	for {
 		switch next.Kind {
@@ -109,7 +110,7 @@
 func (f *Flight) writeRow(ctx context.Context, next idempotency.ClaimAction) idempotency.ClaimAction {
 	claim := f.spec.Key.claim
 	if !pause(ctx, next.Delay) {
-		// The request has ended. The deadline as the time ends the Claim.
+		// The request has ended. A timer event at its deadline ends the Claim.
 		return claim.Timer(f.spec.Deadline)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -129,7 +130,7 @@
 func (f *Flight) readRow(ctx context.Context, next idempotency.ClaimAction) idempotency.ClaimAction {
 	claim := f.spec.Key.claim
 	if !pause(ctx, next.Delay) {
-		// The request has ended. The deadline as the time ends the Claim.
+		// The request has ended. A timer event at its deadline ends the Claim.
 		return claim.Timer(f.spec.Deadline)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
--- a/entry/flight/crash.go
+++ b/entry/flight/crash.go
@@ -12,14 +12,16 @@
 	"acaciacleat.example/peers/link"
 )
 
-// Quarantine reports which requests are held back because upstreams crash under them, and
-// records crashes and answers. quarantine.Keeper implements it.
+// Quarantine reports which requests are held back because they make upstreams crash, and records
+// crashes and answers. quarantine.Keeper implements it.
 type Quarantine interface {
 	// Held returns for how much longer a request is held back.
 	Held(print func() fingerprint.Print) (left time.Duration, held bool)
 	// OneCrashFromHold reports whether one more crash would cause the request to be held back.
 	OneCrashFromHold(print fingerprint.Print) bool
+	// RecordCrash records the requests that an upstream was serving when it crashed.
 	RecordCrash(upstream dispatch.Upstream, affected []quarantine.Suspect)
+	// RecordAnswer records that an upstream has answered a request in full.
 	RecordAnswer(print func() fingerprint.Print)
 }
 
@@ -31,16 +33,16 @@
 // is known.
 const verdictWait = corequarantine.VerdictDelay + 50*time.Millisecond
 
-// heldBack returns the refusal of a request that is held back. A request under which an
-// upstream has just crashed first waits for the verdict if that crash may be the one that
-// causes it to be held back.
+// heldBack returns the refusal of a request that is held back, or nil. If an upstream has crashed
+// while it served this request, and one more crash would cause the request to be held back,
+// heldBack first waits for the verdict.
 func (f *Flight) heldBack(ctx context.Context) *result.Error {
 	q := f.registry.quarantine
 	if q == nil {
 		return nil
 	}
 	if f.crashes > 0 && q.OneCrashFromHold(f.spec.Fingerprint()) && !pause(ctx, verdictWait) {
-		return nil // The caller is gone or the deadline has passed; the machine detects both.
+		return nil // The caller has disconnected or the deadline has passed; the machine detects both.
 	}
 	left, held := q.Held(f.spec.Fingerprint)
 	if !held {
@@ -49,7 +51,7 @@
 	return quarantine.Refusal(left)
 }
 
-// reportToQuarantine reports an answer or a crash at the end of an attempt.
+// reportToQuarantine reports the end of an attempt if it is a successful answer or a crash.
 func (f *Flight) reportToQuarantine(end *link.End) {
 	q := f.registry.quarantine
 	switch {
@@ -57,7 +59,7 @@
 	case end.Code == result.OK:
 		q.RecordAnswer(f.spec.Fingerprint)
 	case end.Code == result.UpstreamCrashed:
-		// The detail distinguishes the incarnations of the upstream beside an agent.
+		// The detail distinguishes the incarnations of an agent's upstream.
 		q.RecordCrash(dispatch.Upstream{ID: f.target.Agent + ": " + end.Detail}, []quarantine.Suspect{{
 			Print: f.spec.Fingerprint(), Request: f.spec.ID.String(), Route: f.spec.Route.Service,
 			Organisation: f.spec.Route.Organisation, AfterCrash: f.crashes > 0,
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -25,7 +25,7 @@
 const maxPending = 1024
 
 // Sink receives the answer. Its methods may block while the caller reads slowly; an error
-// means that the caller is gone.
+// means that the caller has disconnected.
 type Sink interface {
 	// Head is called once before Data, and only for plain services.
 	Head(head *link.Head) error
@@ -85,16 +85,22 @@
 	sentBody bool
 	admitted bool
 	span     collector.Span
-	// crashes counts the upstreams that crashed under this request.
+	// crashes counts the upstreams that crashed while they served this request.
 	crashes int
-	end     *link.End
-	final   *attempt.Action
+	// end is the received end of the current attempt or of an earlier one.
+	end *link.End
+	// final is the machine's last action, an Answer or a Fail.
+	final *attempt.Action
 
+	// deliveredText is the text passed to the sink. It is kept only for repeatable generations, so
+	// that another agent can continue after it.
 	deliveredText   []byte
 	deliveredTokens int
 	headReceived    bool
-	sinkErr         error
-	done            chan struct{}
+	// sinkErr is the sink's first error. No more data is passed to the sink after it.
+	sinkErr error
+	// done is closed when Run returns.
+	done chan struct{}
 }
 
 // Outcome is the final result of a request.
@@ -109,7 +115,7 @@
 	Delivered int
 }
 
-// New returns a request that starts with Run.
+// New returns a Flight for one request. Run starts it.
 func New(registry *Registry, spec Spec, sink Sink) *Flight {
 	f := &Flight{
 		registry: registry,
@@ -133,7 +139,7 @@
 	return f
 }
 
-// Run runs the request until its final answer. ctx must end when the caller is gone.
+// Run runs the request until its final answer. ctx must end when the caller disconnects.
 func (f *Flight) Run(ctx context.Context) Outcome {
 	defer close(f.done)
 	defer f.cleanUp()
@@ -199,6 +205,7 @@
 	}
 }
 
+// retainLink makes c the link of the current attempt and releases the previous one.
 func (f *Flight) retainLink(c *link.Conn) {
 	if f.conn == c {
 		return
@@ -310,6 +317,7 @@
 	}
 }
 
+// admit calls Spec.Admit once, before the first offer.
 func (f *Flight) admit(predicted time.Duration) *result.Error {
 	if f.admitted || f.spec.Admit == nil {
 		return nil
--- a/entry/flight/leaving.go
+++ b/entry/flight/leaving.go
@@ -15,8 +15,8 @@
 // still writes its key's row or opens a link. The offer would reach the agent's next
 // incarnation, which does not know what the previous one ran, and the call would fail with
 // execution unknown although it never ran. Therefore an agent that leaves waits for a Left
-// message from each entry that it notified, and the entry sends it only after the last of
-// these requests was offered.
+// message from each entry that it notified, and the entry sends it only when each of these
+// requests has been offered or no longer uses the agent.
 //
 // A request that chose the agent after Left was sent would cause the same race. add refuses
 // it, under the same lock under which Left is sent.
@@ -47,7 +47,8 @@
 	return true
 }
 
-// remove ends the count of a request that was offered or that no longer uses the agent.
+// remove ends the count of a request that was offered or that no longer uses the agent. After the
+// last one it sends Left if the agent is leaving.
 func (p *pendingOffers) remove(agent call.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +62,8 @@
 	}
 }
 
-// agentLeaving records that an agent leaves, and sends it Left if no request has chosen it.
+// agentLeaving records that an agent leaves, and sends it Left if no request is about to be
+// offered to it.
 func (p *pendingOffers) agentLeaving(conn *link.Conn) {
 	agent := conn.Peer().Incarnation
 	p.mu.Lock()
--- a/entry/flight/mailbox.go
+++ b/entry/flight/mailbox.go
@@ -17,13 +17,14 @@
 	signal  chan struct{}
 }
 
-// contents is a batch of frames and events. arena holds the data of the frames.
+// contents is a batch of frames and events. arena holds the data of all frames.
 type contents struct {
 	frames []frameRef
 	arena  []byte
 	events []event
 }
 
+// frameRef is a frame whose data is arena[start:end].
 type frameRef struct {
 	attempt call.Attempt
 	seq     uint64
@@ -63,10 +64,11 @@
 	m.notify()
 }
 
+// notify signals that the mailbox has contents.
 func (m *mailbox) notify() {
 	select {
 	case m.signal <- struct{}{}:
-	default:
+	default: // The request has been notified already.
 	}
 }
 
--- a/entry/flight/receive.go
+++ b/entry/flight/receive.go
@@ -11,7 +11,8 @@
 	"acaciacleat.example/peers/link"
 )
 
-// receive handles one batch of received messages.
+// receive handles one batch of received messages: first the heads, then the frames, and then the
+// other events, because an event such as the end of an attempt may follow frames of the batch.
 func (f *Flight) receive(ctx context.Context) {
 	batch := f.mailbox.take(f.spareBatch)
 	for i := range batch.events {
@@ -67,7 +68,7 @@
 	}
 	f.deliveredTokens += int(frame.Tokens)
 	f.sinkErr = f.sink.Data(frame.Tokens, frame.Data)
-	// The frame is progress, so that Delivered requests no action but Fail.
+	// After a frame, Delivered returns no action, or Fail if the deadline has passed.
 	if action := f.machine.Delivered(time.Now(), frame.Attempt, frame.Seq); action.Kind == attempt.Fail {
 		f.final = &action
 	}
@@ -127,6 +128,7 @@
 	return code == result.UpstreamFailed || code == result.UpstreamTimeout || code == result.UpstreamCrashed
 }
 
+// onEnd keeps the end of the current attempt until finishIfComplete reports it.
 func (f *Flight) onEnd(m *link.End) {
 	if m.Attempt != f.receiver.Attempt() {
 		return
@@ -135,7 +137,8 @@
 	f.receiver.End(m.Attempt, m.Seq-1)
 }
 
-// finishIfComplete reports the end of the attempt once all frames before it are delivered.
+// finishIfComplete reports the end of the attempt to the machine, the fleet view and the quarantine
+// once all frames before it are delivered.
 func (f *Flight) finishIfComplete(ctx context.Context) {
 	if f.end == nil || f.end.Attempt != f.receiver.Attempt() || !f.receiver.Ended() || f.machine.Done() {
 		return
--- a/entry/flight/registry.go
+++ b/entry/flight/registry.go
@@ -22,7 +22,7 @@
 	observeRevision func(from string, revision uint64)
 	// pendingOffers delays agents that leave until no request is about to be offered to them.
 	pendingOffers *pendingOffers
-	// quarantine holds back requests under which upstreams crash; if nil, none are held back.
+	// quarantine holds back requests that make upstreams crash; if nil, none are held back.
 	quarantine Quarantine
 	shards     [shardCount]shard
 }
@@ -144,6 +144,7 @@
 	r.observeRevision(load.Agent, load.Revision)
 }
 
+// deliver records a reply and passes its message to the request with this ID, if it is in flight.
 func (r *Registry) deliver(id call.ID, c *link.Conn, message link.Message) {
 	r.view.RecordReply(c)
 	if f := r.find(id); f != nil {
--- a/entry/front/admission.go
+++ b/entry/front/admission.go
@@ -16,7 +16,8 @@
 	byService map[string]*admission.Controller
 }
 
-// controller is called with mu held.
+// controller returns the admission controller of a service and creates it if there is none. It is
+// called with mu held.
 func (a *admissions) controller(service string) *admission.Controller {
 	if a.byService == nil {
 		a.byService = make(map[string]*admission.Controller)
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -76,7 +76,8 @@
 	mux       *http.ServeMux
 }
 
-// New returns a Front that is not ready until SetSnapshot and SetReady are called.
+// New returns a Front that is not ready until SetSnapshot and SetReady are called and
+// Config.Current reports true.
 func New(config Config) *Front {
 	if config.Limits == (Limits{}) {
 		config.Limits = DefaultLimits
@@ -106,7 +107,8 @@
 // SetReady sets whether new requests are accepted.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
-// Ready reports whether new requests are accepted.
+// Ready reports whether new requests are accepted: SetReady was called with true, and the documents
+// are loaded and current.
 func (f *Front) Ready() bool {
 	return f.ready.Load() && f.snapshot.Load() != nil && f.config.Current()
 }
@@ -120,6 +122,7 @@
 	used  atomic.Int64
 }
 
+// acquire reports whether n more bytes are within the limit, and counts them if they are.
 func (b *bodyBudget) acquire(n int64) bool {
 	if b.used.Add(n) > b.limit {
 		b.used.Add(-n)
@@ -160,6 +163,7 @@
 	return l.policy.Delay(n)
 }
 
+// recordFirst sets the ratio of retries and counts a first attempt.
 func (l *lockedRetries) recordFirst(now time.Time, ratio float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/front/generate.go
+++ b/entry/front/generate.go
@@ -153,18 +153,21 @@
 
 // generationSink writes an answer to the caller. It implements flight.Sink.
 type generationSink struct {
-	request       *request
-	encoder       *caller.AnswerEncoder
-	stream        bool
-	service       string
-	class         call.Class
-	maxBytes      int
+	request  *request
+	encoder  *caller.AnswerEncoder
+	stream   bool
+	service  string
+	class    call.Class
+	maxBytes int
+	// buf holds the part of a streamed answer that is still to be written, or the whole text of
+	// one that is not streamed.
 	buf           []byte
 	answerStarted bool
-	tooLarge      bool
+	// tooLarge reports whether an answer that is not streamed exceeds maxBytes.
+	tooLarge bool
 }
 
-// Head implements flight.Sink; generations have none.
+// Head implements flight.Sink. The answer of a generation has no head.
 func (s *generationSink) Head(*link.Head) error { return nil }
 
 // Data implements flight.Sink.
@@ -194,6 +197,7 @@
 	s.openStream()
 }
 
+// openStream writes the head of a streamed answer.
 func (s *generationSink) openStream() {
 	if !s.stream {
 		return
--- a/entry/front/metrics.go
+++ b/entry/front/metrics.go
@@ -11,7 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of the histograms: 10 microseconds to 1 hour, with two significant digits.
+// The histograms cover 10 microseconds to 1 hour with two significant digits. Their unit is the
+// microsecond.
 const (
 	firstTokenLowest  = 10
 	firstTokenHighest = int64(time.Hour / time.Microsecond)
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -45,9 +45,11 @@
 	// openAIErrors is set if errors are encoded as OpenAI's API does.
 	openAIErrors bool
 	body         []byte
-	heldBytes    int64
-	predicted    time.Duration
-	span         collector.Span
+	// heldBytes is the part of the front's bodyBudget that the request holds.
+	heldBytes int64
+	// predicted is the predicted time to the first token.
+	predicted time.Duration
+	span      collector.Span
 	// quotaKey and orgLimits are the key and the organisation's limits under which the request was
 	// admitted.
 	quotaKey  limits.Key
@@ -71,6 +73,8 @@
 	return q
 }
 
+// authenticate finds the principal of the request's key in the documents in force. It refuses all
+// requests while the entry is not ready.
 func (q *request) authenticate() *result.Error {
 	if !q.front.Ready() {
 		return errNotReady()
@@ -171,7 +175,7 @@
 	q.front.metrics.countResult(code)
 	q.span.End(q.id.String(), code)
 	event := q.front.config.Log.Info()
-	// The codes from DeadlinePassed on are not faults of the caller or limits; see result.Code.
+	// The codes from DeadlinePassed on are neither faults of the caller nor limits; see result.Code.
 	if code >= result.DeadlinePassed {
 		event = q.front.config.Log.Warn()
 	}
@@ -203,6 +207,7 @@
 	return l
 }
 
+// unknownPath answers requests for paths that the interface doesn't have.
 func (f *Front) unknownPath(w http.ResponseWriter, r *http.Request) {
 	q := &request{front: f, writer: w, http: r, started: time.Now()}
 	_, _ = rand.Read(q.id[:])
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -57,6 +57,7 @@
 	sink.fail(outcome.Err)
 }
 
+// authorize checks that the service is a plain one that the organisation may call.
 func (q *request) authorize(service *document.Service) *result.Error {
 	name := q.http.PathValue("service")
 	if service == nil || service.Kind != document.KindPlain {
@@ -68,6 +69,7 @@
 	return nil
 }
 
+// serviceSpec returns the flight.Spec of a call of a plain service.
 func (q *request) serviceSpec(service *document.Service) (flight.Spec, *result.Error) {
 	timeLeft, err := deadline.Parse(q.http.Header.Get(deadline.Header), deadline.BoundsFor(service, call.Short))
 	if err != nil {
@@ -155,8 +157,8 @@
 	return true
 }
 
-// unforwardedHeaders are the headers of one connection or of this system. They are not
-// forwarded.
+// unforwardedHeaders are the headers that concern one connection or this system. They are not
+// forwarded, except that Content-Length is kept in answers.
 var unforwardedHeaders = map[string]bool{
 	"Authorization": true, "Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
--- a/entry/quota/ask.go
+++ b/entry/quota/ask.go
@@ -10,7 +10,7 @@
 )
 
 // pendingRequest is a grant request that the owner has not answered yet. The shard's lock guards
-// all fields except done until done is closed.
+// decision until done is closed; the other fields do not change.
 type pendingRequest struct {
 	request   limits.GrantRequest
 	owner     string
@@ -22,7 +22,8 @@
 	done     chan struct{}
 }
 
-// requestUntilDecided sends grant requests to the owner until the request is decided.
+// requestUntilDecided sends grant requests to the owner, or waits for pending ones, until the
+// request is decided. After pendingTimeout it refuses the request.
 func (e *Enforcer) requestUntilDecided(s *shard, key limits.Key, orgLimits *document.Limits, tokens int) limits.Decision {
 	timer := time.NewTimer(pendingTimeout)
 	defer timer.Stop()
@@ -81,9 +82,9 @@
 	}
 }
 
-// sendRequest sends a grant request. If the peer of a link no longer responds, TCP keeps the
-// link open for a long time, and every grant request over it times out. Therefore the link is
-// checked after a timeout and closed if the peer does not answer, so that the next grant
+// sendRequest sends a grant request. If the peer of a link no longer responds, TCP keeps the link
+// open for a long time, and every grant request over it times out. After a timeout, sendRequest
+// therefore checks the link and closes it if the peer does not answer, so that the next grant
 // request dials a new one.
 func (e *Enforcer) sendRequest(s *shard, q *pendingRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), link.DefaultTiming.Silence)
@@ -190,6 +191,8 @@
 	}
 }
 
+// handleRenewal records the concurrency that another entry still holds. Its holds are handled as
+// grant requests that need no answer.
 func (e *Enforcer) handleRenewal(from string, m *link.LimitRenew) {
 	for i := range m.Holds {
 		h := &m.Holds[i]
--- a/entry/quota/quota.go
+++ b/entry/quota/quota.go
@@ -103,15 +103,15 @@
 	mu    sync.Mutex
 	entry *limits.Entry
 	// pending holds the grant requests without an answer. There is at most one for each
-	// organisation, because the answer to each grants a single slot of concurrency and only the
-	// newest answer counts.
+	// organisation of a service, because the answer to each grants a single slot of concurrency
+	// and only the newest answer counts.
 	pending map[limits.Key]*pendingRequest
 }
 
 // New returns an Enforcer that knows no other entry until Run.
 func New(config Config) *Enforcer {
 	e := &Enforcer{config: config}
-	// Higher than any sequence number of an earlier process of this name.
+	// The time is higher than any sequence number of an earlier process of this name.
 	sequence := uint64(time.Now().UnixNano())
 	for i := range e.shards {
 		e.shards[i].entry = limits.NewEntry(config.Self, sequence)
