--- a/entry/placement/observe.go
+++ b/entry/placement/observe.go
@@ -29,8 +29,9 @@
 	status *link.Status
 }
 
-// observe collects the input of a decision. It fails if a part is unknown without which the
-// decision could be wrong.
+// observe collects the input of a decision. It returns an error if the slots, the rejected
+// canaries or the status of an engine that seems alive are unknown, because a decision without
+// them could be wrong.
 func (p *placer) observe(ctx context.Context, service *document.Service) (*placement.Input, error) {
 	in := &placement.Input{Service: service}
 	err := p.readRows(ctx, in)
@@ -54,7 +55,8 @@
 	return in, err
 }
 
-// readRows reads the slots and the rejected canaries, and deletes obsolete rejections.
+// readRows reads the slots and the rejected canaries. If this entry still holds the lease, it
+// also deletes the rejections of canaries that the document no longer names.
 func (p *placer) readRows(ctx context.Context, in *placement.Input) error {
 	slots, err := p.rows.slots(ctx, p.slotCount(ctx))
 	if err != nil {
@@ -93,8 +95,8 @@
 	return min(maxSlots, max(1, int(p.rate*placementShare/p.settings.FetchRate)))
 }
 
-// updateStatuses requests the status of all agents that are not dead. An agent that does not
-// answer keeps its last status.
+// updateStatuses requests the status of all agents that are not dead. The last status is kept
+// for an agent that does not answer, or whose answer says nothing about its engine.
 func (p *placer) updateStatuses(ctx context.Context, replicas []routing.Replica) {
 	semaphore := make(chan struct{}, maxStatusRequests)
 	var requests sync.WaitGroup
@@ -132,8 +134,9 @@
 }
 
 // replica returns the observation of one engine. unknown is set if the engine seems alive but
-// has not reported its state. Such an engine must not count as one that serves no model: it
-// would be ordered to load another one in the first round after each change of holder.
+// has not reported its status and StatusGracePeriod has not passed; after that time the engine
+// counts as dead. An engine with unknown status must not count as one that serves no model: in
+// the first round after each change of holder it would be ordered to load a model needlessly.
 func (p *placer) replica(now time.Time, r *routing.Replica) (replica placement.Replica, unknown bool) {
 	replica = placement.Replica{VM: r.Agent, Zone: r.Zone, State: r.State}
 	state := p.agentStates[r.Agent]
--- a/entry/placement/placement.go
+++ b/entry/placement/placement.go
@@ -2,7 +2,7 @@
 // core/placement at the entry that holds the service's lease.
 //
 // For each model service a few entries, chosen by rendezvous hashing, compete for a lease in
-// the table; if all 350 did, they would use up the table's reads. The holder requests the
+// the table; if all 350 entries did, they would use up the table's reads. The holder requests the
 // state of the engines from the service's agents and decides. For an order that uses the
 // weight store's rate it first takes a slot in the table. It sends each order with the
 // lease's fencing number. Before each write and each order it checks that it still holds the
@@ -51,10 +51,10 @@
 	FetchRate float64
 }
 
-// DefaultSettings request the status of each agent every 5 s. A request and its answer are
-// frames of 11 and 76 bytes, so that a holder of 44 replicas, the average at the design size,
-// uses 0.8 KB/s of its 2 KB/s for them. 250 MB/s is a fifth of a 10 Gbit/s interface, which
-// leaves the rest for requests.
+// DefaultSettings returns the default settings. The status of each agent is requested every
+// 5 s: a request and its answer are frames of 11 and 76 bytes, so the holder of a service with
+// 44 replicas, the average at the design size, uses 0.8 KB/s of its 2 KB/s for them. FetchRate,
+// 250 MB/s, is a fifth of a 10 Gbit/s interface, which leaves the rest for requests.
 func DefaultSettings() Settings {
 	return Settings{
 		Decisions:         placement.DefaultConfig(),
@@ -93,7 +93,7 @@
 	agentClient *agentClient
 
 	mu                  sync.Mutex
-	services            map[string]*participant
+	participants        map[string]*participant
 	participantsStarted int
 }
 
@@ -105,7 +105,7 @@
 
 // New returns a Manager that is idle until Run.
 func New(config Config) *Manager {
-	return &Manager{config: config, agentClient: newAgentClient(config.Fleet), services: make(map[string]*participant)}
+	return &Manager{config: config, agentClient: newAgentClient(config.Fleet), participants: make(map[string]*participant)}
 }
 
 // OnMessage handles the answers of agents. It returns false for all other messages.
@@ -130,14 +130,14 @@
 	services := m.candidateServices()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, r := range m.services {
+	for name, p := range m.participants {
 		if !slices.Contains(services, name) {
-			r.stop()
-			delete(m.services, name)
+			p.stop()
+			delete(m.participants, name)
 		}
 	}
 	for _, name := range services {
-		if m.services[name] == nil {
+		if m.participants[name] == nil {
 			m.startParticipant(ctx, name)
 		}
 	}
@@ -169,8 +169,8 @@
 
 // startParticipant starts to compete for the lease of a service. It is called with mu held.
 func (m *Manager) startParticipant(ctx context.Context, service string) {
-	// Each participant has a unique ID, because it numbers its writes from 1. The table takes
-	// a write with a token that was used before for a repetition and does not apply it.
+	// Each participant has a unique ID, because it numbers its writes from 1 and the table treats
+	// a write whose token was used before as a repetition, which it does not apply.
 	m.participantsStarted++
 	id := fmt.Sprintf("%s/%s.%d", m.config.VM, m.config.Incarnation, m.participantsStarted)
 	runner, err := leaserow.New(m.config.Table, leaserow.Placement(service), id, m.config.Settings.Lease)
@@ -180,7 +180,7 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	p := newPlacer(service, id, &m.config, runner, m.agentClient)
-	m.services[service] = &participant{placer: p, stop: stop}
+	m.participants[service] = &participant{placer: p, stop: stop}
 	go runner.Run(ctx)
 	go m.runRounds(ctx, p)
 }
@@ -213,10 +213,10 @@
 		e.HolderError = err.Error()
 	}
 	m.mu.Lock()
-	r := m.services[service]
+	p := m.participants[service]
 	m.mu.Unlock()
-	if r != nil {
-		r.placer.explain(e)
+	if p != nil {
+		p.placer.explain(e)
 	}
 	return e
 }
--- a/entry/placement/placement_test.go
+++ b/entry/placement/placement_test.go
@@ -42,9 +42,10 @@
 	executors   map[string]*orders.Executor
 	replicaList []routing.Replica
 	start       time.Time
-	// agentWithoutReport is an agent that has not received its engine's report yet.
+	// agentWithoutReport is the VM of an agent that has not received its engine's report yet.
 	agentWithoutReport string
-	// intercept, if set, is called for each order in place of execute.
+	// intercept, if set, is called for each order; the order reaches its agent when intercept calls
+	// execute. An error stands for a lost answer.
 	intercept func(vm string, execute func() error) error
 
 	mu          sync.Mutex
@@ -52,7 +53,8 @@
 	maxFetching int
 }
 
-// fakeEngine ignores fencing numbers.
+// fakeEngine executes every order. It records the fencing numbers of the orders but does not check
+// them.
 type fakeEngine struct {
 	engine.Engine
 	cluster *cluster
@@ -75,6 +77,7 @@
 	return nil
 }
 
+// fetch adds n to the number of concurrent fetches.
 func (c *cluster) fetch(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,7 +224,7 @@
 	})
 }
 
-// Guards against the return of a replaced version: a holder is paused between its last check
+// Guards against the return of a replaced version when a holder is paused between its last check
 // of the lease and its order. The agent must refuse the order even if it has received none
 // from a newer holder.
 func TestOrderOfPausedHolderIsRefused(t *testing.T) {
--- a/entry/placement/placer.go
+++ b/entry/placement/placer.go
@@ -18,8 +18,9 @@
 	// orderTimeout bounds the wait for an agent's answer to an order. An agent that has just
 	// started first reads the lease's row; the timeout includes that.
 	orderTimeout = 3 * time.Second
-	// orderStartTimeout is how long after the order's stamp, a reading of the agent's clock, the
-	// agent may start the order. The stamp may be 10 s old when the order is sent.
+	// orderStartTimeout is the time within which the agent must start the order. It counts from
+	// the order's stamp, a reading of the agent's clock that may be 10 s old when the order is
+	// sent.
 	orderStartTimeout = 15 * time.Second
 	// maxOrderAttempts bounds how often an order without a confirmation is sent.
 	maxOrderAttempts = 5
@@ -148,8 +149,8 @@
 // sendOrder sends an order. An order that is refused at the first attempt had no effect, and
 // its slot is released. An order whose answer was lost, or that was found in a slot, may be
 // in progress. If its slot were released, another fetch could start at the same time and the
-// weight store's rate would be exceeded. Therefore it is sent again in later rounds, which is
-// safe because it names the desired state, and its slot is left to expire.
+// weight store's rate would be exceeded. Therefore such an order is sent again in later rounds,
+// which is safe because an order names the desired state, and its slot is left to expire.
 func (p *placer) sendOrder(ctx context.Context, sent sentOrder) {
 	if !p.holdsLease() {
 		p.planner.OrderDropped(sent.order.VM)
@@ -222,8 +223,8 @@
 	}
 }
 
-// rejectCanary stores that a canary was rolled back. The machine requests it again in each
-// round until it is stored.
+// rejectCanary stores that a canary was rolled back. If the write fails, the planner repeats
+// the action in each round until the rejection is stored.
 func (p *placer) rejectCanary(ctx context.Context, a placement.RejectCanary) {
 	step := placement.Order{Kind: kindRejectCanary, Model: a.Model, Version: a.Version, Reason: a.Reason}
 	if !p.holdsLease() {
--- a/entry/placement/reasons.go
+++ b/entry/placement/reasons.go
@@ -14,11 +14,11 @@
 // Explanation describes who places a service and what this entry did as the lease holder.
 type Explanation struct {
 	Service string `json:"service"`
-	// Holder identifies the entry and its process that hold the lease according to the row;
-	// empty if none does.
+	// Holder identifies the entry, and its process, that holds the lease according to the lease's
+	// row; empty if none does.
 	Holder string `json:"holder"`
 	Fence  uint64 `json:"fence"`
-	// HolderError is the error if the lease's row could not be read; Holder is then empty.
+	// HolderError is the error of reading the lease's row; Holder is empty if it is set.
 	HolderError string `json:"holder_error,omitempty"`
 	// HeldHere says that the queried entry holds the lease. Only the holder has the current
 	// steps; those of another entry are from the time when it was the holder.
@@ -44,7 +44,7 @@
 	OrderError   string   `json:"order_error,omitempty"`
 }
 
-// Step is one order or rejection of a canary.
+// Step is one order to an agent, or the rejection of one canary.
 type Step struct {
 	At      time.Time        `json:"at"`
 	VM      string           `json:"vm,omitempty"`
@@ -54,7 +54,7 @@
 	Adapter string           `json:"adapter,omitempty"`
 	Role    string           `json:"role,omitempty"`
 	Reason  placement.Reason `json:"reason"`
-	// Outcome is the result of the step.
+	// Outcome says how the step ended, such as "given", or "refused: " and the agent's reason.
 	Outcome string `json:"outcome"`
 	Fence   uint64 `json:"fence"`
 }
--- a/entry/placement/rows.go
+++ b/entry/placement/rows.go
@@ -49,8 +49,8 @@
 	return table.Key{Table: slotTable, Row: fmt.Sprintf("%04d", index)}
 }
 
-// slots returns the first count slots, and those beyond them that hold an order: they were
-// taken when the weight store's rate was higher.
+// slots returns the first count slots, and any further slots that still hold an order because
+// they were taken when the weight store's rate was higher.
 func (r *rows) slots(ctx context.Context, count int) ([]placement.Slot, error) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
