--- a/entry/config/actions.go
+++ b/entry/config/actions.go
@@ -76,7 +76,8 @@
 	return all
 }
 
-// poll reads the table's newest revision and reports the result to the state machine.
+// poll reads the changes in the table and reports the result to the state machine. If the changes
+// cannot be applied, it reports a failed poll.
 func (m *Manager) poll(ctx context.Context, a spread.PollTable) {
 	u, outcome := m.readTable(ctx, a.After)
 	outcome.Nonce = a.Nonce
@@ -169,7 +170,8 @@
 
 // WaitApplied waits until every live entry has applied the revision or ctx ends, and returns the
 // names of the entries that have not. For a revision that another entry wrote it first asks all
-// entries.
+// entries whether they have applied it. If this entry has not applied the revision itself, it
+// returns this entry's name at once.
 func (m *Manager) WaitApplied(ctx context.Context, revision document.Revision) []string {
 	m.handleEvent(ctx, nil, func(now time.Time) []spread.Action {
 		if m.machine.Tracker(revision) != nil || m.machine.Revision() < revision {
--- a/entry/config/manager.go
+++ b/entry/config/manager.go
@@ -65,8 +65,9 @@
 	changed chan struct{}
 
 	// loading says that a load of all documents is in progress.
-	loading   atomic.Bool
-	ready     atomic.Bool
+	loading atomic.Bool
+	ready   atomic.Bool
+	// lastEvent is the time of the last event, in nanoseconds after startedAt.
 	lastEvent atomic.Int64
 	startedAt time.Time
 }
--- a/entry/config/messages.go
+++ b/entry/config/messages.go
@@ -210,8 +210,8 @@
 
 // expects reports whether a part belongs to the request whose answer is being assembled or to a
 // later one. A part with a lower nonce belongs to an abandoned request, because the nonces of
-// core/spread increase. Startup nonces are random, so one must equal that of the pending startup
-// request. It is called with mu held.
+// core/spread increase. Startup nonces are random, so a startup nonce must equal that of the pending
+// startup request. It is called with mu held.
 func (m *Manager) expects(nonce uint64) bool {
 	if nonce&startupNonceBit != 0 {
 		return nonce == m.startupRequest.nonce
@@ -254,7 +254,7 @@
 	partReceived func()
 }
 
-// deliverStartupState passes a full state to the pending startup request if that has the nonce, and
+// deliverStartupState passes a full state to the pending startup request if the nonces match, and
 // reports whether the nonce belongs to any startup request.
 func (m *Manager) deliverStartupState(nonce uint64, data []byte) bool {
 	m.mu.Lock()
--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -51,12 +51,12 @@
 	Wait time.Duration
 	// Upstreams applies the changes of upstreams.
 	Upstreams Upstreams
-	// OnRoutesApplied, if not nil, is called after a routing table was applied that other entries
-	// may not have yet. otherZones is true if the table was read from the source, in which case
+	// OnRoutesApplied, if not nil, is called after this entry has applied a routing table that other
+	// entries may not have yet. otherZones is true if the table was read from the source, in which case
 	// entries of other zones may not have it either.
 	OnRoutesApplied func(otherZones bool)
 	// Role returns the role of this entry for the feeds, and Forward sends the updates that the
-	// entry reads to other entries. Both are nil for an entry without other entries.
+	// entry reads to other entries. Both are nil for an entry that runs alone.
 	Role    func() follow.Role
 	Forward func(update *link.FeedUpdate)
 	Log     zerolog.Logger
@@ -79,9 +79,10 @@
 	value  atomic.Pointer[[]byte]
 	// upstreamsRead says that the upstreams were read at least once.
 	upstreamsRead atomic.Bool
-	received      chan receivedRoutes
-	routes        *feed
-	upstreams     *feed
+	// received queues the routing tables that are to be applied.
+	received  chan receivedRoutes
+	routes    *feed
+	upstreams *feed
 	// faults counts the registrations that could not be decoded since faultsLogged.
 	faults       int
 	faultsLogged time.Time
@@ -99,7 +100,7 @@
 type origin string
 
 const (
-	// fromStore is the source.
+	// fromStore is this entry's own read of the source.
 	fromStore origin = "store"
 	// fromEntry is a follower that forwards its updates to all entries of its zone.
 	fromEntry origin = "entry"
--- a/entry/directory/feed.go
+++ b/entry/directory/feed.go
@@ -151,7 +151,7 @@
 func (f *feed) readOnce(ctx context.Context, role follow.Role, paused time.Duration) (bool, error) {
 	wait := f.config.Wait
 	if role != follow.Standalone {
-		// The pause is part of the time in which listeners receive nothing.
+		// Listeners receive nothing during the pause either, so it counts towards FollowerReadWait.
 		wait = min(wait, follow.FollowerReadWait-paused)
 	}
 	f.mu.Lock()
--- a/entry/directory/feed_test.go
+++ b/entry/directory/feed_test.go
@@ -100,7 +100,7 @@
 
 // A follower forwards one failure when its reads begin to fail, so that listeners read the store
 // themselves, and one recovery when they succeed again, so that listeners delay the removals after the
-// outage. Repeated failures need not be forwarded.
+// outage. Repeated failures are not forwarded.
 func TestFollowerForwardsFailureAndRecoveryOfTheStore(t *testing.T) {
 	runInRole(t, follow.Follower, func(t *testing.T, _ *Keeper, s *scriptedSource, _ *recordedUpstreams, recorder *forwardRecorder) {
 		time.Sleep(minBatchPause)
@@ -165,7 +165,8 @@
 }
 
 // A listener must not keep an old configuration if the follower's read fails, the follower's link ends,
-// an update was missed or the routes are too large to be forwarded: the listener reads at once.
+// an update was missed, or an update omits the routes and does not name their version: the listener
+// reads at once.
 func TestListenerReadsAtOnceWhenUpdatesAreMissing(t *testing.T) {
 	for name, event := range map[string]func(k *Keeper){
 		"the follower's read fails": func(k *Keeper) { k.HandleUpdate("a", &link.FeedUpdate{Feed: link.FeedRoutes, ReadFailed: true}) },
