--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -21,6 +21,8 @@
 no JSON, and {broken
 `
 
+// Lines with a prefix before the JSON object count like others; other messages and lines without valid
+// JSON are skipped.
 func TestRequestsAreCountedByReason(t *testing.T) {
 	a := New()
 	require.NoError(t, a.Read(strings.NewReader(lines)))
--- a/entry/command/command.go
+++ b/entry/command/command.go
@@ -45,6 +45,7 @@
 	stderr io.Writer
 }
 
+// faults returns the faults of an entry's settings.
 func faults(data []byte) []shared.Fault {
 	_, faults := settings.Parse(data)
 	return faults
--- a/entry/command/document_test.go
+++ b/entry/command/document_test.go
@@ -67,6 +67,8 @@
 	require.Equal(t, commandline.ExitFailed, code)
 }
 
+// An entry must explain a request that it refused, by the ID in the answer, and say so if it does not
+// have the request.
 func TestExplainTellsWhyARequestWasRefused(t *testing.T) {
 	f := newFleet(t)
 	f.entry("entry-1")
@@ -85,6 +87,8 @@
 	require.Contains(t, errOut, "no longer")
 }
 
+// Clients that use the HTTP interface directly must get all faults of a document, the conflict with a
+// stored one, and the outcome of a put.
 func TestPutOverHTTP(t *testing.T) {
 	f := newFleet(t)
 	f.entry("entry-1")
--- a/entry/command/gateway.go
+++ b/entry/command/gateway.go
@@ -14,7 +14,7 @@
 	"acaciacleat.example/platform/standin"
 )
 
-// gatewayCommand runs an entry that calls upstreams itself on the users' platform.
+// gatewayCommand runs an entry that calls upstreams directly.
 type gatewayCommand struct {
 	*environment `no-flag:"true"`
 	Settings     string `long:"settings" value-name:"FILE" required:"yes" description:"the gateway's settings"`
--- a/entry/command/load.go
+++ b/entry/command/load.go
@@ -178,6 +178,7 @@
 	plan.Client.OnProgress = func(ended int) { _ = bar.Set(ended) }
 }
 
+// barThrottle is the minimum time between two updates of a progress bar.
 const barThrottle = 100 * time.Millisecond
 
 func newBar(w io.Writer, label string, requests int) *progressbar.ProgressBar {
--- a/entry/command/load_test.go
+++ b/entry/command/load_test.go
@@ -20,6 +20,8 @@
 	return code, out.String(), errs.String()
 }
 
+// The load command must send its requests to all targets in equal numbers, and write its reports and
+// its chart.
 func TestLoadDrivesEntries(t *testing.T) {
 	config := dev.DefaultConfig()
 	config.Listen, config.OperatorListen = "127.0.0.1:0", "127.0.0.1:0"
--- a/entry/command/page_test.go
+++ b/entry/command/page_test.go
@@ -45,7 +45,8 @@
 	return all
 }
 
-// walkFields calls yield for each JSON field in a value that has no fields itself.
+// walkFields calls yield for each JSON field that is neither a struct nor a slice. It descends into
+// those and shows the elements of a slice as name[].
 func walkFields(path string, value reflect.Value, yield func(path string, value reflect.Value)) {
 	switch value.Kind() {
 	case reflect.Struct:
--- a/entry/command/quarantine_test.go
+++ b/entry/command/quarantine_test.go
@@ -20,6 +20,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
+// The list must report a row that names no request and still show the others.
 func TestQuarantineIsListedAndReleased(t *testing.T) {
 	standins, err := standin.Start("127.0.0.1:0", 0, 0)
 	require.NoError(t, err)
--- a/entry/command/serve_test.go
+++ b/entry/command/serve_test.go
@@ -189,6 +189,8 @@
 	require.Eventually(t, condition, time.Minute, 5*time.Millisecond)
 }
 
+// Entries and agents that run from settings files must serve models and plain services, and a
+// request that is in flight when all of them are signalled to stop must still be answered.
 func TestProcessesFromSettingsServeAndDrain(t *testing.T) {
 	f := newFleet(t)
 	entered, gate := make(chan struct{}), make(chan struct{})
--- a/entry/operator/documents_test.go
+++ b/entry/operator/documents_test.go
@@ -114,6 +114,8 @@
 
 func (s *stubDocumentsWithState) State() *documents.State { return s.state }
 
+// Operators decide by the answer whether to repeat a failed put: NotRun says that nothing was written,
+// Unknown that the document may have been stored. A failed put is not distributed.
 func TestFailedPutReportsWhetherAnythingWasWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		table     failingTable
--- a/entry/process/policies.go
+++ b/entry/process/policies.go
@@ -7,7 +7,7 @@
 	"acaciacleat.example/entry/fleet"
 )
 
-// naive is the name of the policy that ignores load, for plain services too.
+// naive is the name of the policy that ignores load. It applies to plain services too.
 const naive = "naive"
 
 // Policies returns the factory of the named routing policy; see routing.ByName for the names.
@@ -58,8 +58,8 @@
 // Finished implements routing.OutcomeObserver. It reports to both policies. An agent has only one
 // service, so the policy of the other kind either does not know it or never uses the report.
 func (b *byKind) Finished(agent string, failed bool, now time.Time) {
-	if learner, ok := b.models.(routing.OutcomeObserver); ok {
-		learner.Finished(agent, failed, now)
+	if observer, ok := b.models.(routing.OutcomeObserver); ok {
+		observer.Finished(agent, failed, now)
 	}
 	b.plain.Finished(agent, failed, now)
 }
--- a/entry/process/process.go
+++ b/entry/process/process.go
@@ -60,8 +60,7 @@
 	Weights weights.Store
 	// Placement are the intervals and rates of placement; zero means the defaults.
 	Placement placement.Settings
-	// Quarantine are the settings by which requests are held back under which upstreams crash;
-	// zero means the defaults.
+	// Quarantine sets when requests that crash upstreams are held back; zero means the defaults.
 	Quarantine corequarantine.Settings
 	Policies   fleet.PolicyFactory
 	Limits     front.Limits
@@ -92,7 +91,7 @@
 	Quota  *quota.Enforcer
 	// Placement is nil without a weight store.
 	Placement *placement.Manager
-	// Quarantine holds back requests under which upstreams crash.
+	// Quarantine holds back requests that crash upstreams.
 	Quarantine *quarantine.Keeper
 
 	readyOff time.Duration
@@ -171,9 +170,9 @@
 
 const (
 	// quarantineTable is the table of the requests that are held back.
-	// quarantineRereadInterval is the time between two reads of it; all entries together use a
-	// fiftieth of the table's reads for it.
-	quarantineTable          = "quarantine"
+	quarantineTable = "quarantine"
+	// quarantineRereadInterval is the time between two reads of quarantineTable. All entries
+	// together use a fiftieth of the table's reads for them.
 	quarantineRereadInterval = 10 * time.Second
 )
 
@@ -348,7 +347,8 @@
 }
 
 // limitsOf returns an organisation's limits in the documents in force. An organisation that is
-// not in them has no limits here: the requesting entry has checked it by its own documents.
+// not in them has no limits here, because the requesting entry has checked it against its own
+// documents.
 func (e *Entry) limitsOf(key limits.Key) *document.Limits {
 	if snapshot := e.snapshot(); snapshot != nil {
 		if organisation := snapshot.OrganisationIn(key.Service, key.Organisation); organisation != nil {
@@ -373,8 +373,8 @@
 func (e *Entry) Ready() bool { return e.Front.Ready() && !e.draining.Load() }
 
 // Drain stops the entry gracefully. It first reports "not ready" to the load balancer while it
-// still accepts requests; if it refused them at once, all requests would fail that arrive
-// before the load balancer's next check. Then it accepts no more requests and waits for those
+// still accepts requests; if it refused them at once, all requests that arrive before the load
+// balancer's next check would fail. Then it accepts no more requests and waits for those
 // in flight until ctx ends. Answers during the drain close their connections, so that no
 // caller sends its next request on a connection that ends with the process.
 func (e *Entry) Drain(ctx context.Context) {
