--- a/peers/link/auth.go
+++ b/peers/link/auth.go
@@ -54,18 +54,20 @@
 	return proof(k.pair.Load().current, label, peerNonce, ownNonce, self)
 }
 
-func (k *Keys) verify(mac []byte, label string, first, second []byte, peer *Identity) bool {
+func (k *Keys) verify(mac []byte, label string, ownNonce, peerNonce []byte, peer *Identity) bool {
 	pair := k.pair.Load()
-	if hmac.Equal(mac, proof(pair.current, label, first, second, peer)) {
+	if hmac.Equal(mac, proof(pair.current, label, ownNonce, peerNonce, peer)) {
 		return true
 	}
-	return pair.previous != nil && hmac.Equal(mac, proof(pair.previous, label, first, second, peer))
+	return pair.previous != nil && hmac.Equal(mac, proof(pair.previous, label, ownNonce, peerNonce, peer))
 }
 
-func proof(key []byte, label string, first, second []byte, identity *Identity) []byte {
+// proof returns the HMAC by which the process with the given identity proves to the verifier that it
+// holds the key.
+func proof(key []byte, label string, verifierNonce, proverNonce []byte, identity *Identity) []byte {
 	h := hmac.New(sha256.New, key)
 	var size [8]byte
-	for _, part := range [][]byte{[]byte(label), first, second, []byte(identity.VM), []byte(identity.Role), []byte(identity.Zone)} {
+	for _, part := range [][]byte{[]byte(label), verifierNonce, proverNonce, []byte(identity.VM), []byte(identity.Role), []byte(identity.Zone)} {
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		h.Write(size[:])
 		h.Write(part)
--- a/peers/link/codec.go
+++ b/peers/link/codec.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// encodeChunk and encodeAck encode the two messages that are sent for each token by hand, because
+// encodeChunk and encodeAck encode by hand the two messages that are sent for each token, because
 // this path must not allocate.
 func (w *frameWriter) encodeChunk(m *Chunk) error {
 	w.buf = append(w.buf, m.ID[:]...)
--- a/peers/link/conn.go
+++ b/peers/link/conn.go
@@ -46,9 +46,11 @@
 	// vm is the ID of the dialled VM, set once the link is in Node.byVM. Node.mu guards it.
 	vm string
 
-	mu          sync.Mutex
-	out         *frameWriter
-	spareBuf    []byte
+	mu  sync.Mutex
+	out *frameWriter
+	// spareBuf is the last written buffer, kept for reuse.
+	spareBuf []byte
+	// wakePending is set from the wake of the event loop until the loop flushes out.
 	wakePending bool
 	state       connState
 	reason      error
@@ -62,14 +64,17 @@
 	peer      Identity
 	createdAt time.Time
 
-	opened       chan struct{}
-	retained     atomic.Int64
-	lastReceived atomic.Int64
-	lastUsed     atomic.Int64
-	pingedAt     atomic.Int64
-	stamp        atomic.Int64
-	stampAt      atomic.Int64
-	pongs        pongWaiters
+	opened chan struct{}
+	// retained is the number of requests in flight on the link.
+	retained atomic.Int64
+	// The times are those of Node.sinceStart. pingedAt is zero if no ping is outstanding.
+	lastReceived    atomic.Int64
+	lastUsed        atomic.Int64
+	pingedAt        atomic.Int64
+	stampReceivedAt atomic.Int64
+	// stamp is the peer's latest clock stamp, in the peer's time.
+	stamp atomic.Int64
+	pongs pongWaiters
 }
 
 func newConn(node *Node, addr string, dialed bool) *Conn {
@@ -99,10 +104,10 @@
 // clock (Config.Stamp).
 func (c *Conn) Stamp() int64 { return c.stamp.Load() }
 
-// SetStamp records a clock stamp that a message carried. If a later stamp is known, SetStamp keeps
-// that one and records only that a stamp was received, which Refresh uses.
+// SetStamp records a clock stamp that a message carried, and the time of receipt for Refresh. An
+// earlier stamp than the known one does not replace it.
 func (c *Conn) SetStamp(stamp int64) {
-	c.stampAt.Store(c.node.sinceStart())
+	c.stampReceivedAt.Store(c.node.sinceStart())
 	for {
 		old := c.stamp.Load()
 		if stamp <= old || c.stamp.CompareAndSwap(old, stamp) {
@@ -125,7 +130,7 @@
 // a ping and waits for the answer. An agent refuses offers with an old stamp, and on an idle link the
 // last stamp may be a minute old.
 func (c *Conn) Refresh(ctx context.Context, maxAge time.Duration) error {
-	if time.Duration(c.node.sinceStart()-c.stampAt.Load()) <= maxAge {
+	if time.Duration(c.node.sinceStart()-c.stampReceivedAt.Load()) <= maxAge {
 		return nil
 	}
 	answered := c.pongs.wait()
@@ -170,8 +175,8 @@
 // called as often as Retain.
 func (c *Conn) Retain() {
 	if c.retained.Add(1) == 1 {
-		// An idle peer sends nothing, so Timing.Silence is counted from the time at which the link
-		// is first retained.
+		// A peer without requests sends nothing, so Timing.Silence is counted from the time at
+		// which the link gets a request again.
 		c.lastReceived.Store(c.node.sinceStart())
 		c.pingedAt.Store(0)
 	}
@@ -252,7 +257,7 @@
 // maxSpareBytes bounds the buffer that a link keeps for reuse after a write.
 const maxSpareBytes = 1 << 20
 
-// Close closes the link. The handler's OnClose receives the reason.
+// Close closes the link. If the link was open, the handler's OnClose receives the reason.
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	if c.state == stateClosed {
@@ -345,8 +350,8 @@
 	return c.state == stateOpen
 }
 
-// checkTimeouts closes the link if it is silent or idle, and sends heartbeats. The node's ticker
-// calls it.
+// checkTimeouts closes the link if its handshake takes too long, if the peer is silent or, at the
+// dialler, if the link is idle. It also sends heartbeats. The node's ticker calls it.
 func (c *Conn) checkTimeouts(now int64) {
 	if !c.isOpen() {
 		if time.Since(c.createdAt) > c.node.timing.Handshake {
@@ -370,10 +375,10 @@
 	}
 }
 
-// checkUnretained closes a link without requests if it is idle, or if the peer is silent although
-// messages are sent on it. Such a link has no regular heartbeats and load digests are not answered.
-// Without a ping once per Timing.Idle, digests would be sent to an unreachable peer until TCP gives
-// up, and the link would not be dialled again.
+// checkUnretained closes a dialled link without requests if it is unused for Timing.Idle. If nothing
+// is received for Timing.Idle, it sends a ping, and closes the link if the pong does not arrive within
+// Timing.Silence. The peer does not answer load digests: without the ping, digests would be sent to an
+// unreachable peer until TCP gives up, and the link would not be dialled again.
 func (c *Conn) checkUnretained(now int64) {
 	if now-c.lastUsed.Load() > int64(c.node.timing.Idle) {
 		c.Close(ErrIdle)
--- a/peers/link/control_message.go
+++ b/peers/link/control_message.go
@@ -132,9 +132,9 @@
 	Version  string
 	Adapters []string
 	Role     string
-	// Reported is set if the engine has reported its state since the agent started; otherwise the
-	// fields above are empty and have no meaning. EngineDown is set if it currently does not
-	// report.
+	// Reported is set if the engine has reported its state since the agent started; otherwise Model,
+	// Version, Adapters and Role are empty and have no meaning. EngineDown is set if the engine
+	// currently does not report.
 	Reported   bool
 	EngineDown bool
 	// Requests, ErrorRate (0 to 1) and FirstTokenMs, the mean time to first token in milliseconds,
@@ -175,7 +175,7 @@
 // reports.
 type DispatchUpdate struct {
 	// Origin is the incarnation of the entry that the message is from. If the message was
-	// forwarded, it differs from the sender's.
+	// forwarded, Origin differs from the incarnation of the sender.
 	Origin call.Incarnation
 	// Forward asks the receiver to forward the message to the entries of its availability zone.
 	Forward bool
@@ -240,13 +240,14 @@
 	// Omitted is set if the routing table has changed but is too large for this message; see
 	// OmitRoutes.
 	Omitted bool
-	// ReadFailed is set if the sender could not read the feed, and Recovered if it could now but
-	// not the time before.
+	// ReadFailed is set if the sender's last read of the feed failed. Recovered is set if its last
+	// read succeeded and the one before failed.
 	ReadFailed bool
 	Recovered  bool
 }
 
-// OmitRoutes replaces the routing table by its version, which is zero if it is unknown.
+// OmitRoutes removes the routing table and puts its version in its place. A version of zero means that
+// the version is unknown; Routes is then empty.
 func (u *FeedUpdate) OmitRoutes(version uint64) {
 	u.Omitted, u.Routes = true, nil
 	if version > 0 {
--- a/peers/link/message.go
+++ b/peers/link/message.go
@@ -81,9 +81,11 @@
 	Service      string
 	Model        string
 	Organisation string
-	Plain        bool
-	Chat         bool
-	Repeatable   bool
+	// Plain is set for a call of a plain service, Chat for a chat completion, and Repeatable if the
+	// call may run more than once.
+	Plain      bool
+	Chat       bool
+	Repeatable bool
 	// TimeLeftMs is the time until the deadline, in milliseconds.
 	TimeLeftMs   int64
 	PromptTokens int
--- a/peers/link/node.go
+++ b/peers/link/node.go
@@ -16,7 +16,7 @@
 
 // Handler handles the events of a node's links. Its methods run on event loops and must not block.
 // A Chunk or an Ack is valid only during the call, because the link reuses it for the next one.
-// Other messages may be retained.
+// The handler may keep other messages.
 type Handler interface {
 	// OnOpen is called when a link's handshake has completed, before any OnMessage for the link.
 	OnOpen(c *Conn)
