--- a/peers/documents/documents.go
+++ b/peers/documents/documents.go
@@ -31,7 +31,7 @@
 	// example after a restore from a backup. Nothing is written in this case.
 	ErrReverted = errors.New("documents: table's revision went back")
 	// ErrBusy means that each attempt of a put conflicted with a change to another service, or that
-	// the change log was compacted during each attempt of a load. Nothing was written.
+	// changes written during each attempt of a load made it fail; see maxLoadAttempts. Nothing was written.
 	ErrBusy = errors.New("documents: too many concurrent changes")
 	// ErrNoState means that neither the table, the object store nor a peer returned a state.
 	ErrNoState = errors.New("documents: no state found")
@@ -114,7 +114,7 @@
 	Objects objects.Store
 	// Token returns a client token that is unique across all calls and processes.
 	Token func() string
-	// Now is the wall clock. Its times are shown in the history and not used otherwise.
+	// Now is the wall clock. Its times are only shown in the history.
 	Now func() time.Time
 	// CallTimeout bounds each call to the table; the default is DefaultCallTimeout.
 	CallTimeout time.Duration
--- a/peers/documents/documents_test.go
+++ b/peers/documents/documents_test.go
@@ -13,6 +13,8 @@
 	"pgregory.net/rapid"
 )
 
+// The state must be the same whether it is loaded from the rows or built from the change log, and a
+// change must write only the rows that it changes.
 func TestPutLoadChangesHistory(t *testing.T) {
 	ctx := context.Background()
 	f := newFakeTable()
--- a/peers/documents/fake_test.go
+++ b/peers/documents/fake_test.go
@@ -101,6 +101,7 @@
 	return nil
 }
 
+// tokens is the number of tokens issued so far; it makes each token unique.
 var tokens int
 
 // newStore returns a store that resolves an unknown outcome in at most five attempts.
--- a/peers/documents/load.go
+++ b/peers/documents/load.go
@@ -14,7 +14,7 @@
 
 // maxLoadAttempts bounds the attempts of a load that fails because the documents changed meanwhile: the
 // change log was compacted (ErrCompacted), or a change belongs to a service whose header the load did
-// not read (document.ErrNoHeader).
+// not read (document.ErrUnknownService).
 const maxLoadAttempts = 3
 
 // head returns the newest revision and the version of the row that holds it.
--- a/peers/documents/put.go
+++ b/peers/documents/put.go
@@ -22,9 +22,10 @@
 // loop.
 const maxPutAttempts = 8
 
-// Put stores a document and returns the revision of the change. If the stored document does not match
-// ifMatch, it returns the conflict instead. A put of a document that equals the stored one succeeds
-// and creates no revision, so that an operator may safely repeat a put. The store retains the
+// Put stores a document and returns the revision of the change. A put of a document that equals the
+// stored one succeeds, whatever ifMatch is, and creates no revision, so that an operator may safely
+// repeat a put. Otherwise, if the stored document does not match ifMatch, Put returns the conflict and
+// writes nothing. The store retains the
 // document, which must not be modified afterwards. The context must have a deadline: until it ends,
 // Put retries to resolve an unknown outcome.
 //
@@ -104,9 +105,9 @@
 //
 // If a commit is applied and its response is lost, a second commit with a new token would conflict
 // with the first on the head row, or create a second revision. Therefore all attempts use the same
-// token, and the change log's row for the revision is read, which contains the token of the put that
-// created the revision. Once any put has created it, a delayed copy of this commit can't be applied
-// any more, because its condition on the head row no longer holds.
+// token. After a lost response, commitResolved reads the change log's row for the revision, which
+// contains the token of the put that created the revision. Once the revision exists, a delayed copy of
+// this commit can't be applied any more, because its condition on the head row no longer holds.
 func (s *Store) commitResolved(ctx context.Context, tx table.Tx, change Change) error {
 	maybeWritten := false
 	attempt := func() (struct{}, error) {
--- a/peers/documents/rows.go
+++ b/peers/documents/rows.go
@@ -21,8 +21,8 @@
 	changePrefix       = "change/"
 )
 
-// LogLength is the number of revisions in the change log. Each put deletes the row that exceeds it, so
-// the log needs no separate compaction. A node that is further behind loads the whole state. 1,024
+// LogLength is the number of revisions in the change log. Each put deletes the oldest row of a full log,
+// so the log needs no separate compaction. A node that is further behind loads the whole state. 1,024
 // revisions cover a day at one change every minute and a half.
 const LogLength = 1024
 
@@ -49,7 +49,8 @@
 // Change is one row of the change log.
 type Change struct {
 	Revision document.Revision `json:"revision"`
-	// Token is the client token of the put, by which its writer identifies it.
+	// Token is the client token of the put. After a lost response, the writer compares it with its own
+	// to learn whether its put created the revision.
 	Token   string    `json:"token"`
 	Service string    `json:"service"`
 	At      time.Time `json:"at"`
--- a/peers/table/contract_test.go
+++ b/peers/table/contract_test.go
@@ -14,6 +14,7 @@
 	"acaciacleat.example/standin/platform"
 )
 
+// unusedRate is the transfer rate of the platform's weight store, which these tests don't use.
 const unusedRate = 1
 
 // forEachStore runs a test against each implementation of table.Store.
--- a/peers/table/leaserow/leaserow.go
+++ b/peers/table/leaserow/leaserow.go
@@ -119,6 +119,8 @@
 	r.machine.HandleWrite(r.reading(), writeOutcome(err), version)
 }
 
+// reading reads both clocks. Round(0) strips the monotonic reading, so that the difference is that of
+// the wall clock.
 func (r *Runner) reading() lease.Reading {
 	now := time.Now()
 	return lease.Reading{Mono: now.Sub(r.started), Wall: now.Round(0).Sub(r.started.Round(0))}
--- a/peers/table/leaserow/leaserow_test.go
+++ b/peers/table/leaserow/leaserow_test.go
@@ -25,7 +25,9 @@
 // the other must take over within two poll intervals.
 func TestTwoRunnersUnderFaults(t *testing.T) {
 	cases := []struct {
-		fault           faults.Fault
+		fault faults.Fault
+		// heldDuringFault is set if calls succeed in spite of the fault, so that a process holds the
+		// lease.
 		heldDuringFault bool
 	}{
 		{faults.Fault{Kind: faults.Outage}, false},
@@ -47,6 +49,8 @@
 					running.Go(func() { runner.Run(ctx) })
 					runners[i], stops[i] = runner, stop
 				}
+				// watch checks for d that at most one process holds the lease. It returns the last
+				// holder's index, or -1 if there was none, and the grant.
 				watch := func(d time.Duration) (holder int, held lease.Grant) {
 					for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(settings.RetryEvery / 5) {
 						synctest.Wait()
