--- a/peers/engine/http.go
+++ b/peers/engine/http.go
@@ -228,9 +228,9 @@
 	return h.control(ctx, http.MethodPost, path, data, nil)
 }
 
-// control makes one control call. Every control call is idempotent. A nil Idempotency-Key,
-// which net/http does not send, marks it as such for the transport, which may then resend
-// it if the engine had just closed the pooled connection.
+// control makes one control call. Every control call is idempotent, so the transport may resend
+// it if the engine had just closed the pooled connection. The nil Idempotency-Key tells the
+// transport so; net/http does not send a nil header.
 func (h *HTTP) control(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, connected := traceConnection(ctx)
 	r, err := http.NewRequestWithContext(ctx, method, h.base+path, bytes.NewReader(body))
--- a/peers/engine/http_test.go
+++ b/peers/engine/http_test.go
@@ -149,6 +149,8 @@
 	}
 }
 
+// Checks that ErrNotStarted is returned only if the engine certainly did not accept the
+// request. Otherwise the caller could run a request twice.
 func TestGenerateErrors(t *testing.T) {
 	unreachable := httptest.NewServer(http.NotFoundHandler())
 	unreachable.Close()
--- a/peers/engine/protocol.go
+++ b/peers/engine/protocol.go
@@ -79,7 +79,7 @@
 	Error  *ErrorDetail `json:"error,omitempty"`
 }
 
-// Choice is the only alternative of a chunk.
+// Choice is the part of one alternative answer in a chunk. The client reads only the first.
 type Choice struct {
 	Index        int        `json:"index"`
 	Text         string     `json:"text,omitempty"`
--- a/peers/httpjson/httpjson.go
+++ b/peers/httpjson/httpjson.go
@@ -116,9 +116,9 @@
 //
 // Do sends a request once. The transport may resend a GET; it resends any other request only
 // if no byte of it was written. No request has an Idempotency-Key header, with which the
-// transport would also resend a POST whose bytes had been sent. If the dial for the resend
-// then failed, the error would mean "not sent" although the service may have executed the
-// first copy.
+// transport would also resend a POST whose bytes had been sent, and the service could execute
+// it twice. If the dial for a resend fails, its error alone would suggest that nothing was
+// sent. Failure.Sent is therefore true once the call has had any connection.
 func (c *Client) Do(ctx context.Context, request Request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.MaxDuration)
 	defer cancel()
@@ -210,7 +210,8 @@
 	return body, answer.StatusCode, nil
 }
 
-// replaceHTTPClientAfterTimeout replaces the pool if its call timed out. Open connections can stop
+// replaceHTTPClientAfterTimeout replaces the HTTP client, and with it the pool of connections, if
+// the call whose context is ctx timed out. Open connections can stop
 // delivering bytes for good while new ones work, and a call would have to time out on each
 // of them. With a new pool the next call dials. Calls in progress finish on the old pool.
 func (c *Client) replaceHTTPClientAfterTimeout(ctx context.Context, httpClient *http.Client) {
--- a/peers/service/http.go
+++ b/peers/service/http.go
@@ -63,11 +63,11 @@
 
 // HTTP is a client of a service over HTTP/1.1.
 //
-// It never sends a call twice. net/http's transport resends a request when a kept-alive
+// It never sends a call twice unless the call may be repeated. net/http's transport resends a request when a kept-alive
 // connection breaks before the answer and the request looks idempotent: its method is
 // GET, HEAD, OPTIONS or TRACE, or it has an Idempotency-Key or X-Idempotency-Key
-// header. As the service may have run the first copy, a call could then run twice. Possible
-// ways to prevent the resend:
+// header. As the service may have run the first copy, a call could then run twice. The
+// client prevents the resend by one of two means, which Call.Reuse and the method select:
 //
 //   - A body that can't be rewound: the transport resends only requests without a body or
 //     with GetBody. This works on every connection, but the empty body of a POST must then
@@ -75,10 +75,12 @@
 //   - A new connection for each call: the transport resends only on reused connections.
 //     This costs a dial, but also avoids unknown outcomes: when a service closes an idle
 //     connection while a call is written to it, it is unknown whether the call ran.
-//   - Removing the headers: the services need them, and a GET is resent anyway.
+//
+// Removing the headers would not help: the services need them, and a GET is resent anyway.
 //
 // Calls other than GET and HEAD use a new connection by default. GET and HEAD use pooled
 // connections and a body that can't be rewound, which the transport omits if it is empty.
+// Only a call with ReuseAlways and an empty body, which may be repeated, can be resent.
 // Redirects are returned to the caller, as following one would be a second call.
 type HTTP struct {
 	base     string
--- a/peers/service/service.go
+++ b/peers/service/service.go
@@ -1,6 +1,7 @@
 // Package service defines the interface of a plain service, an upstream that answers HTTP
 // requests, and implements a client over HTTP. The agent beside a plain service uses it, and
-// entries use it for upstreams without an agent. The client never resends a call by itself.
+// entries use it for upstreams without an agent. The client resends no call that may not be
+// repeated; see HTTP.
 package service
 
 import (
