--- a/peers/caller/request.go
+++ b/peers/caller/request.go
@@ -45,7 +45,8 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Parse decodes a request body. Its errors have the execution NotRun and name the field.
+// Parse decodes a request body. Its errors have the execution NotRun and, unless the JSON is
+// malformed, name the field.
 func Parse(body []byte, chat bool) (*Generation, *result.Error) {
 	var b generationBody
 	if err := json.Unmarshal(body, &b); err != nil {
@@ -119,7 +120,8 @@
 }
 
 // isEmpty reports whether a field is absent, null, an empty string, an empty list or a list
-// with one empty string.
+// with one empty string. A value of more than 16 bytes counts as not empty, so that a long
+// prompt is not scanned.
 func isEmpty(raw json.RawMessage) bool {
 	var compact bytes.Buffer
 	if len(raw) > 16 {
--- a/peers/commandline/check.go
+++ b/peers/commandline/check.go
@@ -25,7 +25,7 @@
 	} `positional-args:"true"`
 
 	documents []*document.Service
-	// crossFaults is the number of faults found between the documents checked so far.
+	// crossFaults is the number of conflicts among the documents checked so far.
 	crossFaults int
 }
 
--- a/peers/reload/reload.go
+++ b/peers/reload/reload.go
@@ -61,9 +61,9 @@
 	return contents
 }
 
-// Watch checks the files until ctx ends and logs reloads and failures. what is the name of
-// the files in the log.
-func (f *Files) Watch(ctx context.Context, what string, log zerolog.Logger) {
+// Watch checks the files until ctx ends and logs reloads and failures. The log messages refer
+// to the files by description.
+func (f *Files) Watch(ctx context.Context, description string, log zerolog.Logger) {
 	if len(f.names) == 0 {
 		return
 	}
@@ -78,9 +78,9 @@
 		changed, err := f.Check()
 		switch {
 		case err != nil:
-			log.Error().Err(err).Msgf("changed %s could not be read; the last one stays in use", what)
+			log.Error().Err(err).Msgf("changed %s could not be read; the last one stays in use", description)
 		case changed:
-			log.Info().Msgf("%s reloaded after a change", what)
+			log.Info().Msgf("%s reloaded after a change", description)
 		}
 	}
 }
--- a/peers/settings/load.go
+++ b/peers/settings/load.go
@@ -44,8 +44,8 @@
 	return value, nil
 }
 
-// minKeyBytes is the minimum length of a link key, which equals the length of the hash that
-// authenticates with it.
+// minKeyBytes is the minimum length of a link key: the output length of HMAC-SHA256, with
+// which links authenticate.
 const minKeyBytes = 32
 
 // Load returns the secret, or nil if neither field is set. Its errors name the file or the
@@ -98,8 +98,8 @@
 	return httpjson.Options{Timeout: Milliseconds(p.TimeoutMs)}
 }
 
-// OpenTable returns a client of the table service. It determines the outcome of calls whose
-// answer was lost, and a circuit breaker stops its calls during an outage.
+// OpenTable returns a client of the table service. The client resolves the outcome of commits
+// whose answer was lost, and circuit breakers limit its calls during an outage.
 func (p Platform) OpenTable() table.Store {
 	http := table.NewHTTP(p.Table, p.HTTPOptions())
 	return table.NewResolvingStore(table.NewBreakerStore(http, breaker.DefaultSettings))
