--- a/peers/documents/documents.go
+++ b/peers/documents/documents.go
@@ -31,7 +31,8 @@
 	// example after a restore from a backup. Nothing is written in this case.
 	ErrReverted = errors.New("documents: table's revision went back")
 	// ErrBusy means that each attempt of a put conflicted with a change to another service, or that
-	// changes written during each attempt of a load made it fail; see maxLoadAttempts. Nothing was written.
+	// changes written during each attempt of a load made it fail; see maxLoadAttempts. Nothing was
+	// written.
 	ErrBusy = errors.New("documents: too many concurrent changes")
 	// ErrNoState means that neither the table, the object store nor a peer returned a state.
 	ErrNoState = errors.New("documents: no state found")
--- a/peers/documents/put.go
+++ b/peers/documents/put.go
@@ -24,10 +24,9 @@
 
 // Put stores a document and returns the revision of the change. A put of a document that equals the
 // stored one succeeds, whatever ifMatch is, and creates no revision, so that an operator may safely
-// repeat a put. Otherwise, if the stored document does not match ifMatch, Put returns the conflict and
-// writes nothing. The store retains the
-// document, which must not be modified afterwards. The context must have a deadline: until it ends,
-// Put retries to resolve an unknown outcome.
+// repeat a put. Otherwise, if the stored document does not match ifMatch, Put returns the conflict
+// and writes nothing. The store retains the document, which must not be modified afterwards. The
+// context must have a deadline: until it ends, Put retries to resolve an unknown outcome.
 //
 // Errors: *InvalidError; ErrBusy, ErrReverted and table.ErrUnavailable, which prove that nothing was
 // written; table.ErrUnknownOutcome if a response was lost and the outcome could not be resolved before
--- a/peers/documents/rows.go
+++ b/peers/documents/rows.go
@@ -21,9 +21,9 @@
 	changePrefix       = "change/"
 )
 
-// LogLength is the number of revisions in the change log. Each put deletes the oldest row of a full log,
-// so the log needs no separate compaction. A node that is further behind loads the whole state. 1,024
-// revisions cover a day at one change every minute and a half.
+// LogLength is the number of revisions in the change log. Each put deletes the oldest row of a full
+// log, so the log needs no separate compaction. A node that is further behind loads the whole state.
+// 1,024 revisions cover a day at one change every minute and a half.
 const LogLength = 1024
 
 // maxUpdateBytes bounds the size of an update in the change log. After a larger update, such as
--- a/peers/httpjson/httpjson.go
+++ b/peers/httpjson/httpjson.go
@@ -210,8 +210,8 @@
 	return body, answer.StatusCode, nil
 }
 
-// replaceHTTPClientAfterTimeout replaces the HTTP client, and with it the pool of connections, if
-// the call whose context is ctx timed out. Open connections can stop
+// replaceHTTPClientAfterTimeout replaces the HTTP client, and with it the pool of
+// connections, if the call whose context is ctx timed out. Open connections can stop
 // delivering bytes for good while new ones work, and a call would have to time out on each
 // of them. With a new pool the next call dials. Calls in progress finish on the old pool.
 func (c *Client) replaceHTTPClientAfterTimeout(ctx context.Context, httpClient *http.Client) {
--- a/peers/link/conn.go
+++ b/peers/link/conn.go
@@ -67,14 +67,15 @@
 	opened chan struct{}
 	// retained is the number of requests in flight on the link.
 	retained atomic.Int64
-	// The times are those of Node.sinceStart. pingedAt is zero if no ping is outstanding.
-	lastReceived    atomic.Int64
-	lastUsed        atomic.Int64
-	pingedAt        atomic.Int64
+	// Times are those of Node.sinceStart. pingedAt is zero if no ping is outstanding.
+	lastReceived atomic.Int64
+	lastUsed     atomic.Int64
+	pingedAt     atomic.Int64
+	// stamp is the peer's latest clock stamp, in the peer's time, and stampReceivedAt the time at
+	// which a stamp was last received.
+	stamp           atomic.Int64
 	stampReceivedAt atomic.Int64
-	// stamp is the peer's latest clock stamp, in the peer's time.
-	stamp atomic.Int64
-	pongs pongWaiters
+	pongs           pongWaiters
 }
 
 func newConn(node *Node, addr string, dialed bool) *Conn {
--- a/peers/service/http.go
+++ b/peers/service/http.go
@@ -63,11 +63,12 @@
 
 // HTTP is a client of a service over HTTP/1.1.
 //
-// It never sends a call twice unless the call may be repeated. net/http's transport resends a request when a kept-alive
-// connection breaks before the answer and the request looks idempotent: its method is
-// GET, HEAD, OPTIONS or TRACE, or it has an Idempotency-Key or X-Idempotency-Key
-// header. As the service may have run the first copy, a call could then run twice. The
-// client prevents the resend by one of two means, which Call.Reuse and the method select:
+// It never sends a call twice unless the call may be repeated. net/http's transport resends
+// a request when a kept-alive connection breaks before the answer and the request looks
+// idempotent: its method is GET, HEAD, OPTIONS or TRACE, or it has an Idempotency-Key or
+// X-Idempotency-Key header. As the service may have run the first copy, a call could then
+// run twice. The client prevents the resend by one of two means, which Call.Reuse and the
+// method select:
 //
 //   - A body that can't be rewound: the transport resends only requests without a body or
 //     with GetBody. This works on every connection, but the empty body of a POST must then
--- a/peers/table/table.go
+++ b/peers/table/table.go
@@ -16,7 +16,7 @@
 	ErrNotFound = errors.New("table: row not found")
 	// ErrConflict means that a condition did not hold; nothing was written.
 	ErrConflict = errors.New("table: condition failed")
-	// ErrUnavailable means that a read failed, or that a commit failed and certainly wrote nothing.
+	// ErrUnavailable means that a read got no result, or that a commit was certainly not applied.
 	ErrUnavailable = errors.New("table: service unavailable")
 	// ErrUnknownOutcome means that the response was lost: the commit may have been applied.
 	ErrUnknownOutcome = errors.New("table: outcome unknown")
