--- a/agent/orders/orders.go
+++ b/agent/orders/orders.go
@@ -132,6 +132,7 @@
 	return x.guard.Check(orderFence)
 }
 
+// start starts an order whose fencing number and age were checked, unless another one runs.
 func (x *Executor) start(order *link.Order) error {
 	requested := toEngine(order)
 	x.mu.Lock()
--- a/agent/orders/orders_test.go
+++ b/agent/orders/orders_test.go
@@ -33,8 +33,9 @@
 
 var errTableDown = errors.New("table down")
 
-// Each case is an agent that has just started, the fencing number in the lease's row and the
-// orders that reach the agent.
+// Guards against executing a delayed order or one of a former lease holder, and against refusing
+// or repeating one of the holder. Each case has an agent that has just started, the fencing number
+// in the lease's row and the orders that reach the agent.
 func TestOrdersAreExecutedOrRefused(t *testing.T) {
 	load := func(version string, fence uint64) *link.Order {
 		return &link.Order{Kind: "load-model", Model: "m", Version: version, Fence: fence, StartWithinMs: 15_000, CompleteWithinMs: 600_000}
--- a/agent/orders/status.go
+++ b/agent/orders/status.go
@@ -75,6 +75,7 @@
 	b.requests++
 }
 
+// bucket returns the bucket of the current minute, emptied if it held an older one.
 func (s *engineStats) bucket(now time.Time) *bucket {
 	minute := now.UnixNano() / int64(bucketLength)
 	at := &s.buckets[minute%bucketCount]
@@ -104,6 +105,8 @@
 	return status
 }
 
+// down reports whether the engine has given no report for engineDownTimeout, counted from its
+// last report or, without one, from the first poll.
 func (s *engineStats) down(now time.Time) bool {
 	since := s.reportedAt
 	if since.IsZero() {
--- a/agent/serve/serve.go
+++ b/agent/serve/serve.go
@@ -88,7 +88,8 @@
 }
 
 // newQueue returns the queue for the upstream's kind. Calls of plain services have no prompt
-// lengths, so they are served in the order of arrival.
+// lengths, so they are served in the order of arrival. An engine's queue has default settings
+// until the server knows the service's objective and the engine's capacity.
 func newQueue(s *settings.Settings) scheduling.Queue {
 	if s.Upstream.Kind != settings.KindEngine {
 		return scheduling.NewFIFO(s.Limits.Queue)
--- a/agent/server/call.go
+++ b/agent/server/call.go
@@ -16,14 +16,15 @@
 type phase uint8
 
 const (
-	phaseBody phase = iota
-	phaseQueued
-	phaseRunning
-	phaseEnded
+	phaseBody    phase = iota // the body is being received
+	phaseQueued               // waiting in the queue or for its group's memory
+	phaseRunning              // running at the upstream
+	phaseEnded                // refused, cancelled before its start, or ended at the upstream
 )
 
-// liveCall is one accepted call. Server.mu guards the call's phase and the fields that say so.
-// mu guards the fields after it: the answer, its subscribers and the reason of a cancellation.
+// liveCall is one accepted call. Server.mu guards the phase and the fields whose comments name
+// it. mu guards the fields declared after it: the answer, its subscribers and the reason for a
+// cancellation.
 type liveCall struct {
 	offer         link.Offer
 	demand        call.TokenDemand
@@ -40,19 +41,23 @@
 	priority      int
 	// prefilling is set from the start to the first token. It is guarded by Server.mu.
 	prefilling bool
-	// retainUntil is how long an ended call is kept for entries that read slowly. It is
-	// guarded by Server.mu.
+	// retainUntil is the time until which an ended call is kept for entries that read slowly.
+	// It is guarded by Server.mu.
 	retainUntil time.Time
 	// memberURLs lists the base URLs of the other engines that hold part of the call's memory.
 	memberURLs []string
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// bufferSpace is signalled when a subscriber may have buffer space again, and when the call
+	// is cancelled.
 	bufferSpace *sync.Cond
 	subscribers []*subscriber
 	head        *link.Head
 	end         *link.End
 	replay      replayBuffer
-	chunk       link.Chunk
+	// chunk is the message that sendFrame reuses for every frame.
+	chunk link.Chunk
+	// seq is the sequence number of the last frame.
 	seq         uint64
 	cancelError *result.Error
 }
@@ -107,8 +112,9 @@
 	return l.cancelError
 }
 
-// attach sends the acceptance messages and then the answer from its beginning to an entry. It
-// returns false, with nothing sent, if the beginning of the answer is no longer available.
+// attach makes an entry a subscriber: it sends the entry the acceptance messages and then the
+// answer from its first frame. It returns false, with nothing sent, if the first frames are no
+// longer available.
 func (l *liveCall) attach(c *link.Conn, streamBytes int, acceptance []link.Message) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,6 +159,8 @@
 	return true
 }
 
+// reattach continues a subscriber's answer at sequence number next over a link, and takes the
+// frames before next as acknowledged. It is called with mu held.
 func (l *liveCall) reattach(sub *subscriber, c *link.Conn, next uint64) {
 	if sub.conn != c {
 		sub.conn.Release()
@@ -172,6 +180,8 @@
 	l.bufferSpace.Broadcast()
 }
 
+// subscriberFor returns the subscriber of the entry at the other end of a link, or nil. It is
+// called with mu held.
 func (l *liveCall) subscriberFor(c *link.Conn) *subscriber {
 	peer := c.Peer()
 	for _, sub := range l.subscribers {
@@ -259,6 +269,8 @@
 	}
 }
 
+// hasRoom reports whether every subscriber's buffer has room for n more bytes. It is called
+// with mu held.
 func (l *liveCall) hasRoom(n int) bool {
 	for _, sub := range l.subscribers {
 		if !sub.sender.HasRoom(n) {
@@ -268,6 +280,7 @@
 	return true
 }
 
+// add appends a frame, or discards the whole answer once it exceeds maxBytes.
 func (b *replayBuffer) add(frame stream.Frame, maxBytes int) {
 	b.bytes += len(frame.Data)
 	if b.overflowed || b.bytes > maxBytes {
--- a/agent/server/crash_test.go
+++ b/agent/server/crash_test.go
@@ -10,7 +10,7 @@
 )
 
 // Calls that one crash breaks get the same crash number, and another crash gets another
-// number.
+// number. Entries would otherwise take one crash for several, or two for one.
 func TestCallsFailedByOneCrashShareItsNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var detector crashDetector
--- a/agent/server/group.go
+++ b/agent/server/group.go
@@ -39,8 +39,8 @@
 type groupCall struct {
 	server *Server
 	call   *liveCall
-	// reservationAttempt is the number of the current attempt to reserve memory. Numbers are not
-	// repeated over all offers of the call; see attemptStride.
+	// reservationAttempt is the number of the current attempt to reserve memory. It is unique
+	// across all offers of the call; see attemptStride.
 	reservationAttempt call.Attempt
 	// addresses and upstreams map an agent to its address for links and to the base URL of its
 	// engine.
@@ -63,7 +63,8 @@
 // each has one request outstanding at a time.
 const groupEventBuffer = 64
 
-// runGroup reserves memory at a group of engines, runs the call and releases the memory.
+// runGroup reserves memory at a group of engines, runs the call and releases the memory. It
+// repeats a failed reservation until the call's deadline.
 func (s *Server) runGroup(l *liveCall) {
 	g := &groupCall{
 		server:             s,
@@ -93,8 +94,8 @@
 	}
 }
 
-// attemptStride is the distance between the first attempt numbers of two offers, so that the
-// attempts of one offer have distinct numbers.
+// attemptStride is the distance between the first reservation attempts of two successive offers
+// of a call. It keeps the numbers of one offer's attempts apart from those of the next offer.
 const attemptStride = 1000
 
 // awaitRetry waits before the next attempt. If there is no time left for one, it refuses the
@@ -121,7 +122,8 @@
 	return false
 }
 
-// gather reserves memory at all members, all or nothing.
+// gather makes one attempt to reserve memory at all members. If one of them fails, none keeps its
+// reservation.
 func (g *groupCall) gather() *reservation.Group {
 	deadline := time.Now().Add(gatherTimeout)
 	if g.call.deadline.Before(deadline) {
@@ -144,6 +146,8 @@
 	return group
 }
 
+// handleEvent passes an event to the group and returns the group's next actions. It ignores
+// answers to earlier attempts.
 func (g *groupCall) handleEvent(group *reservation.Group, e groupEvent) []reservation.Action {
 	if e.lost {
 		return group.MemberLost(e.agent)
@@ -179,6 +183,7 @@
 	return members
 }
 
+// perform performs actions at this agent and starts to perform those at other agents.
 func (g *groupCall) perform(actions []reservation.Action) {
 	for _, action := range actions {
 		if action.Agent == g.server.config.VM {
--- a/agent/server/hold.go
+++ b/agent/server/hold.go
@@ -55,8 +55,9 @@
 	s.startQueued()
 }
 
-// enqueueReservation queues a group reservation and replaces an earlier one of the same call.
-// It is called with mu held.
+// enqueueReservation queues a group reservation and replaces an earlier one of the same call. It
+// answers false if the agent is leaving, the engine's whole memory is too small or the queue is
+// full. It is called with mu held.
 func (s *Server) enqueueReservation(p *pendingReservation, organisation string, promptTokens int, now time.Time) {
 	if s.leaving || p.tokens > s.memory.Capacity() {
 		p.answer(false)
@@ -85,8 +86,8 @@
 func (s *Server) grantReservation(p *pendingReservation, now time.Time) {
 	delete(s.pendingReservations, p.id)
 	// The queue counts the prompts of the items that it pops as outstanding prefill in this
-	// engine. The prompt of a group is prefilled by the leader's engine; if it stayed counted
-	// here, no item behind it would ever start.
+	// engine. The prompt of a group is prefilled by the leader's engine, so setRunningInQueue
+	// discards that count. If the count stayed, no item behind this one would ever start.
 	s.setRunningInQueue()
 	err := s.memory.Reserve(reservation.Reservation{
 		ID:       p.id,
@@ -108,7 +109,7 @@
 }
 
 // reserveAtEngine reserves the memory at the engine as well, at most until shortly after the
-// request's deadline.
+// request's deadline, and answers the leader.
 func (s *Server) reserveAtEngine(p *pendingReservation) {
 	ctx, cancel := context.WithTimeout(context.Background(), memoryRequestTimeout)
 	defer cancel()
@@ -123,8 +124,8 @@
 // onRelease releases a group's reservation.
 func (s *Server) onRelease(m *link.Release) { s.releaseReservation(m.ID, m.Attempt) }
 
-// releaseReservation removes a group reservation from the queue or, if it was granted, from this
-// agent's memory and the engine.
+// releaseReservation removes a group reservation of the given or an earlier attempt from the
+// queue or, if it was granted, from this agent's memory and the engine.
 func (s *Server) releaseReservation(id call.ID, attempt call.Attempt) {
 	s.mu.Lock()
 	if p := s.pendingReservations[id]; p != nil && p.attempt <= attempt {
--- a/agent/server/load.go
+++ b/agent/server/load.go
@@ -13,11 +13,14 @@
 	load routing.Load
 }
 
+// addQueued counts a call that enters the queue, with sign 1, or leaves it, with sign -1.
 func (c *loadCounters) addQueued(demand call.TokenDemand, sign int64) {
 	c.load.QueuedPrompt[call.ClassOf(demand.PromptTokens)] += sign * int64(demand.PromptTokens)
 	c.load.QueuedCalls += int32(sign)
 }
 
+// addRunning adds a call's prompt to the prompts in prefill, with sign 1, or removes it, with
+// sign -1.
 func (c *loadCounters) addRunning(demand call.TokenDemand, sign int64) {
 	c.load.RunningPrompt[call.ClassOf(demand.PromptTokens)] += sign * int64(demand.PromptTokens)
 }
@@ -29,6 +32,8 @@
 // count as a sample of the prefill rate.
 const minRatePromptTokens = 2000
 
+// recordPrefill adds a sample to the moving average of the prefill rate. It ignores short
+// prompts.
 func (c *loadCounters) recordPrefill(demand call.TokenDemand, took time.Duration) {
 	if demand.PromptTokens < minRatePromptTokens || took <= 0 {
 		return
--- a/agent/server/load_exchange.go
+++ b/agent/server/load_exchange.go
@@ -22,8 +22,8 @@
 )
 
 // ExchangeLoad sends this agent's load digest to the agents of the same service and zone
-// until ctx is done. Agents of other models get it seldom. It also handles expiries and
-// reads the list of VMs.
+// until ctx is done. Agents that serve another model get the digest less often. ExchangeLoad also
+// handles expiries and reads the list of VMs.
 func (s *Server) ExchangeLoad(ctx context.Context, lister vmlist.Lister) {
 	list := time.NewTicker(listInterval)
 	defer list.Stop()
@@ -38,7 +38,7 @@
 			addresses = s.refreshPeers(ctx, lister, addresses)
 		case <-tick.C:
 			s.expire(time.Now())
-			s.sendLoadToGroup(ctx, addresses)
+			s.sendLoadToPeers(ctx, addresses)
 		}
 	}
 }
@@ -84,7 +84,9 @@
 	})
 }
 
-func (s *Server) sendLoadToGroup(ctx context.Context, addresses map[string]string) {
+// sendLoadToPeers sends this agent's digest to the peers that are due for one. Most of the time
+// there are none.
+func (s *Server) sendLoadToPeers(ctx context.Context, addresses map[string]string) {
 	now := time.Now()
 	s.mu.Lock()
 	own := s.report()
@@ -106,6 +108,7 @@
 	}
 }
 
+// onLoads records the digests of peers and the highest revision among them.
 func (s *Server) onLoads(m *link.Loads) {
 	now := time.Now()
 	s.mu.Lock()
--- a/agent/server/memory.go
+++ b/agent/server/memory.go
@@ -77,7 +77,8 @@
 }
 
 // updateObjective takes the service's objective and the documents' revision from an offer,
-// since agents hold no documents. It is called with mu held.
+// since agents hold no documents. It ignores an offer that has an older revision or no
+// objective. It is called with mu held.
 func (s *Server) updateObjective(offer *link.Offer) {
 	if offer.Revision < s.revision || offer.Objective == "" {
 		return
@@ -111,7 +112,7 @@
 }
 
 // countRunning updates the memory held by short calls, which the queue takes into account.
-// It is called with mu held.
+// sign is 1 when a call starts and -1 when it ends. It is called with mu held.
 func (s *Server) countRunning(l *liveCall, sign int64) {
 	if call.ClassOf(l.demand.PromptTokens) == call.Short {
 		s.running.ShortMemory += sign * int64(l.demand.Tokens())
@@ -119,8 +120,9 @@
 	s.setRunningInQueue()
 }
 
-// countPrefill counts a call's prompt as outstanding prefill in the engine, from the call's
-// start to its first token. It is called with mu held.
+// countPrefill counts a call's prompt as outstanding prefill in the engine. sign is 1 when the
+// call starts, and -1 at its first token or, if it ends without one, at its end. It is called
+// with mu held.
 func (s *Server) countPrefill(l *liveCall, sign int64) {
 	s.loadCounters.addRunning(l.demand, sign)
 	if l.priority == scheduling.PriorityFlood {
@@ -139,7 +141,8 @@
 	}
 }
 
-// PollReports reads the engine's reports until ctx is done.
+// PollReports reads the engine's report at once and then at the given interval until ctx is
+// done.
 func (s *Server) PollReports(ctx context.Context, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -153,6 +156,9 @@
 	}
 }
 
+// pollReport reads the engine's report, adopts its capacity, and compares the memory that the
+// engine holds with the reservations. It releases reservations that the engine has lost and
+// cancels memory without a reservation at the engine.
 func (s *Server) pollReport(ctx context.Context, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -263,8 +269,8 @@
 	}
 }
 
-// expire refuses calls that can no longer meet their deadline, and releases expired
-// reservations.
+// expire renews this agent's own reservations, releases expired ones here and at the engine,
+// and refuses the items of a priority queue that can no longer meet their deadline.
 func (s *Server) expire(now time.Time) {
 	s.mu.Lock()
 	s.memory.RefreshOwner(s.config.Incarnation, now)
--- a/agent/server/offer.go
+++ b/agent/server/offer.go
@@ -33,10 +33,10 @@
 // applyVerdict applies the ledger's verdict, or returns why the offer is refused. It is
 // called with mu held.
 //
-// The entry is attached to its call before mu is released, because from then on the handler
-// of any other message may start the call. If the engine answered at once, the first frame
-// would be emitted before the entry is attached. As a repeatable call stores no frames, the
-// entry's offer would be refused although the call runs.
+// The entry is attached to its call before mu is released, because the handler of any other
+// message may start the call once mu is free. If the engine then answered at once, the first
+// frame would be emitted before the entry was attached. As a repeatable call stores no frames,
+// the entry's offer would be refused although the call runs.
 func (s *Server) applyVerdict(c *link.Conn, offer *link.Offer, now time.Time) *result.Error {
 	verdict := s.ledger.Offer(now, idempotency.Offer{
 		ID:         offer.ID,
@@ -72,10 +72,10 @@
 
 // replay sends the stored answer of a call that has ended. It is called with mu held.
 //
-// The call becomes live again only if the entry could be attached; a call whose answer was not
-// kept would otherwise stay live. Its removal is scheduled as for a call that has just ended,
-// in case the entry dies before its ack. A call that stayed live would hold up a drain until
-// the drain's limit.
+// The call becomes live again only after the entry was attached, and its removal is scheduled as
+// for a call that has just ended. If the answer was not kept, or the entry died before it
+// acknowledged the answer, the call would otherwise stay live and delay a drain until the drain's
+// limit.
 func (s *Server) replay(c *link.Conn, offer *link.Offer, l *liveCall, now time.Time) *result.Error {
 	if err := s.attachRepeat(c, l); err != nil {
 		return err
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// precheck refuses offers that are invalid however often they are repeated: the body's announced
-// size and the service are the same in all repeats, so none of them can have run. It therefore
-// reports not-run without asking the ledger and needs no tombstone.
+// precheck refuses offers with a body that is too large or for another service. Both properties
+// are the same in all repeats of an offer, so none of them can have run: the refusal states
+// not-run without asking the ledger and needs no tombstone.
 func (s *Server) precheck(offer *link.Offer) *result.Error {
 	if offer.BodyBytes > s.config.Limits.BodyBytes {
 		return result.New(result.BodyTooLarge, result.NotRun, "%d bytes, at most %d", offer.BodyBytes, s.config.Limits.BodyBytes)
@@ -127,6 +127,8 @@
 	return nil
 }
 
+// admissible returns why a new call is refused, or nil if it is accepted. It is called with mu
+// held.
 func (s *Server) admissible(l *liveCall) *result.Error {
 	switch {
 	case s.leaving:
@@ -142,8 +144,8 @@
 	return nil
 }
 
-// enqueue adds a call to the queue, or starts to reserve memory for it at several engines.
-// It is called with mu held.
+// enqueue adds a call to the queue, or refuses it if the queue is full. For a call that needs a
+// group it starts runGroup instead. It is called with mu held.
 func (s *Server) enqueue(l *liveCall, now time.Time) {
 	l.phase = phaseQueued
 	if s.membersNeeded(l.demand) > 1 {
@@ -209,7 +211,8 @@
 	_ = c.Send(message)
 }
 
-// onBody appends a part of a body, and queues the call once the body is complete.
+// onBody appends a part of a body, and queues the call once the body is complete. It ignores a
+// part that does not continue the body or exceeds the body's announced size.
 func (s *Server) onBody(m *link.Body) {
 	s.mu.Lock()
 	l := s.live[m.ID]
@@ -324,7 +327,8 @@
 	go s.sendRefusal(l, err)
 }
 
-// removeUnstarted removes a call that has not started. It is called with mu held.
+// removeUnstarted removes a call that has not started from the live calls and the load counters.
+// It does not remove the call from the queue. It is called with mu held.
 func (s *Server) removeUnstarted(l *liveCall) {
 	if l.phase == phaseQueued {
 		s.loadCounters.addQueued(l.demand, -1)
@@ -336,6 +340,7 @@
 	s.signalIdle()
 }
 
+// sendRefusal cancels a call, refuses it to all its entries and releases their links.
 func (s *Server) sendRefusal(l *liveCall, err *result.Error) {
 	l.cancel(err)
 	for _, c := range l.removeAllSubscribers() {
@@ -368,7 +373,8 @@
 
 // abandon ends a repeatable call that has no subscriber left.
 func (s *Server) abandon(l *liveCall) {
-	// Unknown holds whether the call is waiting or running. Usually no subscriber is left to get it.
+	// Unknown is correct for a waiting and for a running call. Usually no subscriber is left to
+	// receive the error.
 	err := result.New(result.CallerGone, result.Unknown, "its entry did not come back")
 	s.mu.Lock()
 	if l.phase < phaseRunning {
--- a/agent/server/run.go
+++ b/agent/server/run.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// startCall marks a call as running. It returns false if the call was cancelled before. It
-// is called with mu held.
+// startCall marks a call as running. If the call was cancelled before, it releases the call's
+// memory and returns false. It is called with mu held.
 func (s *Server) startCall(l *liveCall, now time.Time) bool {
 	if !s.ledger.Begin(l.offer.ID) {
 		s.memory.Release(l.offer.ID, l.offer.Attempt, now)
@@ -92,7 +92,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// completeCall updates the counters for a call that has run, records its end and sends it.
+// completeCall updates the counters for a call that has run, records its end and sends it. It
+// releases the call's memory, except for a group's, which groupCall.run releases.
 func (s *Server) completeCall(l *liveCall, end *link.End) {
 	now := time.Now()
 	s.mu.Lock()
@@ -120,6 +121,7 @@
 	s.scheduleRemoval(l)
 }
 
+// scheduleRemoval removes an ended call once its entries have had time to resume.
 func (s *Server) scheduleRemoval(l *liveCall) {
 	time.AfterFunc(s.config.Limits.Detached, func() { s.removeAfterRetention(l) })
 }
@@ -188,6 +190,7 @@
 	}
 }
 
+// onFirstToken records the prefill time and ends the count of the call's prompt as outstanding.
 func (s *Server) onFirstToken(l *liveCall) {
 	s.mu.Lock()
 	s.loadCounters.recordPrefill(l.demand, time.Since(l.started))
@@ -212,8 +215,9 @@
 	}
 }
 
-// failureEnd returns the End message of a call that failed. The reason of a cancellation
-// takes precedence over the failure that it caused at the upstream.
+// failureEnd returns the End message of a call that failed. The reason for a cancellation, and
+// next a deadline that has passed, take precedence over the failure that they caused at the
+// upstream. Any other failure may turn out to be a crash of the upstream.
 func (s *Server) failureEnd(l *liveCall, err *result.Error) *link.End {
 	if reason := l.cancelReason(); reason != nil {
 		err = &result.Error{Code: reason.Code, Execution: err.Execution, Detail: reason.Detail}
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -112,7 +112,8 @@
 	runningCalls int
 	loadCounters loadCounters
 	peers        *load.Group
-	// model is the model in the engine's last report.
+	// model is the model in the engine's last report, or the configured one before the first
+	// report.
 	model string
 	// missedReports counts consecutive missed reports of the engine.
 	missedReports int
@@ -127,7 +128,8 @@
 	// awaitingLeft holds the links of entries that were sent Leaving and have not yet answered
 	// Left, so that they may still offer a call; see link.Left.
 	awaitingLeft map[*link.Conn]struct{}
-	idle         chan struct{}
+	// idle is the channel that Drained returns, or nil before its first call.
+	idle chan struct{}
 }
 
 // Start starts the agent, which accepts links at once. The engine's memory capacity is
