--- a/core/document/apply.go
+++ b/core/document/apply.go
@@ -29,7 +29,7 @@
 	return b.build(), nil
 }
 
-// builder derives one snapshot from another. It copies a map before the first change to it.
+// builder derives one snapshot from another. It copies each map and shard before it changes it.
 type builder struct {
 	snapshot *Snapshot
 	// ownKeys and ownPrincipals mark the shards that are already copied.
@@ -64,6 +64,7 @@
 	return maps.Clone(m)
 }
 
+// apply applies the update of one service. Removing an unknown service has no effect.
 func (b *builder) apply(update *Update) error {
 	old := b.snapshot.services[update.Service]
 	if update.Removed {
@@ -95,6 +96,7 @@
 	return nil
 }
 
+// putService adds or replaces the document of a service and indexes its models.
 func (b *builder) putService(service *Service) {
 	b.dropModels(b.snapshot.services[service.Name])
 	b.snapshot.services[service.Name] = service
@@ -104,6 +106,8 @@
 	}
 }
 
+// dropModels removes the models of a service, except those that another service has taken over
+// in an update applied before.
 func (b *builder) dropModels(service *Service) {
 	if service == nil {
 		return
@@ -162,19 +166,19 @@
 // before it enters any new one; otherwise a key that moved from one organisation to another
 // could be removed after it was entered.
 func (b *builder) build() *Snapshot {
-	for _, e := range b.changes {
-		if e.before != nil {
-			eachKey(e.before, func(hash KeyHash) { delete(b.keyShard(hash), hash) })
+	for _, change := range b.changes {
+		if change.before != nil {
+			eachKey(change.before, func(hash KeyHash) { delete(b.keyShard(hash), hash) })
 		}
 	}
-	for _, e := range b.changes {
-		name := e.after.Organisation
-		if len(e.after.grants) == 0 {
+	for _, change := range b.changes {
+		name := change.after.Organisation
+		if len(change.after.grants) == 0 {
 			delete(b.principalShard(name), name)
 			continue
 		}
-		b.principalShard(name)[name] = e.after
-		eachKey(e.after, func(hash KeyHash) { b.keyShard(hash)[hash] = e.after })
+		b.principalShard(name)[name] = change.after
+		eachKey(change.after, func(hash KeyHash) { b.keyShard(hash)[hash] = change.after })
 	}
 	return b.snapshot
 }
@@ -199,6 +203,7 @@
 
 func shardOf(name string) uint8 { return uint8(xxhash.Sum64String(name)) }
 
+// eachKey calls yield for each valid key hash of a principal in any service.
 func eachKey(principal *Principal, yield func(KeyHash)) {
 	for _, g := range principal.grants {
 		for _, text := range g.organisation.KeyHashes {
--- a/core/document/defaults.go
+++ b/core/document/defaults.go
@@ -2,8 +2,8 @@
 
 import "acaciacleat.example/core/call"
 
-// DefaultRetryRatio applies if a document has no retry ratio: one retry for ten first
-// attempts, so that retries add at most a tenth to an overload.
+// DefaultRetryRatio applies if a document has no retry ratio: one retry per ten
+// first attempts, so that retries add at most a tenth to an overload.
 const DefaultRetryRatio = 0.1
 
 // DefaultObjective applies if a model service has no objective.
@@ -19,8 +19,8 @@
 	call.Huge:   {Class: call.Huge.String(), DefaultMs: 1_800_000, MaxMs: 3_600_000},
 }
 
-// SetDefaults sets the fields that the document omits, so that every reader sees the same
-// values. It is idempotent.
+// SetDefaults sets the retry ratio, the deadlines and, for a model service, the objective if
+// the document omits them, so that every reader sees the same values. It is idempotent.
 func SetDefaults(service *Service) {
 	if service.RetryRatio == 0 {
 		service.RetryRatio = DefaultRetryRatio
@@ -37,7 +37,7 @@
 }
 
 // DeadlineFor returns the time bounds of a request of the given class. Calls of a plain
-// service have the class Short.
+// service have the class Short; an unknown class counts as Huge.
 func (s *Service) DeadlineFor(class call.Class) Deadline {
 	if class >= call.NumClasses {
 		class = call.Huge
--- a/core/document/diff.go
+++ b/core/document/diff.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// Diff returns the differences from old to new, ordered by path within each field;
-// either may be nil. The order of a list's elements is not a difference.
+// Diff returns the differences from old to new, in the order of the fields and, within a
+// list, of the elements' keys. The order of a list's elements is not a difference. If either
+// document is nil, the only change is the name of the other.
 func Diff(old, new *Service) []Change {
 	switch {
 	case old == nil && new == nil:
@@ -102,7 +103,10 @@
 	return m
 }
 
-// elementKey returns a key that is unique among the elements of a valid list.
+// elementKey returns the key by which the elements of two lists are matched. It is unique in a
+// valid list, except for repeated call patterns, which are equal, and for adapters that differ
+// only in letter case. Strings are matched regardless of case because a key hash may be
+// written in either.
 func elementKey(element any) string {
 	switch e := element.(type) {
 	case Model:
--- a/core/document/document.go
+++ b/core/document/document.go
@@ -43,7 +43,7 @@
 	// Deadlines bounds the time of requests, by length class; a plain service uses the class
 	// "short".
 	Deadlines []Deadline `json:"deadlines,omitempty" validate:"dive"`
-	// UpstreamsCheckFencing is set if the upstreams refuse orders with an old fencing token.
+	// UpstreamsCheckFencing is set if the upstreams refuse placement orders with an outdated fencing token.
 	UpstreamsCheckFencing bool `json:"upstreamsCheckFencing"`
 	// RetryRatio is the number of retries allowed per first attempt, above 0 and up to
 	// 0.1. Zero and absent both mean DefaultRetryRatio.
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -119,9 +119,8 @@
 	require.Empty(t, CheckConflicts([]*Service{a, shared}), "one organisation may use a key at two services")
 }
 
-// A client may write the path of a listed call in another spelling. If the upstream accepts
-// it as the listed path and the matcher does not, the call is sent again after a lost answer
-// and runs twice.
+// A client may spell the path of a listed call differently. If the upstream accepts the
+// spelling and the matcher does not, the call is retried after a lost answer and runs twice.
 func TestRepeatable(t *testing.T) {
 	service := &Service{NonRepeatable: []CallPattern{
 		{"POST", "/jobs"}, {"GET", "/parts/*/issue"}, {"*", "/routes/**"},
@@ -138,7 +137,7 @@
 	}
 }
 
-// Guards against a summary of changes that leaves some out.
+// Guards against a diff that omits a change, an addition or a removal.
 func TestDiffNamesWhatChanged(t *testing.T) {
 	old := testModelService("chat", "m", testOrganisation("x", "k"), testOrganisation("y", "l"))
 	new := testModelService("chat", "m", testOrganisation("y", "l2"), testOrganisation("z"))
@@ -232,7 +231,8 @@
 	return testModelService("chat", "m", organisations...)
 }
 
-// Guards against an allocation for each request.
+// Every request looks up its key and its model, so an allocation in a lookup would add garbage
+// for each request.
 func TestLookupsDoNotAllocate(t *testing.T) {
 	snapshot, hash := Compile(1, []*Service{testModelService("chat", "m", testOrganisation("x", "k"))}), HashKey("k")
 	require.Zero(t, testing.AllocsPerRun(100, func() {
--- a/core/document/repeatable.go
+++ b/core/document/repeatable.go
@@ -12,12 +12,12 @@
 // not decisive, since a service may list a GET that has side effects. "*" matches every
 // method, and a pattern for GET also matches HEAD, which runs the same code.
 //
-// If an upstream interprets a path more leniently than this matcher, the call does not
-// match its pattern and may run twice: "/jobs/", "//jobs", "/JOBS", "/jobs;v=1" or "/%6Aobs"
-// for "/jobs". Therefore the query is dropped; letter case, empty segments, dot segments and
-// parameters are ignored; and a path is matched both as sent and with its escapes decoded.
-// A path whose escapes can't be decoded is repeatable only if no pattern has its method.
-// Matching too much costs a retry but never causes a second run.
+// An upstream may accept other spellings of a listed path: "/jobs/", "//jobs", "/JOBS",
+// "/jobs;v=1" or "/%6Aobs" for "/jobs". If the matcher missed one of them, the call could be
+// retried and run twice. Therefore the query and the fragment are dropped; letter case, empty
+// segments, dot segments and parameters are ignored; and a path is matched both as sent and
+// with its escapes decoded. A path whose escapes can't be decoded is repeatable only if no
+// pattern matches its method. A false match prevents a retry but never causes a second run.
 func (s *Service) Repeatable(method, target string) bool {
 	variants, decodable := interpretPath(target)
 	for i := range s.NonRepeatable {
@@ -49,9 +49,10 @@
 	return false
 }
 
-// interpretPath returns the ways in which an upstream may split a path into segments: with
-// an escaped slash inside a segment or between two, with dot segments kept or resolved,
-// with parameters kept or dropped.
+// interpretPath returns the ways in which an upstream may split a path into segments: as sent;
+// decoded after the split, so that an escaped slash stays in its segment; decoded before the
+// split, so that it separates two; then also with dot segments resolved; and finally also
+// without parameters. decodable is false if the path has an invalid escape.
 func interpretPath(target string) (variants [][]string, decodable bool) {
 	target, _, _ = strings.Cut(target, "?")
 	target, _, _ = strings.Cut(target, "#")
@@ -59,12 +60,12 @@
 	if err != nil {
 		return nil, false
 	}
-	asSent := segments(target)
-	for i, segment := range asSent {
-		asSent[i], _ = url.PathUnescape(segment)
+	decodedSegments := segments(target)
+	for i, segment := range decodedSegments {
+		decodedSegments[i], _ = url.PathUnescape(segment)
 	}
 	resolved := segments(path.Clean("/" + decoded))
-	return [][]string{segments(target), asSent, segments(decoded), resolved, withoutParameters(resolved)}, true
+	return [][]string{segments(target), decodedSegments, segments(decoded), resolved, withoutParameters(resolved)}, true
 }
 
 // withoutParameters drops the part after a ';' in each segment, as some servers do.
--- a/core/document/rows.go
+++ b/core/document/rows.go
@@ -7,8 +7,8 @@
 )
 
 // Split splits a document into its header and its organisations, so that one of 35,000
-// organisations can be changed without rewriting the others. The header shares the
-// document's slices: neither may be changed afterwards.
+// organisations can be changed without rewriting the others. The header and the
+// list share the document's slices, so none of the three may be changed afterwards.
 func Split(service *Service) (header *Service, organisations []Organisation) {
 	copied := *service
 	copied.Organisations = nil
@@ -87,7 +87,8 @@
 	return a.Name == b.Name && a.Limits == b.Limits && slices.Equal(a.KeyHashes, b.KeyHashes)
 }
 
-// mergeOrganisations returns the organisations with an update applied, sorted by name.
+// mergeOrganisations returns the organisations with an update applied, sorted by name. If the
+// update contains an organisation several times, the last value applies.
 func mergeOrganisations(organisations []Organisation, update *Update) []Organisation {
 	put := organisationsByName(update.Put)
 	dropped := make(map[string]bool, len(update.Drop))
--- a/core/document/snapshot.go
+++ b/core/document/snapshot.go
@@ -1,6 +1,6 @@
 package document
 
-// Revision numbers the states of the document store; it only rises.
+// Revision numbers the states of the document store; it only increases.
 type Revision uint64
 
 // Principal is an organisation with the services that it may call. It is immutable.
@@ -19,8 +19,8 @@
 	organisation *Organisation
 }
 
-// OrganisationIn returns the organisation as service's document describes it, or nil if it may
-// not call the service.
+// OrganisationIn returns the organisation as the document of the named service describes it,
+// or nil if the organisation may not call that service.
 func (p *Principal) OrganisationIn(service string) *Organisation {
 	for i := range p.grants {
 		if p.grants[i].service == service {
@@ -93,8 +93,8 @@
 	}
 }
 
-// OrganisationIn returns an organisation as a service's document describes it, or nil if it may
-// not call the service.
+// OrganisationIn returns an organisation as the document of the named service describes it, or
+// nil if the organisation may not call that service.
 func (s *Snapshot) OrganisationIn(service, organisation string) *Organisation {
 	principal := s.principalOf(organisation)
 	if principal == nil {
--- a/core/document/validate.go
+++ b/core/document/validate.go
@@ -49,8 +49,8 @@
 	return !strings.Contains(prefix, "**")
 }
 
-// Validate returns all faults of a single document. CheckConflicts and Snapshot.CheckConflicts find
-// conflicts with other documents.
+// Validate returns all faults of a single document. CheckConflicts and
+// Snapshot.CheckConflicts find conflicts with other documents.
 func Validate(service *Service) []Fault {
 	faults := fieldRules.Check(service)
 	faults = append(faults, validateKind(service)...)
--- a/core/strictjson/fault.go
+++ b/core/strictjson/fault.go
@@ -9,7 +9,7 @@
 type Fault struct {
 	// Path is the JSON path of the value; Root for the whole text.
 	Path string `json:"path"`
-	// Value is the value found, as JSON, shortened to maxFaultValue bytes.
+	// Value is the value found, as JSON, cut after maxFaultValue bytes.
 	Value string `json:"value"`
 	// Allowed describes the allowed values.
 	Allowed string `json:"allowed"`
@@ -17,7 +17,8 @@
 	Remedy string `json:"remedy"`
 }
 
-// maxFaultValue is the longest value in bytes, so that a fault fits on one line.
+// maxFaultValue is the number of bytes of a value that are kept before the ellipsis, so that a
+// fault fits on one line.
 const maxFaultValue = 80
 
 // String returns the fault on one line.
@@ -30,7 +31,8 @@
 	return Fault{Path: path, Value: FormatValue(value), Allowed: allowed, Remedy: remedy}
 }
 
-// FormatValue formats a value as JSON, shortened to maxFaultValue bytes.
+// FormatValue formats a value as JSON. It cuts a longer one after maxFaultValue bytes and
+// appends an ellipsis.
 func FormatValue(value any) string {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/core/strictjson/rules.go
+++ b/core/strictjson/rules.go
@@ -8,7 +8,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Rule describes one tag of "validate" in terms that the author of a text understands.
+// Rule describes one rule of the struct tag "validate" in terms that the author of a JSON text
+// understands.
 type Rule struct {
 	// Allowed describes the allowed values; "%s" in it is replaced by the tag's parameter.
 	Allowed string
@@ -28,7 +29,7 @@
 	"max":   {Allowed: "at most %s", Remedy: "Shorten the list."},
 }
 
-// Rules validates each field of a value by itself. It is safe for concurrent use.
+// Rules validates the fields of a value one by one, independent of each other. It is safe for concurrent use.
 type Rules struct {
 	validate *validator.Validate
 	byTag    map[string]Rule
--- a/core/strictjson/shape.go
+++ b/core/strictjson/shape.go
@@ -31,7 +31,8 @@
 	return []Fault{NewFault(Root, err.Error(), "a JSON object", "Correct the JSON near line "+strconv.Itoa(line)+".")}
 }
 
-// value checks the next value against t. It returns an error if the text is not valid JSON.
+// value checks the next value against t; null is valid for a list only. It returns an error if
+// the text is not valid JSON.
 func (c *shapeChecker) value(t reflect.Type, path string) error {
 	token, err := c.decoder.Token()
 	if err != nil {
--- a/core/strictjson/strictjson.go
+++ b/core/strictjson/strictjson.go
@@ -20,8 +20,8 @@
 // Parse decodes data into value, which holds the defaults of omitted fields, and then calls
 // validate. It returns all faults at once; if there is any, value must not be used.
 //
-// The type of value has fields of struct, slice, string, bool, int and float64 types,
-// each with its JSON name in a tag.
+// T must be a struct whose fields are structs, slices, strings, bools, ints and float64s, each
+// with its JSON name in a tag.
 func Parse[T any](data []byte, value *T, validate func(*T) []Fault) []Fault {
 	faults := checkShape(data, reflect.TypeFor[T]())
 	if len(faults) > 0 && faults[0].Path == Root {
