--- a/core/policytest/engines_test.go
+++ b/core/policytest/engines_test.go
@@ -41,9 +41,10 @@
 	order           int
 }
 
-// passEngine simulates an engine that works in passes, as its published figures describe: a
-// pass with streams runs Stride steps, and each step may prefill a chunk. Parts of other
-// engines' prompts go first, then the more urgent parts, then the newest.
+// passEngine simulates an engine that works in passes, with the figures of its spec. A pass runs
+// Stride steps if the engine decodes streams and one step otherwise; each step may prefill a
+// chunk. Helper parts, whose prompts other engines decode, go first, then parts of a lower
+// urgency value, then the newest.
 type passEngine struct {
 	id         string
 	spec       *enginemodel.Spec
@@ -55,8 +56,8 @@
 	busy      bool
 }
 
-// admit occupies a slot for a part, or queues the part. Parts of other engines' prompts need
-// no slot.
+// admit occupies a slot for a part and starts it, or queues the part if no slot is free. A
+// helper part needs no slot.
 func (e *passEngine) admit(p *part) {
 	switch {
 	case p.isHelper:
--- a/core/policytest/evaluator_test.go
+++ b/core/policytest/evaluator_test.go
@@ -26,7 +26,7 @@
 	decodeTokens   = 300
 	decodeDuration = 8 * time.Second // memory is held for this time after the first token
 	reportInterval = 500 * time.Millisecond
-	reportLag      = time.Second
+	reportLag      = time.Second // delay until entries receive a load report
 	zoneCount      = 3
 	entryCount     = 3
 )
@@ -36,11 +36,11 @@
 // job is a prompt sent to an engine.
 type job struct {
 	arrival
-	item       scheduling.Item
-	remaining  float64 // prompt tokens to prefill
-	priority   int     // lower runs first
-	startOrder int     // order among jobs of the same priority
-	cached     int
+	item         scheduling.Item
+	remaining    float64 // prompt tokens to prefill
+	priority     int     // lower runs first
+	startOrder   int     // order among jobs of the same priority
+	cachedTokens int     // prompt tokens that were in the engine's cache
 }
 
 // engine simulates an engine that prefills its running job of the highest priority, chunk by
@@ -49,8 +49,8 @@
 	queue       scheduling.Queue
 	jobs        map[call.ID]*job
 	running     []*job
-	free        int64
-	shortMemory int64 // memory held by short prompts
+	free        int64 // tokens
+	shortMemory int64 // tokens held by short prompts, without those of a flood
 	busy        bool
 	cache       map[uint64]time.Duration // cached digests and the time of their last use
 	startCount  int
@@ -92,7 +92,7 @@
 func (e *engine) addMemory(j *job, sign int64) {
 	tokens := sign * int64(j.item.Work.Tokens())
 	e.free -= tokens
-	if j.prompt <= call.ShortMax && j.priority != scheduling.PriorityFlood {
+	if j.promptTokens <= call.ShortMax && j.priority != scheduling.PriorityFlood {
 		e.shortMemory += tokens
 	}
 }
@@ -103,7 +103,7 @@
 		if j.priority == scheduling.PriorityFlood {
 			running.FloodPrefill += int64(j.remaining)
 		} else {
-			running.Prefill[call.ClassOf(j.prompt)] += int64(j.remaining)
+			running.Prefill[call.ClassOf(j.promptTokens)] += int64(j.remaining)
 		}
 	}
 	return running
@@ -115,11 +115,11 @@
 		l.QueuedPrompt = q.QueuedTokens()
 	} else {
 		for _, j := range e.jobs {
-			l.QueuedPrompt[call.ClassOf(j.prompt)] += int64(j.prompt)
+			l.QueuedPrompt[call.ClassOf(j.promptTokens)] += int64(j.promptTokens)
 		}
 	}
 	for _, j := range e.running {
-		l.RunningPrompt[call.ClassOf(j.prompt)] += int64(j.remaining)
+		l.RunningPrompt[call.ClassOf(j.promptTokens)] += int64(j.remaining)
 	}
 	l.RunningCalls, l.QueuedCalls = int32(len(e.running)), int32(e.queue.Len())
 	return l
@@ -172,14 +172,14 @@
 
 // simulateTrace simulates a trace with a routing policy and a type of queue and returns the
 // outcomes.
-func simulateTrace(policy func(seed uint64) routing.Policy, seed uint64, count int, arrivals []arrival, objective document.Objective, newQueue func() scheduling.Queue) []sample {
+func simulateTrace(policy func(seed uint64) routing.Policy, seed uint64, engineCount int, arrivals []arrival, objective document.Objective, newQueue func() scheduling.Queue) []sample {
 	m := &traceSimulation{objective: objective}
-	for range count {
+	for range engineCount {
 		m.engines = append(m.engines, &engine{queue: newQueue(), jobs: make(map[call.ID]*job), free: capacityTokens, cache: make(map[uint64]time.Duration)})
 	}
 	for i := range entryCount {
 		m.policies[i] = policy(seed + uint64(i))
-		for n := range count {
+		for n := range engineCount {
 			m.views[i] = append(m.views[i], routing.Replica{Agent: fmt.Sprint("agent-", n), Zone: fmt.Sprint(n % zoneCount), Incarnation: 1, LoadTakenAt: epoch, Load: m.engines[n].load()})
 		}
 	}
@@ -187,7 +187,7 @@
 		m.schedule(a.at, func() { m.arrive(i, a) })
 	}
 	last := arrivals[len(arrivals)-1].at
-	m.schedule(0, func() { m.reports(last) })
+	m.schedule(0, func() { m.sendReports(last) })
 	for m.events.Len() > 0 {
 		e := heap.Pop(&m.events).(event)
 		m.now = e.at
@@ -196,8 +196,9 @@
 	return m.samples
 }
 
-// reports sends each engine's load to all entries, which receive it reportLag later.
-func (m *traceSimulation) reports(last time.Duration) {
+// sendReports sends each engine's load to all entries, which receive it reportLag later. It
+// repeats this every reportInterval until the time last.
+func (m *traceSimulation) sendReports(last time.Duration) {
 	for n, e := range m.engines {
 		load := e.load()
 		m.schedule(reportLag, func() {
@@ -208,22 +209,23 @@
 		})
 	}
 	if m.now < last {
-		m.schedule(reportInterval, func() { m.reports(last) })
+		m.schedule(reportInterval, func() { m.sendReports(last) })
 	}
 }
 
-// arrive routes the prompt of one arrival and queues it at the chosen engine.
+// arrive routes the prompt of arrival n and queues it at the chosen engine. A prompt that the
+// queue refuses gets no sample.
 func (m *traceSimulation) arrive(n int, a arrival) {
 	entry := n % entryCount
-	demand := call.TokenDemand{PromptTokens: a.prompt, MaxTokens: decodeTokens}
+	demand := call.TokenDemand{PromptTokens: a.promptTokens, MaxTokens: decodeTokens}
 	deadline := epoch.Add(m.now + 10*time.Minute)
-	request := routing.Request{Demand: demand, Zone: fmt.Sprint(entry % zoneCount), Objective: m.objective, Prefix: a.digests, PromptBytes: a.prompt * 4, Deadline: deadline}
+	request := routing.Request{Demand: demand, Zone: fmt.Sprint(entry % zoneCount), Objective: m.objective, Prefix: a.digests, PromptBytes: a.promptTokens * 4, Deadline: deadline}
 	choice := m.policies[entry].Choose(&request, m.views[entry], epoch.Add(m.now))
 	view := &m.views[entry][choice.Index]
 	view.InFlight++
-	view.InFlightPrompt += int64(a.prompt)
+	view.InFlightPrompt += int64(a.promptTokens)
 	e := m.engines[choice.Index]
-	cached := min(a.prompt, prefix.Boundary(e.cachedDepth(a.digests))/4)
+	cached := min(a.promptTokens, prefix.Boundary(e.cachedDepth(a.digests))/4)
 	var id call.ID
 	binary.BigEndian.PutUint64(id[:], uint64(n)+1)
 	j := &job{arrival: a, item: scheduling.Item{ID: id, Organisation: fmt.Sprint(a.organisation), Work: demand, CachedTokens: cached, Enqueued: epoch.Add(m.now), Deadline: deadline}}
@@ -245,8 +247,8 @@
 		}
 		j := e.jobs[item.ID]
 		delete(e.jobs, item.ID)
-		j.cached = min(j.prompt, prefix.Boundary(e.cachedDepth(j.digests))/4)
-		j.remaining = float64(j.prompt - j.cached)
+		j.cachedTokens = min(j.promptTokens, prefix.Boundary(e.cachedDepth(j.digests))/4)
+		j.remaining = float64(j.promptTokens - j.cachedTokens)
 		e.startCount++
 		j.startOrder = e.startCount
 		if q, ok := e.queue.(*scheduling.Priority); ok {
@@ -284,7 +286,7 @@
 func (m *traceSimulation) completePrefill(e *engine, j *job) {
 	e.running = slices.DeleteFunc(e.running, func(other *job) bool { return other == j })
 	e.store(j.digests, m.now)
-	m.samples = append(m.samples, sample{arrival: j.arrival, ttft: m.now - j.at, cachedTokens: j.cached})
+	m.samples = append(m.samples, sample{arrival: j.arrival, ttft: m.now - j.at, cachedTokens: j.cachedTokens})
 	m.schedule(decodeDuration, func() {
 		e.addMemory(j, -1)
 		m.startJobs(e)
--- a/core/policytest/goodput_test.go
+++ b/core/policytest/goodput_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// variant is a rule for choices with a visibility.
+// variant is a dispatch rule combined with a visibility.
 type variant struct {
 	rule       dispatch.Rule
 	visibility visibility
@@ -66,7 +66,9 @@
 	return m
 }
 
-// TestGoodput is also an experiment: its log is the table in docs/EVIDENCE.md.
+// Guards against predicted choices with a shared view that give no more goodput than the
+// baseline, or than predicted choices without a shared view. The log of this test is the table
+// in docs/EVIDENCE.md.
 //
 //	go test -v -run TestGoodput ./core/policytest
 func TestGoodput(t *testing.T) {
--- a/core/policytest/heavy_test.go
+++ b/core/policytest/heavy_test.go
@@ -18,8 +18,9 @@
 }
 
 // Many prompts of middle length are prefilled in parts by engines that decode streams, and
-// prefill takes a third of the engines' time. Each pause is acceptable by itself, but if the
-// choice ignores their sum, streams exceed their deadline with dozens of events left.
+// prefill takes a third of the engines' time. Each part pauses the engine's streams. One pause
+// is acceptable, but if the choice of engines ignores the sum of the pauses, streams exceed
+// their deadline with dozens of events left.
 func TestStartedStreamsMeetTheirDeadline(t *testing.T) {
 	const load = 0.46 // at this load middleDeployment needs a third of the engines' time
 	for class, counts := range countOutcomes(simulateSeeds(middleDeployment, 5, load, even)...) {
@@ -28,10 +29,10 @@
 	}
 }
 
-// In a phase of many short prompts each of 103 entries chooses the best engine that it knows
-// of, which is the same one for all. Its last slots are taken before the entries learn of each
-// other's placements, and one short prompt in eight is late although prefill takes an eighth
-// of the engines' time.
+// In a phase of many short prompts, 103 entries would all choose the same engine, the best one
+// that they know of. Its last slots would be taken before the entries learn of each other's
+// placements, and one short prompt in eight would be late although prefill takes only an
+// eighth of the engines' time.
 func TestShortPromptsMeetTargetsOnLargeFleet(t *testing.T) {
 	short := countOutcomes(simulateSeeds(largeDeployment, 1, 1, phases)...)["short"]
 	t.Logf("%+v, late %.3f", short, short.share(short.late))
@@ -39,9 +40,10 @@
 	require.Less(t, short.share(short.deadlineExceeded+short.refused), 0.005)
 }
 
-// In bursts of short and heavy prompts, placing each short prompt where its prefill ends a
-// little sooner leaves every engine with a short stream, beside which no long prompt may be
-// prefilled. A quarter of the heavy prompts is then refused although engines have time.
+// An engine that decodes a short stream may not prefill a heavy prompt. If each short prompt
+// of a burst went to the engine that ends its prefill a little sooner, every engine would
+// decode a short stream, and a quarter of the heavy prompts would be refused although engines
+// have time.
 func TestShortPromptsKeepEnginesFreeForLongPrompts(t *testing.T) {
 	counts := countOutcomes(simulateSeeds(usualDeployment, 6, 1, bursts)...)
 	heavy, short := counts["heavy"], counts["short"]
--- a/core/policytest/plot_test.go
+++ b/core/policytest/plot_test.go
@@ -12,7 +12,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotFile is the file that TestPlotGoodput writes; by default it uses a temporary folder.
+// plotFile is the file that TestPlotGoodput writes. Without the flag, the test plots fewer loads
+// and one seed into a temporary folder.
 var plotFile = flag.String("plot", "", "PNG file for the curves of goodput")
 
 // TestPlotGoodput plots the goodput by load, with one line for each variant.
--- a/core/policytest/policies_test.go
+++ b/core/policytest/policies_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-const seeds = 5
+// traceSeedCount is the number of seeds over which medians are taken.
+const traceSeedCount = 5
 
 var usualWorkload = workload{duration: 2 * time.Minute, utilisation: 0.7}
 
@@ -25,7 +26,8 @@
 
 func newFIFO() scheduling.Queue { return scheduling.NewFIFO(scheduling.DefaultLimit) }
 
-// quantile returns the q-quantile of time to first token, in seconds, of the samples kept.
+// quantile returns the q-quantile of the time to first token, in seconds, of the samples for
+// which keep returns true, or 0 without any.
 func quantile(samples []sample, q float64, keep func(*sample) bool) float64 {
 	var times []float64
 	for i := range samples {
@@ -41,11 +43,12 @@
 }
 
 func inClass(class call.Class) func(*sample) bool {
-	return func(s *sample) bool { return call.ClassOf(s.prompt) == class }
+	return func(s *sample) bool { return call.ClassOf(s.promptTokens) == class }
 }
 
 func anySample(*sample) bool { return true }
 
+// median returns the upper median of the values, which it sorts in place.
 func median[T cmp.Ordered](values []T) T {
 	slices.Sort(values)
 	return values[len(values)/2]
@@ -77,6 +80,8 @@
 	m.values[name] = append(m.values[name], value)
 }
 
+// recordMetrics simulates a workload with and without its long prompts and adds the metrics of
+// one seed to m.
 func recordMetrics(m *metrics, policy policyFactory, seed uint64, engines int, workload workload, objective document.Objective, queue func() scheduling.Queue) {
 	arrivals := drawTrace(seed, engines, workload)
 	withLong := simulateTrace(policy, seed, engines, arrivals, objective, queue)
@@ -92,15 +97,15 @@
 	cached, prompts := 0, 0
 	for _, s := range withLong {
 		cached += s.cachedTokens
-		prompts += s.prompt
+		prompts += s.promptTokens
 	}
 	m.add("cached-share", float64(cached)/float64(prompts))
 	m.add("unfinished", float64(len(arrivals)-len(withLong)))
 }
 
-// An eleventh organisation requests 90 % of the fleet's prefill on top of a load of 70 %. First
-// come, first served order in the agents' queues or inside the engines, or load reports that
-// count the flood in routing, would slow the short prompts of all other organisations.
+// An eleventh organisation requests 90 % of the fleet's prefill on top of a load of 70 %. If
+// the agents' queues or the engines served prompts in order of arrival, or if routing counted
+// the flood as load, the short prompts of all other organisations would slow down.
 func TestFloodDoesNotRaiseOtherOrganisationsShortP95(t *testing.T) {
 	ratios := floodRatios(call.Short)
 	t.Logf("p95 of the others' short prompts with a flood / without: %.2f", ratios)
@@ -112,9 +117,11 @@
 func floodRatios(class call.Class) []float64 {
 	flood := usualWorkload
 	flood.floodShare = 0.9
-	others := func(s *sample) bool { return s.organisation != floodingOrganisation && call.ClassOf(s.prompt) == class }
+	others := func(s *sample) bool {
+		return s.organisation != floodingOrganisation && call.ClassOf(s.promptTokens) == class
+	}
 	var ratios []float64
-	for seed := range uint64(seeds) {
+	for seed := range uint64(traceSeedCount) {
 		p95 := func(workload workload) float64 {
 			samples := simulateTrace(byName(routing.NameCombined), seed, 14, drawTrace(seed, 14, workload), document.ShortSlowdown, newPriority(document.ShortSlowdown))
 			return quantile(samples, 0.95, others)
@@ -124,8 +131,8 @@
 	return ratios
 }
 
-// BenchmarkFlood reports the median factor by which a flood raises the p95 of the other
-// organisations.
+// BenchmarkFlood reports, for each length class, the median factor by which a flood raises the
+// p95 time to first token of the other organisations.
 func BenchmarkFlood(b *testing.B) {
 	for b.Loop() {
 		for class := call.Short; class <= call.Long; class++ {
@@ -149,7 +156,7 @@
 }
 
 // BenchmarkPolicies reports the median of each metric over the seeds. Run it with
-// -benchtime 1x: it is deterministic, so that further runs give the same results.
+// -benchtime 1x: it is deterministic, so further runs give the same results.
 func BenchmarkPolicies(b *testing.B) {
 	busy, hot := usualWorkload, usualWorkload
 	busy.utilisation = 0.95
@@ -175,7 +182,7 @@
 func reportMetrics(b *testing.B, policy policyFactory, engines int, workload workload, objective document.Objective, queue func() scheduling.Queue) {
 	for b.Loop() {
 		var m metrics
-		for seed := range uint64(seeds) {
+		for seed := range uint64(traceSeedCount) {
 			recordMetrics(&m, policy, seed, engines, workload, objective, queue)
 		}
 		for _, name := range m.names {
--- a/core/policytest/simulator_test.go
+++ b/core/policytest/simulator_test.go
@@ -158,7 +158,7 @@
 	for i := range d.classes {
 		class := &d.classes[i]
 		for at := time.Duration(0); ; {
-			// Draw at the highest rate and thin out, so that a phase takes effect at once.
+			// Draw at the highest rate and discard the excess, so that a phase takes effect at once.
 			at += time.Duration(random.ExpFloat64() / (class.requestsPerSecond * load * maxRateFactor) * float64(time.Second))
 			if at > simulatedTime {
 				break
@@ -229,8 +229,10 @@
 	s.choose(now, p)
 }
 
-// choose requests a placement for a prompt, again when the queue says so. A refused caller
-// retries once; its target still counts from its first attempt, which entries don't know.
+// choose requests a placement for a prompt, and again at the time that the queue gives. A
+// refused caller retries once. The entry measures the first-event target from the current
+// attempt, since it doesn't know of an earlier one; the outcome of the prompt is measured from
+// the first attempt.
 func (s *simulator) choose(now time.Duration, p *prompt) {
 	waited := now - p.attemptAt
 	choice, id, verdict := s.fleet(p.entry).Choose(epoch.Add(now), &dispatch.Request{
@@ -332,7 +334,8 @@
 	s.sendEvents(now, p.entry)
 }
 
-// sendEvents sends an entry's events to the other entries.
+// sendEvents sends an entry's events to the other entries after batchDelay, if they have a
+// shared view.
 func (s *simulator) sendEvents(now time.Duration, entry int) {
 	if s.visibility != sharedView {
 		return
@@ -384,7 +387,8 @@
 	return countsByClass
 }
 
-// goodput is the value of the answers of one simulation.
+// goodput is the value of the answers of one simulation: late answers have a lower value, and
+// refused prompts and answers after their deadline have none.
 type goodput struct {
 	// valueShare is the value achieved as a share of the value of all requests, shareByClass
 	// the same for each class; valuePerSecond is the value achieved per second.
--- a/core/policytest/trace_test.go
+++ b/core/policytest/trace_test.go
@@ -24,18 +24,18 @@
 type arrival struct {
 	at           time.Duration
 	organisation int
-	prompt       int
+	promptTokens int
 	digests      []uint64
 }
 
 // workload configures a trace.
 type workload struct {
 	duration    time.Duration
-	utilisation float64 // share of the prefill rate needed if nothing were cached
+	utilisation float64 // share of the fleet's prefill rate needed if nothing were cached
 	noLong      bool    // omit prompts over 100,000 tokens
 	hotDocument bool
-	// floodShare is the share of the prefill rate needed by the short prompts of an additional
-	// organisation.
+	// floodShare is the share of the fleet's prefill rate needed by the short prompts of an
+	// additional organisation.
 	floodShare float64
 }
 
@@ -52,19 +52,19 @@
 		document := uint64(0)
 		switch draw := random.IntN(longPromptInterval * 2); {
 		case draw < 2:
-			a.prompt = 100_000 + int(math.Min(random.ExpFloat64()*80_000, 250_000))
+			a.promptTokens = 100_000 + int(math.Min(random.ExpFloat64()*80_000, 250_000))
 			document = 1 + uint64(random.IntN(4))
 		case draw < 70:
-			a.prompt = 2100 + random.IntN(5000)
+			a.promptTokens = 2100 + random.IntN(5000)
 		default:
-			a.prompt = 8000 + random.IntN(32_000)
+			a.promptTokens = 8000 + random.IntN(32_000)
 			document = 10 + uint64(drawRank(random, documentsPerOrganisation))
 		}
 		if workload.hotDocument && random.Float64() < hotDocumentShare {
-			a.prompt, a.organisation, document = hotPromptTokens, 0, 99
+			a.promptTokens, a.organisation, document = hotPromptTokens, 0, 99
 		}
 		a.digests = digestsOf(&a, document, random)
-		if workload.noLong && a.prompt > call.MediumMax {
+		if workload.noLong && a.promptTokens > call.MediumMax {
 			continue
 		}
 		arrivals = append(arrivals, a)
@@ -84,7 +84,7 @@
 	perSecond := workload.floodShare * prefillRate * float64(engines) / meanFloodTokens
 	for at := time.Duration(0); perSecond > 0 && at < workload.duration; {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
-		a := arrival{at: at, organisation: floodingOrganisation, prompt: 2100 + random.IntN(5000)}
+		a := arrival{at: at, organisation: floodingOrganisation, promptTokens: 2100 + random.IntN(5000)}
 		a.digests = digestsOf(&a, 0, random)
 		arrivals = append(arrivals, a)
 	}
@@ -102,16 +102,17 @@
 }
 
 // digestsOf returns the digests of a prompt's blocks: the organisation's instructions, then
-// the document, and in the last tenth the question.
+// the document, and in the last tenth the question. Without a document, 0, the question follows
+// the instructions.
 func digestsOf(a *arrival, document uint64, random *rand.Rand) []uint64 {
-	count := prefix.Depth(a.prompt * 4)
+	count := prefix.Depth(a.promptTokens * 4)
 	list := make([]uint64, count)
 	question := random.Uint64()
 	for i := range list {
 		key := [4]uint64{uint64(a.organisation), 0, 0, uint64(i)}
 		if i >= instructionDepth {
 			key[1] = document
-			if document == 0 || prefix.Boundary(i+1) > a.prompt*4*9/10 {
+			if document == 0 || prefix.Boundary(i+1) > a.promptTokens*4*9/10 {
 				key[2] = question
 			}
 		}
