--- a/core/deadline/deadline.go
+++ b/core/deadline/deadline.go
@@ -26,8 +26,8 @@
 	Max time.Duration
 }
 
-// BoundsFor returns the bounds of a class in a service: those of the service's document, or the
-// defaults, which only package document defines. Plain services use call.Short.
+// BoundsFor returns the bounds of a class in a service: those of the service's document or, if
+// it has none, the defaults of package document. Plain services use call.Short.
 func BoundsFor(service *document.Service, class call.Class) Bounds {
 	bounds := service.DeadlineFor(class)
 	return Bounds{
@@ -37,8 +37,8 @@
 }
 
 // Parse returns the timeout of a request from the value of Header; "" means that the
-// caller did not send the header. A value that is not a whole number of milliseconds from
-// 1 to bounds.Max is a result.BadDeadline error with result.NotRun.
+// caller did not send the header. If the value is not a whole number of milliseconds
+// from 1 to bounds.Max, the error is result.BadDeadline with result.NotRun.
 func Parse(value string, bounds Bounds) (time.Duration, *result.Error) {
 	if value == "" {
 		return bounds.Default, nil
@@ -55,7 +55,7 @@
 // The parts of a request's time left that are reserved or used by one hop.
 const (
 	// returnDivisor sets the part of the time left, 1/50, that a hop reserves for the
-	// answer to return.
+	// return of the answer.
 	returnDivisor = 50
 	// maxReturnTime bounds that part. A message between two availability zones takes a
 	// little over 1 ms, and recovery from one lost packet about 200 ms.
@@ -72,7 +72,7 @@
 )
 
 // Forward returns the time left that a hop passes to the next one: its own time left
-// minus a reserve for the answer to return. The next hop then times out first, and its
+// minus a reserve for the return of the answer. The next hop then times out first, and its
 // answer, which tells whether the call ran, still arrives in time.
 func Forward(left time.Duration) time.Duration {
 	return max(0, left-min(left/returnDivisor, maxReturnTime))
--- a/core/decay/decay.go
+++ b/core/decay/decay.go
@@ -18,7 +18,7 @@
 	s.value = s.Value(now, timeConstant) + amount
 }
 
-// Value returns the sum at time now. A time before the latest one does not change the sum.
+// Value returns the sum at time now. If now is before an earlier call's time, the sum does not decay.
 func (s *Sum) Value(now time.Time, timeConstant time.Duration) float64 {
 	if passed := now.Sub(s.at); passed > 0 {
 		s.value *= math.Exp(-passed.Seconds() / timeConstant.Seconds())
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -14,7 +14,7 @@
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // Score returns the weight of a node for a key, from their hashes; the highest wins. It applies
-// the finalizer of splitmix64 to both, so that one bit of either changes every bit.
+// the finalizer of splitmix64 to both, so that each bit of either affects every bit of the score.
 func Score(key, node uint64) uint64 {
 	x := key ^ (node * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -22,7 +22,8 @@
 	return x ^ (x >> 31)
 }
 
-// Ranked returns the indices of the nodes for a key, best first.
+// Ranked returns the indices of the nodes by falling score for a key. Equal scores are ordered
+// by the nodes' names, so that the order of nodes does not matter.
 func Ranked(key string, nodes []string) []int {
 	hash := Hash(key)
 	scores := make([]uint64, len(nodes))
--- a/core/tokens/tokens.go
+++ b/core/tokens/tokens.go
@@ -19,9 +19,9 @@
 	maxModels = 1024
 	// errorMultiplier makes UpperBound cover relative errors of twice the running mean.
 	errorMultiplier = 2
-	// minMargin is the least relative margin that UpperBound adds. The ratio follows the common
-	// short prompts, which have a larger share of JSON. Without a margin, a long prompt was
-	// estimated 1 % too low, and engines refused the parts of its set.
+	// minMargin is the least relative margin that UpperBound adds. Short prompts, which contain a
+	// larger share of JSON, dominate the ratio, so that the estimate of a long prompt can be 1 %
+	// too low. Without the margin, the engines that share a long prompt would refuse its parts.
 	minMargin = 0.02
 )
 
@@ -57,7 +57,8 @@
 	return max(1, int(math.Ceil(float64(bytes)*r.tokensPerByte*(1+margin))))
 }
 
-// Observe corrects the model's ratio by an engine's count for a prompt with the given bytes.
+// Observe corrects the model's ratio by an engine's count for a prompt with the given bytes. It
+// ignores counts that are not positive, and new models once maxModels are known.
 func (e *Estimator) Observe(model string, bytes, promptTokens int) {
 	if bytes <= 0 || promptTokens <= 0 {
 		return
