--- a/entry/dev/dev.go
+++ b/entry/dev/dev.go
@@ -30,15 +30,16 @@
 	"github.com/rs/zerolog"
 )
 
-// Names in the documents of a development deployment.
+// Names and the bearer token in a development deployment.
 const (
+	// Key is the bearer token of the default organisation.
 	Key          = "dev-key"
 	ModelService = "assistant"
 	ModelName    = "assistant-1"
 	PlainService = "parts"
 	organisation = "dev"
 	modelVersion = "1"
-	// spareModel is the model that spare engines serve; no document names it.
+	// spareModel is the model that spare engines serve; the documents do not contain it.
 	spareModel = "spare"
 )
 
@@ -74,7 +75,8 @@
 	Log       zerolog.Logger
 }
 
-// DefaultConfig returns a configuration with enough engines for a prompt that needs three of them.
+// DefaultConfig returns a configuration with four engines: the longest prompt needs the memory of
+// three, see contextTokens.
 func DefaultConfig() Config {
 	return Config{
 		Listen:         "127.0.0.1:8080",
@@ -96,11 +98,14 @@
 	// Relays has one relay per agent if Config.Relays is set.
 	Relays []*relay.Relay
 
-	config  Config
-	keys    *link.Keys
-	vms     []vmlist.VM
-	agents  []server.Config
-	entries []entryprocess.Config
+	config Config
+	// keys authenticate the links.
+	keys *link.Keys
+	vms  []vmlist.VM
+	// agentConfigs and entryConfigs are the configurations with which RestartAgent and RestartEntry
+	// start new incarnations.
+	agentConfigs []server.Config
+	entryConfigs []entryprocess.Config
 }
 
 // Start starts a deployment, which runs until Stop, and waits until its entries are ready.
@@ -131,12 +136,12 @@
 
 func (d *Deployment) start() error {
 	for i := range d.Engines {
-		if err := d.startEngine(i); err != nil {
+		if err := d.startEngineAgent(i); err != nil {
 			return err
 		}
 	}
 	for i := range d.Plains {
-		if err := d.startPlain(i); err != nil {
+		if err := d.startPlainAgent(i); err != nil {
 			return err
 		}
 	}
@@ -154,7 +159,8 @@
 
 func (d *Deployment) zone(i int) string { return d.config.Zones[i%len(d.config.Zones)] }
 
-func (d *Deployment) startEngine(i int) error {
+// startEngineAgent starts the agent of an engine that is already running.
+func (d *Deployment) startEngineAgent(i int) error {
 	model := ModelName
 	if i >= d.config.Engines {
 		model = spareModel
@@ -170,7 +176,8 @@
 	})
 }
 
-func (d *Deployment) startPlain(i int) error {
+// startPlainAgent starts the agent of a plain service that is already running.
+func (d *Deployment) startPlainAgent(i int) error {
 	return d.addAgent(server.Config{
 		VM:       fmt.Sprintf("plain-%02d", i),
 		Zone:     d.zone(i),
@@ -204,7 +211,7 @@
 		return err
 	}
 	d.Agents = append(d.Agents, agent)
-	d.agents = append(d.agents, config)
+	d.agentConfigs = append(d.agentConfigs, config)
 	d.vms = append(d.vms, vmlist.VM{
 		ID:      config.VM,
 		Role:    vmlist.RoleAgent,
@@ -284,8 +291,8 @@
 	}
 }
 
-// The sizes of the model: prompts of up to a million tokens need more than twice the memory of one
-// engine.
+// The sizes of the model in tokens. Prompts of up to a million tokens need the memory of three
+// engines.
 const (
 	contextTokens = 1_100_000
 	engineTokens  = 400_000
@@ -305,7 +312,7 @@
 		Listen:         d.config.Listen,
 		OperatorListen: d.config.OperatorListen,
 		LinkListen:     "127.0.0.1:0",
-		ReadyOff:       readyOff,
+		ReadyOff:       notReadyDelay,
 		Keys:           d.keys,
 		Table:          store,
 		Documents:      d.documentStore(store),
@@ -327,15 +334,15 @@
 	// A restarted entry listens on the same addresses.
 	config.Listen, config.OperatorListen, config.LinkListen = e.Addr(), e.OperatorAddr(), e.LinkAddr()
 	d.Entries = append(d.Entries, e)
-	d.entries = append(d.entries, config)
+	d.entryConfigs = append(d.entryConfigs, config)
 	d.vms = append(d.vms, vmlist.VM{ID: config.VM, Role: vmlist.RoleEntry, Zone: config.Zone, Link: e.LinkAddr()})
 	d.Platform.VMs.Set(d.vms...)
 	return nil
 }
 
-// readyOff is how long a draining entry reports "not ready" before it refuses requests. It is short
-// because callers of a development deployment check readiness right before each request.
-const readyOff = 300 * time.Millisecond
+// notReadyDelay is how long a draining entry reports "not ready" before it refuses requests. It is
+// short because callers of a development deployment check readiness right before each request.
+const notReadyDelay = 300 * time.Millisecond
 
 // readyTimeout bounds the wait for all entries to become ready.
 const readyTimeout = 10 * time.Second
@@ -355,7 +362,7 @@
 
 const readyPollInterval = 5 * time.Millisecond
 
-// Stop stops all processes at once.
+// Stop stops all processes immediately, without completing requests.
 func (d *Deployment) Stop() {
 	for _, e := range d.Entries {
 		e.Stop()
--- a/entry/dev/dev_test.go
+++ b/entry/dev/dev_test.go
@@ -93,6 +93,7 @@
 	return text.String(), usage
 }
 
+// The same prompt must give the same text and usage whether the answer is streamed or not.
 func TestStreamedAndUnstreamedAnswersAgree(t *testing.T) {
 	d := startDeployment(t, nil)
 	for _, prompt := range []string{"Does span 14 need pruning?", strings.Repeat("bamboo near the conductor. ", 15_000)} {
@@ -108,6 +109,8 @@
 	}
 }
 
+// Repeats of a call with its idempotency key must get the first answer instead of another run, and
+// another call with the same key must be refused.
 func TestPlainCallWithKeyRunsOnce(t *testing.T) {
 	d := startDeployment(t, func(c *Config) { c.Engines = 1 })
 	var bodies []string
--- a/entry/dev/limits_test.go
+++ b/entry/dev/limits_test.go
@@ -24,8 +24,8 @@
 
 var limitedQuota = limits.Key{Service: PlainService, Organisation: limitedKey}
 
-// startLimited starts entries that know each other and an organisation with a low request rate
-// limit, and waits until they agree on the owner of its limits.
+// startLimited starts entries, waits until they know each other, and adds an organisation with a low
+// request rate limit. It then waits until the entries agree on the owner of the limits.
 func startLimited(t *testing.T, entries int) *Deployment {
 	d := startDeployment(t, func(c *Config) { c.Engines, c.Plains, c.Entries = 0, 2, entries })
 	d.waitForEntries(t)
@@ -95,29 +95,34 @@
 	return admittedCalls.Load(), time.Since(start)
 }
 
-// maxAdmitted is the bound on admitted requests that core/limits documents, where the given number of
-// entries (shares) fall back to their local shares of the limits.
-func maxAdmitted(elapsed time.Duration, entries, shares int) float64 {
+// maxAdmitted is the bound on admitted requests that core/limits documents, where fallbacks is the
+// number of entries that fall back to their local shares of the limits.
+func maxAdmitted(elapsed time.Duration, entries, fallbacks int) float64 {
 	share := limitedRate*elapsed.Seconds()/float64(entries) + max(1, burst/float64(entries))
-	return limitedRate*(elapsed+grantTTL).Seconds() + burst + float64(shares)*share
+	return limitedRate*(elapsed+grantTTL).Seconds() + burst + float64(fallbacks)*share
 }
 
+// All entries get more calls than the limit allows. If each entry enforced the limit on its own, the
+// organisation could exceed it by the number of entries.
 func TestLimitHoldsAcrossAllEntries(t *testing.T) {
 	d := startLimited(t, 4)
 	admitted, elapsed := flood(t, d.Entries)
-	shares := 0
+	// An entry without an answer from the owner in time falls back to its local share.
+	fallbacks := 0
 	for _, e := range d.Entries {
 		if e.Quota.Counters.Silent.Load() > 0 {
-			shares++
+			fallbacks++
 		}
 	}
-	t.Logf("%d calls admitted in %v; %d entries used their local shares", admitted, elapsed, shares)
+	t.Logf("%d calls admitted in %v; %d entries used their local shares", admitted, elapsed, fallbacks)
+	// The burst alone admits more than this, unless the owner grants hardly any requests.
 	require.GreaterOrEqual(t, admitted, int64(burst/2))
-	require.LessOrEqual(t, float64(admitted), maxAdmitted(elapsed, 4, shares))
+	require.LessOrEqual(t, float64(admitted), maxAdmitted(elapsed, 4, fallbacks))
 }
 
-// The entry that owns an organisation's limits stops while requests continue at the others. These must
-// neither wait for the failed owner nor admit all requests.
+// The entry that owns an organisation's limits stops while requests continue at the others. The other
+// entries must neither wait for the failed owner nor admit all requests, and must get answers from
+// the new owner.
 func TestLimitsSurviveOwnerFailure(t *testing.T) {
 	d := startLimited(t, 3)
 	owner := d.Entries[0].Quota.Owner(limitedQuota)
@@ -131,16 +136,18 @@
 	}
 	admitted, elapsed := flood(t, survivors)
 	require.Positive(t, admitted)
+	// Both survivors may fall back to their local shares, and the new owner starts with a full burst.
 	require.LessOrEqual(t, float64(admitted), maxAdmitted(elapsed, 3, 2)+burst, "two shares and a change of owner")
 
 	eventually(t, "the survivors do not agree on a new owner", func() bool { return agreeOnOwner(survivors, 2) })
-	granted := func() (sum int64) {
+	// AnswersReceived also counts answers that grant nothing.
+	answersAfterCalls := func() (sum int64) {
 		for _, e := range survivors {
 			callLimited(t, e)
 			sum += e.Quota.Counters.AnswersReceived.Load()
 		}
 		return sum
 	}
-	before := granted()
-	eventually(t, "the new owner grants nothing", func() bool { return granted() > before })
+	before := answersAfterCalls()
+	eventually(t, "the new owner does not answer", func() bool { return answersAfterCalls() > before })
 }
--- a/entry/dev/recovery_test.go
+++ b/entry/dev/recovery_test.go
@@ -61,7 +61,7 @@
 	for b.Loop() {
 		worst = max(worst, longestGap(b, d, func() {
 			for _, r := range d.Relays {
-				r.Mute()
+				r.Silence()
 			}
 		}))
 	}
@@ -109,7 +109,7 @@
 		used := d.usedAgent(b)
 		start := time.Now()
 		fault(d, used)
-		for d.agentState(d.agents[used].VM) == routing.Live {
+		for d.agentState(d.agentConfigs[used].VM) == routing.Live {
 			time.Sleep(time.Millisecond)
 		}
 		worst = max(worst, time.Since(start))
--- a/entry/dev/refused_test.go
+++ b/entry/dev/refused_test.go
@@ -41,7 +41,7 @@
 }
 
 // The only plain service refuses connections and the call fails with 503. Without a Retry-After
-// header, all client libraries would retry at once.
+// header, all client libraries would retry immediately.
 func TestUnavailableHasRetryAfter(t *testing.T) {
 	d := startDeployment(t, func(c *Config) { c.Engines, c.Plains = 0, 1 })
 	d.closePlainService(t, 0)
--- a/entry/dev/restart.go
+++ b/entry/dev/restart.go
@@ -8,7 +8,7 @@
 	"acaciacleat.example/peers/link"
 )
 
-// KillAgent stops an agent at once, as a crash does.
+// KillAgent stops an agent immediately, as a crash does.
 func (d *Deployment) KillAgent(i int) { d.Agents[i].Stop() }
 
 // DrainAgent stops an agent gracefully within limit.
@@ -20,7 +20,7 @@
 
 // RestartAgent starts a new incarnation of a stopped agent on its VM.
 func (d *Deployment) RestartAgent(i int) error {
-	agent, err := d.runAgent(&d.agents[i])
+	agent, err := d.runAgent(&d.agentConfigs[i])
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// KillEntry stops an entry at once, as a crash does.
+// KillEntry stops an entry immediately, as a crash does.
 func (d *Deployment) KillEntry(i int) { d.Entries[i].Stop() }
 
 // DrainEntry stops an entry gracefully within limit.
@@ -40,8 +40,8 @@
 
 // RestartEntry starts a new incarnation of a stopped entry on its VM.
 func (d *Deployment) RestartEntry(i int) error {
-	d.entries[i].Incarnation = link.NewIncarnation()
-	e, err := entryprocess.Start(d.entries[i])
+	d.entryConfigs[i].Incarnation = link.NewIncarnation()
+	e, err := entryprocess.Start(d.entryConfigs[i])
 	if err != nil {
 		return err
 	}
--- a/entry/dev/standins.go
+++ b/entry/dev/standins.go
@@ -124,7 +124,7 @@
 	return url, err
 }
 
-// Stop stops all stand-ins at once.
+// Stop stops all stand-ins immediately, without completing requests.
 func (s *StandIns) Stop() { s.servers.close() }
 
 // UsageText returns a text with the URLs of the stand-ins and an example of a VM list.
--- a/entry/dev/stop_bound_test.go
+++ b/entry/dev/stop_bound_test.go
@@ -63,7 +63,7 @@
 		status <- got
 	}()
 	agent := <-delayed.boundAgent
-	i := slices.IndexFunc(d.agents, func(a server.Config) bool { return a.VM == agent })
+	i := slices.IndexFunc(d.agentConfigs, func(a server.Config) bool { return a.VM == agent })
 	stopped := make(chan error, 1)
 	go func() {
 		d.DrainAgent(i, drainLimit)
--- a/entry/dev/stops_test.go
+++ b/entry/dev/stops_test.go
@@ -52,18 +52,18 @@
 	require.Empty(t, w.stopAndCheck())
 }
 
-// All open links go silent at once, twice, while new links work, as when a network device between the
-// VMs loses its connection table. TCP detects this only much later, and requests would hang until
-// their deadlines.
+// All open links go silent at the same time, twice, while new links work, as when a network device
+// between the VMs loses its connection table. TCP detects this only much later, and requests would
+// hang until their deadlines.
 func TestSilentLinks(t *testing.T) {
 	w := startTraffic(t, func(c *Config) { c.Relays = true })
 	for range 2 {
 		w.waitForRequests(100)
-		muted := 0
+		silenced := 0
 		for _, r := range w.d.Relays {
-			muted += r.Mute()
+			silenced += r.Silence()
 		}
-		require.NotZero(t, muted)
+		require.NotZero(t, silenced)
 	}
 	w.waitForRequests(200)
 	require.Empty(t, w.stopAndCheck())
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -12,7 +12,8 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// Names of the operations in Fault. OpStream is for faults with AfterTokens.
+// Operations that the field Operation of a Fault can name. OpStream is for faults with AfterTokens,
+// OpOrder for orders to load a model or an adapter or to change the role.
 const (
 	OpGenerate    = "generate"
 	OpStream      = "stream"
@@ -28,21 +29,27 @@
 
 // Stats counts what an engine did, which a real engine does not report.
 type Stats struct {
-	// Runs counts how often each request ID began to run.
+	// Runs counts the runs that began, by request ID.
 	Runs map[string]int `json:"runs"`
 	// HeldTokens is the memory held by requests and reservations, CachedTokens the size of the
 	// prefix cache in addition to it.
 	HeldTokens   int64 `json:"held_tokens"`
 	CachedTokens int64 `json:"cached_tokens"`
-	Running      int   `json:"running"`
-	Waiting      int   `json:"waiting"`
-	Reservations int   `json:"reservations"`
-	Completed    int   `json:"completed"`
-	Cancelled    int   `json:"cancelled"`
-	Preempted    int   `json:"preempted"`
-	Expired      int   `json:"expired"`
-	Refused      int   `json:"refused"`
-	Steps        int   `json:"steps"`
+	// Running, Waiting and Reservations are the present numbers of runs in the batch, of runs in the
+	// queue, and of reservations.
+	Running      int `json:"running"`
+	Waiting      int `json:"waiting"`
+	Reservations int `json:"reservations"`
+	// Completed counts the runs that produced their last token, Cancelled those that were cancelled
+	// by a call or a closed connection, and Preempted the preemptions.
+	Completed int `json:"completed"`
+	Cancelled int `json:"cancelled"`
+	Preempted int `json:"preempted"`
+	// Expired counts the reservations that expired, Refused the refused generation requests, and
+	// Steps the steps of the step loop.
+	Expired int `json:"expired"`
+	Refused int `json:"refused"`
+	Steps   int `json:"steps"`
 }
 
 // Engine is one stand-in engine. It is safe for concurrent use.
@@ -52,24 +59,29 @@
 	faults      faults.Table
 	streams     streamFaults
 	groupClient *http.Client
-	// orderSlot has capacity for the one order that is being executed.
+	// orderSlot is a semaphore: at most one order is executed at a time.
 	orderSlot chan struct{}
 
-	mu           sync.Mutex
-	model        string
-	version      string
-	role         string
-	adapters     map[string]string
-	fence        uint64
-	loading      bool
-	closed       bool
-	looping      bool
-	drained      chan struct{}
-	usedTokens   int64
+	mu       sync.Mutex
+	model    string
+	version  string
+	role     string
+	adapters map[string]string
+	// fencingToken is the highest fencing token of an order, if the engine is configured to check
+	// them.
+	fencingToken uint64
+	// loading is set while an order to load a model drains the engine and replaces the model.
+	loading         bool
+	closed          bool
+	stepLoopRunning bool
+	// drained, if not nil, is closed when the last sequence ends.
+	drained    chan struct{}
+	usedTokens int64
+	// arrivals counts the accepted requests; it provides their order and their run IDs.
 	arrivals     uint64
 	waiting      []*sequence
 	running      []*sequence
-	sequences    map[string]*sequence // by run
+	sequences    map[string]*sequence // by run ID
 	reservations map[string]*reservation
 	cache        *cache
 	events       eventLog
@@ -77,7 +89,8 @@
 	stats        Stats
 }
 
-// New returns an engine that serves its configured model. It does not need to be closed.
+// New returns an engine that serves its configured model. An engine without requests needs no
+// cleanup; Close only simulates a failure.
 func New(config Config) *Engine {
 	config = config.withDefaults()
 	e := &Engine{
@@ -160,11 +173,12 @@
 	e.cache.clear()
 }
 
-// memoryChanged handles a change of the used memory: it adjusts the cache, admits waiting requests,
-// and resumes a load order that waits for the engine to drain. The caller holds e.mu.
+// memoryChanged handles a change of the used memory: it adjusts the limit of the cache, admits
+// waiting requests (startStepLoop), and resumes an order to load a model that waits until the engine
+// has drained. The caller holds e.mu.
 func (e *Engine) memoryChanged() {
 	e.cache.setLimit(e.cacheLimit())
-	e.startLoop()
+	e.startStepLoop()
 	if len(e.sequences) == 0 && e.drained != nil {
 		close(e.drained)
 		e.drained = nil
@@ -177,25 +191,26 @@
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
-	e.cancelAll(r.PathValue("id"), r.URL.Query().Get("run"))
+	e.cancelRuns(r.PathValue("id"), r.URL.Query().Get("run"))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// cancelAll cancels all runs of a request and its reservation, or only the given run.
-func (e *Engine) cancelAll(id, run string) {
+// cancelRuns cancels the run with the given ID, or, if runID is empty, all runs of the request and its
+// reservation.
+func (e *Engine) cancelRuns(id, runID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, seq := range e.sequences {
-		if seq.id == id && (run == "" || run == seq.run) {
+		if seq.id == id && (runID == "" || runID == seq.runID) {
 			e.stopLocked(seq, cancelled)
 		}
 	}
-	if run == "" && e.dropReservation(id) {
+	if runID == "" && e.dropReservation(id) {
 		e.memoryChanged()
 	}
 }
 
-// stopSequence stops a sequence that may already have ended.
+// stopSequence ends a sequence with the given outcome, unless it has already ended.
 func (e *Engine) stopSequence(seq *sequence, o outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -111,6 +111,8 @@
 	return salt + strings.Repeat("abcd", tokens-peer.TokensOf(len(salt)))
 }
 
+// A continuation on another engine must produce exactly the missing tokens, wherever the first run
+// stopped; a continuation of another prompt's answer is refused.
 func TestContinuationAtEachIndexGivesTheWholeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{AnswerTokens: 80})
@@ -178,7 +180,7 @@
 				results <- generate(ctx, e, a)
 			}()
 		case 2:
-			e.cancelAll(id, "")
+			e.cancelRuns(id, "")
 		case 3:
 			e.setReservation(id, int64(tokens.Draw(t, "reserved")), time.Duration(rapid.IntRange(1, 500).Draw(t, "ttl"))*time.Millisecond)
 		case 4:
@@ -199,7 +201,7 @@
 	require.Zero(t, stats.HeldTokens)
 	require.Zero(t, stats.Running+stats.Waiting+stats.Reservations)
 	require.Empty(t, e.sequences)
-	require.False(t, e.looping)
+	require.False(t, e.stepLoopRunning)
 }
 
 // checkAccounting compares the sum of the allocations with the engine's counter.
@@ -213,6 +215,8 @@
 	require.LessOrEqual(t, report.UsedTokens+report.CachedTokens, report.CapacityTokens)
 }
 
+// A cached prefix is not prefilled again, its events become visible after their delay, and the cache
+// gives way to reserved memory, evicting the beginning of a prefix last.
 func TestPrefixCacheSavesPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{EventDelay: time.Second})
@@ -236,6 +240,7 @@
 	})
 }
 
+// Lost events must leave gaps in the sequence numbers, by which readers detect the loss.
 func TestEventsHaveGaps(t *testing.T) {
 	l := eventLog{config: Config{EventLoss: 0.25, EventsRetained: 1000, Seed: 1}}
 	for i := range 1000 {
@@ -249,6 +254,8 @@
 	}
 }
 
+// With preemption, a short request of higher priority starts while a long one occupies the memory.
+// The preempted request must still give its whole answer and count as one run.
 func TestPriorityAndPreemption(t *testing.T) {
 	for _, preempt := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -292,6 +299,7 @@
 	})
 }
 
+// A report must show a reservation, and its expiry, exactly one ReportLag late.
 func TestReportLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{ReportLag: time.Second})
@@ -307,6 +315,8 @@
 	})
 }
 
+// A model load completes the accepted requests, refuses new ones, and takes the transfer time of the
+// artifact. An order with an outdated fencing token is refused if the engine checks the tokens.
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{CheckFence: true, ModelBytes: 4e9, WeightRate: 1e9})
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -52,7 +52,7 @@
 	group.watch(func() { e.stopSequence(seq, memberLost) })
 	fault, _ := e.streams.next()
 	out := newSSE(w, seq.id, seq.model, chat)
-	out.begin(seq.run)
+	out.begin(seq.runID)
 	e.streamTokens(r, out, seq, fault)
 }
 
@@ -141,8 +141,8 @@
 	}
 	e.arrivals++
 	seq.arrival = e.arrivals
-	seq.run = strconv.FormatUint(e.arrivals, 10)
-	e.sequences[seq.run] = seq
+	seq.runID = strconv.FormatUint(e.arrivals, 10)
+	e.sequences[seq.runID] = seq
 	if seq.deliveredTokens == seq.answerTokens {
 		// Only the end of the answer is missing.
 		e.waiting = insert(e.waiting, seq)
@@ -150,7 +150,7 @@
 		return nil
 	}
 	e.waiting = insert(e.waiting, seq)
-	e.startLoop()
+	e.startStepLoop()
 	e.recordState()
 	return nil
 }
--- a/standin/engine/httpfaults/httpfaults.go
+++ b/standin/engine/httpfaults/httpfaults.go
@@ -69,9 +69,9 @@
 // discardingWriter is a response writer that discards the response.
 type discardingWriter struct{ header http.Header }
 
-func (l *discardingWriter) Header() http.Header         { return l.header }
-func (l *discardingWriter) Write(p []byte) (int, error) { return len(p), nil }
-func (l *discardingWriter) WriteHeader(int)             {}
+func (w *discardingWriter) Header() http.Header         { return w.header }
+func (w *discardingWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (w *discardingWriter) WriteHeader(int)             {}
 
 // Put returns the handler of PUT /faults: it reads a JSON list and passes it to set.
 func Put[F any](set func(...F)) http.HandlerFunc {
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -11,15 +11,15 @@
 	"github.com/pkg/errors"
 )
 
-// order executes an order, one at a time, and answers when it is done. Like in real engines, an
-// order is also executed if its caller disconnects.
+// order executes an order and answers when it is done. Orders are executed one at a time. As in real
+// engines, an order is executed even if its caller disconnects.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var order peer.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		refuse(w, http.StatusBadRequest, peer.TypeInvalid, err.Error())
 		return
 	}
-	if err := e.checkFence(order.Fence); err != nil {
+	if err := e.checkFencingToken(order.Fence); err != nil {
 		refuse(w, err.status, err.kind, err.message)
 		return
 	}
@@ -46,18 +46,18 @@
 	}
 }
 
-// checkFence refuses fencing tokens lower than the highest seen, if the engine is configured to
-// check them.
-func (e *Engine) checkFence(fence uint64) *refusal {
+// checkFencingToken refuses fencing tokens lower than the highest seen, if the engine is configured
+// to check them.
+func (e *Engine) checkFencingToken(token uint64) *refusal {
 	if !e.config.CheckFence {
 		return nil
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if fence < e.fence {
+	if token < e.fencingToken {
 		return &refusal{http.StatusConflict, peer.TypeFenced, "a higher fencing number was seen"}
 	}
-	e.fence = fence
+	e.fencingToken = token
 	return nil
 }
 
@@ -65,7 +65,7 @@
 	e.orderSlot <- struct{}{}
 	defer func() { <-e.orderSlot }()
 	// Meanwhile an order with a higher fencing token may have been executed.
-	if err := e.checkFence(order.Fence); err != nil {
+	if err := e.checkFencingToken(order.Fence); err != nil {
 		return err
 	}
 	switch order.Kind {
@@ -88,7 +88,7 @@
 	e.recordState()
 }
 
-// loadModel refuses new requests, waits for the accepted ones to finish, and replaces the model.
+// loadModel refuses new requests, waits until the accepted ones have ended, and replaces the model.
 // The cache and the adapters of the old model are dropped.
 func (e *Engine) loadModel(ctx context.Context, order peer.Order) error {
 	if e.servesModel(order) {
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -46,7 +46,7 @@
 		UsedTokens:     e.usedTokens,
 		CachedTokens:   e.cache.tokens(),
 		Allocations:    make([]peer.Allocation, 0, len(e.running)+len(e.reservations)),
-		Fence:          e.fence,
+		Fence:          e.fencingToken,
 	}
 	for _, seq := range e.running {
 		report.Allocations = append(report.Allocations, peer.Allocation{ID: seq.id, Tokens: seq.memoryTokens})
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -10,7 +10,7 @@
 type sequence struct {
 	// Set at submission, then constant.
 	id              string
-	run             string
+	runID           string
 	priority        int
 	arrival         uint64
 	answer          answer
--- a/standin/engine/sse.go
+++ b/standin/engine/sse.go
@@ -23,11 +23,11 @@
 	return &sse{w: w, flush: func() { _ = controller.Flush() }, id: id, model: model, chat: chat}
 }
 
-func (s *sse) begin(run string) {
+func (s *sse) begin(runID string) {
 	header := s.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
-	header.Set(peer.HeaderRun, run)
+	header.Set(peer.HeaderRun, runID)
 	s.w.WriteHeader(http.StatusOK)
 	s.flush()
 }
--- a/standin/engine/step.go
+++ b/standin/engine/step.go
@@ -24,22 +24,24 @@
 	tokens int
 }
 
-// startLoop starts the step loop if it is not running and a request can run. The caller holds e.mu.
-func (e *Engine) startLoop() {
-	if e.looping || e.closed {
+// startStepLoop admits waiting requests, and starts the step loop if one of them can run. It does
+// nothing if the engine is closed, or if the loop is running, which admits requests itself. The caller
+// holds e.mu.
+func (e *Engine) startStepLoop() {
+	if e.stepLoopRunning || e.closed {
 		return
 	}
 	e.admit()
 	if len(e.running) == 0 {
 		return
 	}
-	e.looping = true
-	go e.loop()
+	e.stepLoopRunning = true
+	go e.stepLoop()
 }
 
-// loop runs steps while requests run. It schedules the end of each step from that of the step
-// before, so that timer errors do not accumulate.
-func (e *Engine) loop() {
+// stepLoop runs steps while there are running requests. It schedules the end of
+// each step from that of the step before, so that timer errors do not accumulate.
+func (e *Engine) stepLoop() {
 	next := time.Now()
 	for {
 		s, ok := e.beginStep()
@@ -60,7 +62,7 @@
 	defer e.mu.Unlock()
 	e.admit()
 	if len(e.running) == 0 || e.closed {
-		e.looping = false
+		e.stepLoopRunning = false
 		return step{}, false
 	}
 	e.stats.Steps++
@@ -229,7 +231,7 @@
 	} else {
 		e.waiting = remove(e.waiting, seq)
 	}
-	delete(e.sequences, seq.run)
+	delete(e.sequences, seq.runID)
 	seq.ended.Store(&o)
 	seq.signal()
 	e.memoryChanged()
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -26,7 +26,8 @@
 	HeaderCallTag   = "X-Call-Tag"
 )
 
-// Names of the operations in faults.Fault. OpRead are GET and HEAD calls, OpWrite all others.
+// Operations that faults.Fault.Operation can name. OpRead are GET and HEAD calls, OpWrite all other
+// calls, OpHealth the health checks.
 const (
 	OpRead   = "read"
 	OpWrite  = "write"
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -13,6 +13,7 @@
 
 // Objects is the object store in memory.
 type Objects struct {
+	// faults holds the injected faults of all operations.
 	faults *faults.Table
 
 	mu   sync.Mutex
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -10,7 +10,7 @@
 	"acaciacleat.example/standin/faults"
 )
 
-// Names of the operations in faults.Fault.
+// Operations that faults.Fault.Operation can name.
 const (
 	OpTableGet        = "table.get"
 	OpTableScan       = "table.scan"
--- a/standin/platform/rowset.go
+++ b/standin/platform/rowset.go
@@ -38,15 +38,16 @@
 	return table.Row{}, false
 }
 
-// write adds a change and drops the changes that no read at or after the replica's time can see.
-func (s *rowSet) write(c change, replica time.Time) {
+// write adds a change and drops the changes that no read at or after replicaTime, the time whose
+// state the replica shows, can see.
+func (s *rowSet) write(c change, replicaTime time.Time) {
 	name := c.row.Key.Row
 	changes, known := s.history[name]
 	changes = append(changes, c)
-	for len(changes) > 1 && !changes[1].at.After(replica) {
+	for len(changes) > 1 && !changes[1].at.After(replicaTime) {
 		changes = changes[1:]
 	}
-	if len(changes) == 1 && c.deleted && !c.at.After(replica) {
+	if len(changes) == 1 && c.deleted && !c.at.After(replicaTime) {
 		s.remove(name)
 		return
 	}
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -22,13 +22,15 @@
 // Table is the table service in memory. One counter provides all versions, so the version of a row
 // increases even across its deletion.
 type Table struct {
+	// faults holds the injected faults of all operations.
 	faults *faults.Table
 
 	mu       sync.Mutex
 	tables   map[string]*rowSet
 	revision uint64
 	lag      time.Duration
-	tokens   map[string]commitResult
+	// resultsByToken holds the results of the commits of at least the last table.TokenMemory.
+	resultsByToken map[string]commitResult
 	// tokenOrder holds the tokens, oldest first, so that expired ones can be removed.
 	tokenOrder []tokenTime
 }
@@ -48,14 +50,15 @@
 // NewTable returns an empty table service.
 func NewTable(f *faults.Table) *Table {
 	return &Table{
-		faults: f,
-		tables: make(map[string]*rowSet),
-		tokens: make(map[string]commitResult),
+		faults:         f,
+		tables:         make(map[string]*rowSet),
+		resultsByToken: make(map[string]commitResult),
 	}
 }
 
-// SetReplicaLag sets the lag of the replica that serves stale reads. Writes made before an increase
-// of the lag may be visible at once.
+// SetReplicaLag sets the lag of the replica that serves stale reads. After an increase, stale reads
+// may miss a row that was written within the new lag, because its older states have been dropped
+// according to the previous lag.
 func (t *Table) SetReplicaLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,18 +144,18 @@
 	defer t.mu.Unlock()
 	now := time.Now()
 	t.expireTokens(now)
-	if recorded, ok := t.tokens[tx.Token]; ok {
+	if recorded, ok := t.resultsByToken[tx.Token]; ok {
 		return slices.Clone(recorded.versions), recorded.err
 	}
 	result := t.apply(tx, now)
-	t.tokens[tx.Token] = result
+	t.resultsByToken[tx.Token] = result
 	t.tokenOrder = append(t.tokenOrder, tokenTime{tx.Token, now})
 	return slices.Clone(result.versions), result.err
 }
 
 func (t *Table) expireTokens(now time.Time) {
 	for len(t.tokenOrder) > 0 && now.Sub(t.tokenOrder[0].at) > table.TokenMemory {
-		delete(t.tokens, t.tokenOrder[0].token)
+		delete(t.resultsByToken, t.tokenOrder[0].token)
 		t.tokenOrder = t.tokenOrder[1:]
 	}
 }
--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -14,6 +14,7 @@
 
 // VMs is the list of VMs in memory. List returns the list as it was a configurable time ago.
 type VMs struct {
+	// faults holds the injected faults of all operations.
 	faults *faults.Table
 
 	mu  sync.Mutex
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -16,6 +16,7 @@
 
 // Weights is the weight store in memory. It executes all fetches one after another at its rate.
 type Weights struct {
+	// faults holds the injected faults of all operations.
 	faults *faults.Table
 	rate   float64
 
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -11,7 +11,6 @@
 // Direction is a direction of data through a relay.
 type Direction uint8
 
-// The directions.
 const (
 	ToTarget Direction = iota
 	FromTarget
@@ -21,24 +20,24 @@
 type Relay struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	target string
-	pairs  map[*pair]struct{}
-	// dropping and delay are the active disruptions.
+	mu          sync.Mutex
+	target      string
+	connections map[*connection]struct{}
+	// dropping (by direction) and delay are the active disruptions.
 	dropping [2]bool
 	delay    time.Duration
 	// link, if not nil, limits the bandwidth of all connections together.
 	link *Link
 }
 
-// pair is one forwarded connection: near is the end at the dialler, far that at the target. A
-// direction that has lost data stays silent for good, since later data would otherwise arrive
-// without the data before it.
-type pair struct {
-	relay     *Relay
-	near, far net.Conn
-	mu        sync.Mutex
-	silent    [2]bool
+// connection is one forwarded connection, with its ends at the client and at the target. A direction
+// that has lost data is silenced for good, since later data would otherwise arrive without the data
+// before it.
+type connection struct {
+	relay          *Relay
+	client, target net.Conn
+	mu             sync.Mutex
+	silenced       [2]bool
 }
 
 // New listens on a free port and forwards connections to target until Close.
@@ -47,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: listener, target: target, pairs: make(map[*pair]struct{})}
+	r := &Relay{listener: listener, target: target, connections: make(map[*connection]struct{})}
 	go r.accept()
 	return r, nil
 }
@@ -62,8 +61,8 @@
 	r.target = target
 }
 
-// Drop discards all data in the given directions, on open and new connections, until Restore.
-// Connections stay open; those that have lost data stay silent.
+// Drop discards all data in the given directions, on open and new connections, until Restore. The
+// connections stay open. Those that lost data in that time stay silent also after Restore.
 func (r *Relay) Drop(directions ...Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +78,8 @@
 	r.delay = d
 }
 
-// SetLink sets the link that all data passes, which other relays may share. Nil removes it.
+// SetLink sets the link that limits the bandwidth of all connections together. Several relays may
+// share a link. Nil removes it.
 func (r *Relay) SetLink(link *Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,35 +99,35 @@
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
-		for _, c := range []net.Conn{p.near, p.far} {
-			if tcp, ok := c.(*net.TCPConn); ok {
+	for c := range r.connections {
+		for _, end := range []net.Conn{c.client, c.target} {
+			if tcp, ok := end.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0) // Fails only if the connection is already closed.
 			}
 		}
-		p.close()
+		c.close()
 	}
 }
 
-// Mute makes all open connections discard data in both directions for good. They stay open, and new
-// connections work. It returns their number.
-func (r *Relay) Mute() int {
+// Silence silences both directions of all open connections for good and returns the number of these
+// connections. They stay open, and new connections work.
+func (r *Relay) Silence() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
-		p.mu.Lock()
-		p.silent = [2]bool{true, true}
-		p.mu.Unlock()
+	for c := range r.connections {
+		c.mu.Lock()
+		c.silenced = [2]bool{true, true}
+		c.mu.Unlock()
 	}
-	return len(r.pairs)
+	return len(r.connections)
 }
 
 // CloseConnections closes all open connections.
 func (r *Relay) CloseConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
-		p.close()
+	for c := range r.connections {
+		c.close()
 	}
 }
 
@@ -139,44 +139,44 @@
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.forward(near)
+		go r.forward(client)
 	}
 }
 
-func (r *Relay) forward(near net.Conn) {
+func (r *Relay) forward(client net.Conn) {
 	r.mu.Lock()
-	target := r.target
+	address := r.target
 	r.mu.Unlock()
-	far, err := net.Dial("tcp", target)
+	target, err := net.Dial("tcp", address)
 	if err != nil {
-		near.Close()
+		client.Close()
 		return
 	}
-	p := &pair{relay: r, near: near, far: far}
+	c := &connection{relay: r, client: client, target: target}
 	r.mu.Lock()
-	r.pairs[p] = struct{}{}
+	r.connections[c] = struct{}{}
 	r.mu.Unlock()
 	var wait sync.WaitGroup
-	wait.Go(func() { p.copy(ToTarget, far, near) })
-	wait.Go(func() { p.copy(FromTarget, near, far) })
+	wait.Go(func() { c.copy(ToTarget, target, client) })
+	wait.Go(func() { c.copy(FromTarget, client, target) })
 	wait.Wait()
 	r.mu.Lock()
-	delete(r.pairs, p)
+	delete(r.connections, c)
 	r.mu.Unlock()
 }
 
 const bufferBytes = 32 << 10
 
-func (p *pair) copy(direction Direction, to, from net.Conn) {
-	defer p.closeUnlessSilent(direction)
+func (c *connection) copy(direction Direction, to, from net.Conn) {
+	defer c.closeUnlessSilenced(direction)
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && p.admit(direction, n) {
+		if n > 0 && c.admit(direction, n) {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -187,41 +187,42 @@
 	}
 }
 
-// admit waits for the active delay and the link, and reports whether n bytes may be forwarded.
-func (p *pair) admit(direction Direction, n int) bool {
-	swallowed, delay, link := p.relay.disruption(direction)
+// admit waits for the active delay and the link, and reports whether n bytes may be forwarded. Data
+// that is dropped silences the direction.
+func (c *connection) admit(direction Direction, n int) bool {
+	dropping, delay, link := c.relay.disruption(direction)
 	if link != nil {
 		delay += link.transferTime(direction, n)
 	}
 	if delay > 0 {
 		time.Sleep(delay)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.silent[direction] = p.silent[direction] || swallowed
-	return !p.silent[direction]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silenced[direction] = c.silenced[direction] || dropping
+	return !c.silenced[direction]
 }
 
 // disruption returns the active disruptions of a direction.
-func (r *Relay) disruption(direction Direction) (swallowed bool, delay time.Duration, link *Link) {
+func (r *Relay) disruption(direction Direction) (dropping bool, delay time.Duration, link *Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.dropping[direction], r.delay, r.link
 }
 
-// closeUnlessSilent closes both ends when one is closed, unless the direction is silent: the other
-// end must not notice then.
-func (p *pair) closeUnlessSilent(direction Direction) {
-	swallowed, _, _ := p.relay.disruption(direction)
-	p.mu.Lock()
-	muted := swallowed || p.silent[direction]
-	p.mu.Unlock()
-	if !muted {
-		p.close()
+// closeUnlessSilenced closes both ends after one has been closed. If the direction of the close drops
+// data or is silenced, the connection stays open, as if the close had been lost too.
+func (c *connection) closeUnlessSilenced(direction Direction) {
+	dropping, _, _ := c.relay.disruption(direction)
+	c.mu.Lock()
+	silenced := dropping || c.silenced[direction]
+	c.mu.Unlock()
+	if !silenced {
+		c.close()
 	}
 }
 
-func (p *pair) close() {
-	p.near.Close()
-	p.far.Close()
+func (c *connection) close() {
+	c.client.Close()
+	c.target.Close()
 }
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -76,6 +76,8 @@
 	require.True(t, timeout.Timeout())
 }
 
+// A connection that has lost data must stay silent after Restore: later data would arrive as if
+// nothing were missing before it.
 func TestDroppedDirectionStaysSilentOnItsConnections(t *testing.T) {
 	for _, direction := range []Direction{ToTarget, FromTarget} {
 		r, conn := newEchoRelay(t)
