--- a/soak/caller.go
+++ b/soak/caller.go
@@ -17,8 +17,8 @@
 	// streamEvents and eventInterval make a stream last 0.6 s, so that stops happen during streams.
 	streamEvents  = 12
 	eventInterval = 50 * time.Millisecond
-	// streamDeadline is the deadline that callers send for streams. After clientTimeout they give
-	// up on an entry that does not answer.
+	// streamDeadline is the deadline that callers send for streams. clientTimeout is the time after
+	// which they give up on an entry that does not answer.
 	streamDeadline = 3 * time.Second
 	clientTimeout  = 10 * time.Second
 	// plainDeadline is the time limit of the routes of plain services.
@@ -29,7 +29,7 @@
 	// before it chooses another entry.
 	requestsPerConnection = 25
 	// longPromptTokens is the size of a prompt that several engines prefill for seconds. On average
-	// one in longPromptEvery streams has it, so that the engines' published capacity suffices.
+	// one in longPromptEvery streams has it, so that the memory of the engines suffices.
 	longPromptTokens   = 250_000
 	longPromptEvery    = 40
 	longPromptDeadline = 8 * time.Second
@@ -111,8 +111,8 @@
 	return routes[0]
 }
 
-// answer is a caller's request with the response to it.
-type answer struct {
+// exchange is a caller's request with the response to it.
+type exchange struct {
 	route    route
 	uri, id  string
 	long     bool
@@ -129,80 +129,80 @@
 
 func (c *caller) send(r route) {
 	c.counter++
-	a := &answer{route: r, id: fmt.Sprintf("caller-%d-%d", c.number, c.counter), deadline: plainDeadline}
-	a.uri = r.prefix + a.id
+	ex := &exchange{route: r, id: fmt.Sprintf("caller-%d-%d", c.number, c.counter), deadline: plainDeadline}
+	ex.uri = r.prefix + ex.id
 	if r.once {
-		c.harness.recorder.expectAtMostOnce(a.uri)
+		c.harness.recorder.expectAtMostOnce(ex.uri)
 	}
-	call := standin.Call{ID: a.id, Path: a.uri, Body: "body"}
+	call := standin.Call{ID: ex.id, Path: ex.uri, Body: "body"}
 	if r.stream {
-		a.deadline = streamDeadline
+		ex.deadline = streamDeadline
 		call.PromptTokens, call.OutputTokens = 500<<c.random.IntN(6), maxOutputTokens
-		if a.long = c.random.IntN(longPromptEvery) == 0; a.long {
-			call.PromptTokens, a.deadline = longPromptTokens, longPromptDeadline
+		if ex.long = c.random.IntN(longPromptEvery) == 0; ex.long {
+			call.PromptTokens, ex.deadline = longPromptTokens, longPromptDeadline
 		}
-		call.TimeLeft = a.deadline
+		call.TimeLeft = ex.deadline
 	}
-	request, err := call.Request(c.entry.callers.Addr())
+	request, err := call.Request(c.entry.callerRelay.Addr())
 	if err != nil {
 		c.harness.recorder.addViolation(NotRecovered, "%v", err)
 		return
 	}
-	a.began = time.Now()
-	c.receive(request, a)
-	a.ended = time.Now()
-	c.check(a)
+	ex.began = time.Now()
+	c.receive(request, ex)
+	ex.ended = time.Now()
+	c.check(ex)
 }
 
 // receive sends a request and reads its response.
-func (c *caller) receive(request *http.Request, a *answer) {
+func (c *caller) receive(request *http.Request, ex *exchange) {
 	response, err := c.client.Do(request)
 	if err != nil {
-		a.err = err
+		ex.err = err
 		return
 	}
 	defer response.Body.Close()
-	a.status, a.header, a.closing = response.StatusCode, response.Header, response.Close
-	a.body, a.err = io.ReadAll(response.Body)
+	ex.status, ex.header, ex.closing = response.StatusCode, response.Header, response.Close
+	ex.body, ex.err = io.ReadAll(response.Body)
 }
 
 // check checks an answer against the guarantees.
-func (c *caller) check(a *answer) {
-	if a.err != nil || a.closing || c.process.ended() {
+func (c *caller) check(ex *exchange) {
+	if ex.err != nil || ex.closing || c.process.ended() {
 		c.remaining = 0
 	}
 	rec := c.harness.recorder
-	rec.countOutcome(outcome(a))
-	if a.status != 0 {
-		c.checkClaims(a)
+	rec.countOutcome(outcome(ex))
+	if ex.status != 0 {
+		c.checkClaims(ex)
 	}
 	switch {
-	case a.err != nil:
-		c.checkFailed(a)
-	case a.status == http.StatusOK:
-		c.checkComplete(a)
-	case a.status < http.StatusInternalServerError && !promisesNotRun(a.status):
-		rec.addViolation(Rejected, "entry %d answered %s with %d: %.200s", c.entry.index, a.uri, a.status, a.body)
+	case ex.err != nil:
+		c.checkFailed(ex)
+	case ex.status == http.StatusOK:
+		c.checkComplete(ex)
+	case ex.status < http.StatusInternalServerError && !promisesNotRun(ex.status):
+		rec.addViolation(Rejected, "entry %d answered %s with %d: %.200s", c.entry.index, ex.uri, ex.status, ex.body)
 	}
-	took := a.ended.Sub(a.began)
-	if took > a.deadline+deadlineSlack && rec.undisrupted(c.entry.index, c.connectedAt, a.ended, hopCallers, hopProcess) {
-		rec.addViolation(DeadlineMissed, "%s at entry %d ended after %s", a.uri, c.entry.index, took.Round(time.Millisecond))
+	took := ex.ended.Sub(ex.began)
+	if took > ex.deadline+deadlineSlack && rec.undisrupted(c.entry.index, c.connectedAt, ex.ended, partCallers, partProcess) {
+		rec.addViolation(DeadlineMissed, "%s at entry %d ended after %s", ex.uri, c.entry.index, took.Round(time.Millisecond))
 	}
 	// A long prompt may be refused at any time to protect other requests.
-	refused := a.long && promisesNotRun(a.status)
-	if rec.mustSucceed(a.began) && !refused && (a.err != nil || a.status != http.StatusOK) {
-		rec.addViolation(NotRecovered, "%s at entry %d: %s: %v %.300s", a.uri, c.entry.index, outcome(a), a.err, a.body)
+	refused := ex.long && promisesNotRun(ex.status)
+	if rec.mustSucceed(ex.began) && !refused && (ex.err != nil || ex.status != http.StatusOK) {
+		rec.addViolation(NotRecovered, "%s at entry %d: %s: %v %.300s", ex.uri, c.entry.index, outcome(ex), ex.err, ex.body)
 	}
 }
 
-func outcome(a *answer) string {
+func outcome(ex *exchange) string {
 	switch {
-	case a.err != nil && a.status == 0:
+	case ex.err != nil && ex.status == 0:
 		return "no answer"
-	case a.err != nil:
+	case ex.err != nil:
 		return "broken off"
 	default:
-		return strconv.Itoa(a.status)
+		return strconv.Itoa(ex.status)
 	}
 }
 
@@ -216,53 +216,55 @@
 	}
 }
 
-// checkClaims records the answer's statement that the request did not run, and checks that such a
+// checkClaims records an answer's statement that the request did not run, and checks that such a
 // refusal has Retry-After.
-func (c *caller) checkClaims(a *answer) {
+func (c *caller) checkClaims(ex *exchange) {
 	rec := c.harness.recorder
-	notRun := a.header.Get("X-Execution") == "not-run"
-	if promisesNotRun(a.status) && a.route.once || notRun {
-		rec.recordNotRun(a.uri, fmt.Sprintf("entry %d said with %d %.200s", c.entry.index, a.status, a.body))
+	notRun := ex.header.Get("X-Execution") == "not-run"
+	if promisesNotRun(ex.status) && ex.route.once || notRun {
+		rec.recordNotRun(ex.uri, fmt.Sprintf("entry %d said with %d %.200s", c.entry.index, ex.status, ex.body))
 	}
-	if promisesNotRun(a.status) && a.header.Get("Retry-After") == "" {
-		rec.addViolation(NoRetryAfter, "%s at entry %d: %d without Retry-After", a.uri, c.entry.index, a.status)
+	if promisesNotRun(ex.status) && ex.header.Get("Retry-After") == "" {
+		rec.addViolation(NoRetryAfter, "%s at entry %d: %d without Retry-After", ex.uri, c.entry.index, ex.status)
 	}
 }
 
-// checkFailed checks an answer that is missing or incomplete. A stop is no excuse before the entry
-// reports that it is not ready, and neither is the end of a stream that had enough time to finish.
-func (c *caller) checkFailed(a *answer) {
+// checkFailed checks an answer that is missing or incomplete. The failure is excused by a disruption
+// of the entry's process or of its connections to callers, by a disruption of upstreams once the
+// answer has begun, and by a graceful stop if the request was sent at the end of notReadyDelay or
+// later. Requests sent before that, streams included, must complete.
+func (c *caller) checkFailed(ex *exchange) {
 	rec := c.harness.recorder
-	excused := !rec.undisrupted(c.entry.index, c.connectedAt, a.ended, hopCallers, hopProcess)
-	if a.status != 0 {
+	excused := !rec.undisrupted(c.entry.index, c.connectedAt, ex.ended, partCallers, partProcess)
+	if ex.status != 0 {
 		// A failure of an upstream in the middle of its answer can only be signalled by a broken
 		// connection.
-		excused = excused || !rec.undisrupted(c.entry.index, a.began.Add(-reconnectTime), a.ended, hopUpstreams)
+		excused = excused || !rec.undisrupted(c.entry.index, ex.began.Add(-reconnectTime), ex.ended, partUpstreams)
 	}
-	if stopped, at := c.harness.stoppedAt(c.process); stopped && a.began.After(at.Add(readyOffDelay-pollInterval)) {
+	if stopped, at := c.harness.stoppedAt(c.process); stopped && ex.began.After(at.Add(notReadyDelay-pollInterval)) {
 		excused = true
 	}
 	if !excused {
-		rec.addViolation(ConnectionLost, "%s at entry %d, %s after %s: %v", a.uri, c.entry.index, outcome(a), a.ended.Sub(a.began).Round(time.Millisecond), a.err)
+		rec.addViolation(ConnectionLost, "%s at entry %d, %s after %s: %v", ex.uri, c.entry.index, outcome(ex), ex.ended.Sub(ex.began).Round(time.Millisecond), ex.err)
 	}
 }
 
 // checkComplete checks an answer that was received to its end.
-func (c *caller) checkComplete(a *answer) {
+func (c *caller) checkComplete(ex *exchange) {
 	rec := c.harness.recorder
-	id, sealed := standin.Origin(a.header)
-	if id != a.id {
-		rec.addViolation(WrongAnswer, "%s got an answer to %q", a.uri, id)
+	id, fromUpstream := standin.Origin(ex.header)
+	if id != ex.id {
+		rec.addViolation(WrongAnswer, "%s got an answer to %q", ex.uri, id)
 	}
-	if !sealed {
-		rec.addViolation(WrongAnswer, "%s got an answer that bears no upstream's seal", a.uri)
+	if !fromUpstream {
+		rec.addViolation(WrongAnswer, "%s got an answer that bears no upstream's seal", ex.uri)
 	}
-	want := []byte("answer to " + a.uri)
-	if a.route.stream {
+	want := []byte("answer to " + ex.uri)
+	if ex.route.stream {
 		want = fullStream
 	}
-	if !bytes.Equal(a.body, want) {
-		rec.addViolation(TruncatedAnswer, "%s ended with %d of %d bytes: %.200q", a.uri, len(a.body), len(want), a.body)
+	if !bytes.Equal(ex.body, want) {
+		rec.addViolation(TruncatedAnswer, "%s ended with %d of %d bytes: %.200q", ex.uri, len(ex.body), len(want), ex.body)
 	}
 }
 
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -10,73 +10,74 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTestCaller returns a caller of one entry without disruptions.
+// newTestCaller returns a caller of an entry for which no disruption has been recorded.
 func newTestCaller() *caller {
 	h := &harness{recorder: newRecorder(), stopTimes: make(map[*process]time.Time)}
 	p := &process{done: make(chan struct{}), started: time.Now().Add(-time.Minute)}
 	return &caller{harness: h, entry: &entry{}, process: p, connectedAt: time.Now().Add(-time.Second)}
 }
 
-func newTestAnswer(status int, body string) *answer {
+// newTestExchange returns an exchange without violations, with the given status and body.
+func newTestExchange(status int, body string) *exchange {
 	now := time.Now()
-	a := &answer{
+	ex := &exchange{
 		route: routes[1], uri: "/jobs/id", id: "id", began: now.Add(-time.Millisecond), ended: now, status: status, body: []byte(body),
 		deadline: plainDeadline,
 		header:   http.Header{"Retry-After": {"1"}},
 	}
-	standin.SetOrigin(a.header, a.id, "seal")
-	return a
+	standin.SetOrigin(ex.header, ex.id, "seal")
+	return ex
 }
 
 const expectedAnswer = "answer to /jobs/id"
 
 // Each check of an answer must detect its violation, and a correct answer must pass all checks.
-func TestAnswersAreChecked(t *testing.T) {
+func TestEachAnswerViolationIsReported(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
 		body   string
-		change func(a *answer, c *caller)
+		change func(ex *exchange, c *caller)
 		want   Check
 	}{
 		{"complete", http.StatusOK, expectedAnswer, nil, ""},
 		{"incomplete", http.StatusOK, expectedAnswer[:5], nil, TruncatedAnswer},
-		{"of another request", http.StatusOK, expectedAnswer, func(a *answer, _ *caller) { standin.SetOrigin(a.header, "other", "seal") }, WrongAnswer},
-		{"of no upstream", http.StatusOK, expectedAnswer, func(a *answer, _ *caller) { standin.SetOrigin(a.header, a.id, "") }, WrongAnswer},
+		{"of another request", http.StatusOK, expectedAnswer, func(ex *exchange, _ *caller) { standin.SetOrigin(ex.header, "other", "seal") }, WrongAnswer},
+		{"of no upstream", http.StatusOK, expectedAnswer, func(ex *exchange, _ *caller) { standin.SetOrigin(ex.header, ex.id, "") }, WrongAnswer},
 		{"rejected", http.StatusNotFound, "", nil, Rejected},
-		{"refused without Retry-After", http.StatusServiceUnavailable, "", func(a *answer, _ *caller) { a.header.Del("Retry-After") }, NoRetryAfter},
+		{"refused without Retry-After", http.StatusServiceUnavailable, "", func(ex *exchange, _ *caller) { ex.header.Del("Retry-After") }, NoRetryAfter},
 		{"refused", http.StatusServiceUnavailable, "", nil, ""},
-		{"late", http.StatusOK, expectedAnswer, func(a *answer, _ *caller) { a.began = a.began.Add(-plainDeadline - deadlineSlack) }, DeadlineMissed},
-		{"connection lost", 0, "", func(a *answer, _ *caller) { a.err = errors.New("reset") }, ConnectionLost},
-		{"connection lost by a kill", 0, "", func(a *answer, c *caller) {
-			a.err = errors.New("reset")
-			c.harness.recorder.beginDisruption(hopProcess, 0)
-			a.ended = time.Now()
+		{"late", http.StatusOK, expectedAnswer, func(ex *exchange, _ *caller) { ex.began = ex.began.Add(-plainDeadline - deadlineSlack) }, DeadlineMissed},
+		{"connection lost", 0, "", func(ex *exchange, _ *caller) { ex.err = errors.New("reset") }, ConnectionLost},
+		{"connection lost by a kill", 0, "", func(ex *exchange, c *caller) {
+			ex.err = errors.New("reset")
+			c.harness.recorder.beginDisruption(partProcess, 0)
+			ex.ended = time.Now()
 		}, ""},
-		{"connection lost by a stop", 0, "", func(a *answer, c *caller) {
-			a.err = errors.New("reset")
-			c.harness.stopTimes[c.process] = a.began
+		{"connection lost by a stop", 0, "", func(ex *exchange, c *caller) {
+			ex.err = errors.New("reset")
+			c.harness.stopTimes[c.process] = ex.began
 		}, ConnectionLost},
-		{"after a stop", 0, "", func(a *answer, c *caller) {
-			a.err = errors.New("refused")
-			c.harness.stopTimes[c.process] = a.began.Add(-readyOffDelay)
+		{"after a stop", 0, "", func(ex *exchange, c *caller) {
+			ex.err = errors.New("refused")
+			c.harness.stopTimes[c.process] = ex.began.Add(-notReadyDelay)
 		}, ""},
-		{"interrupted by an upstream", http.StatusOK, "", func(a *answer, c *caller) {
-			a.err = errors.New("reset")
-			c.harness.recorder.beginDisruption(hopUpstreams, allEntries)
-			a.ended = time.Now()
+		{"interrupted by an upstream", http.StatusOK, "", func(ex *exchange, c *caller) {
+			ex.err = errors.New("reset")
+			c.harness.recorder.beginDisruption(partUpstreams, allEntries)
+			ex.ended = time.Now()
 		}, ""},
-		{"interrupted without a disruption", http.StatusOK, "", func(a *answer, _ *caller) { a.err = errors.New("reset") }, ConnectionLost},
-		{"failed after recovery", http.StatusBadGateway, "", func(_ *answer, c *caller) { c.harness.recorder.requireSuccessAfter(-time.Minute) }, NotRecovered},
+		{"interrupted without a disruption", http.StatusOK, "", func(ex *exchange, _ *caller) { ex.err = errors.New("reset") }, ConnectionLost},
+		{"failed after recovery", http.StatusBadGateway, "", func(_ *exchange, c *caller) { c.harness.recorder.requireSuccessAfter(-time.Minute) }, NotRecovered},
 		{"failed", http.StatusBadGateway, "", nil, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			c, a := newTestCaller(), newTestAnswer(test.status, test.body)
+			c, ex := newTestCaller(), newTestExchange(test.status, test.body)
 			if test.change != nil {
-				test.change(a, c)
+				test.change(ex, c)
 			}
-			c.check(a)
+			c.check(ex)
 			requireViolation(t, c.harness.recorder, test.want)
 		})
 	}
@@ -92,7 +93,9 @@
 	require.Equal(t, want, r.violations[0].Check)
 }
 
-func TestRunsAreChecked(t *testing.T) {
+// A second run of a request that may run only once, and any run after a refusal, must each be
+// reported, and reported once although the checks repeat.
+func TestForbiddenRunsAreReportedOnce(t *testing.T) {
 	r := newRecorder()
 	r.expectAtMostOnce("/jobs/a")
 	r.recordNotRun("/jobs/b", "entry 0")
@@ -105,14 +108,18 @@
 	require.Equal(t, RanAfterRefusal, r.violations[1].Check)
 }
 
-func TestRunsOfACrashingRequestAreChecked(t *testing.T) {
+// Runs of a crashing request must be reported if more than maxLateRuns begin later than
+// crashNoticeLimit after the run that reached crashLimit, unless their entry was disrupted.
+func TestCrashingRequestThatKeepsRunningIsReported(t *testing.T) {
 	begin := time.Now()
-	runs := func(later int) []standin.Run {
+	// The first crashLimit runs begin one second apart, the last of them after 2 s; the late runs
+	// follow crashNoticeLimit after it.
+	runs := func(lateRuns int) []standin.Run {
 		var all []standin.Run
 		for i := range crashLimit {
 			all = append(all, standin.Run{ID: "a", At: begin.Add(time.Duration(i) * time.Second)})
 		}
-		for i := range later {
+		for i := range lateRuns {
 			all = append(all, standin.Run{ID: "a", At: begin.Add(2*time.Second + crashNoticeLimit + time.Duration(i+1)*time.Millisecond)})
 		}
 		return all
@@ -125,13 +132,15 @@
 	requireViolation(t, r, CrashNotContained)
 
 	r = newRecorder()
-	r.beginDisruption(hopStore, 1)
+	r.beginDisruption(partStore, 1)
 	r.disruptions[0].from = begin
 	r.checkCrashes("/ask/fatal-1", runs(maxLateRuns+1), sent)
 	require.Empty(t, r.violations, "runs from a disrupted entry do not count")
 }
 
-func TestVersionsAreChecked(t *testing.T) {
+// An entry that returns to an older version, or still applies an older one after applyLimit, must be
+// reported; while its connection to the store is disrupted, the delay is excused.
+func TestOldConfigurationVersionsAreReported(t *testing.T) {
 	p := &process{started: time.Now().Add(-time.Minute)}
 	e := &entry{index: 1}
 	r := newRecorder()
@@ -142,7 +151,7 @@
 	r.versions = []acknowledgedVersion{{version: 4, at: time.Now().Add(-applyLimit - time.Second)}}
 	r.checkVersion(e, p, 4, 4)
 	require.Empty(t, r.violations)
-	end := r.beginDisruption(hopStore, 1)
+	end := r.beginDisruption(partStore, 1)
 	r.checkVersion(e, p, 3, 3)
 	require.Empty(t, r.violations, "a disrupted entry may be late")
 	end()
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -48,7 +48,7 @@
 // sendCrashingRequests repeats a request that crashes the engines that run it, and checks how often
 // it ran.
 func (h *harness) sendCrashingRequests(ctx context.Context, path string, duration time.Duration) {
-	defer h.recorder.beginDisruption(hopUpstreams, allEntries)()
+	defer h.recorder.beginDisruption(partUpstreams, allEntries)()
 	sent := &sentRequests{entries: make(map[string]int)}
 	ctx, cancel := context.WithTimeout(ctx, duration+crashTail)
 	defer cancel()
@@ -71,7 +71,7 @@
 // sendCrashingRequest sends the request once and ignores its result: the upstreams record what ran.
 func (h *harness) sendCrashingRequest(ctx context.Context, e *entry, id, path string) {
 	call := standin.Call{ID: id, Path: path, Body: "body", PromptTokens: 1000, OutputTokens: maxOutputTokens, TimeLeft: streamDeadline}
-	request, err := call.Request(e.callers.Addr())
+	request, err := call.Request(e.callerRelay.Addr())
 	if err != nil {
 		h.recorder.addViolation(NotRecovered, "a request can't be made: %v", err)
 		return
@@ -127,7 +127,7 @@
 	defer sent.mu.Unlock()
 	late := 0
 	for _, run := range runs[crashLimit:] {
-		undisrupted := r.undisrupted(sent.entries[run.ID], run.At.Add(-crashNoticeLimit), run.At, hopStore, hopProcess)
+		undisrupted := r.undisrupted(sent.entries[run.ID], run.At.Add(-crashNoticeLimit), run.At, partStore, partProcess)
 		if run.At.After(noticeDeadline) && undisrupted {
 			late++
 		}
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -16,16 +16,16 @@
 
 // entry is an entry VM: its current process and the relays on its connections.
 type entry struct {
-	index   int
-	program string
-	file    string
-	log     string
-	// callers is the relay between callers and the entry, store that between the entry and the
-	// store.
-	callers, store *relay.Relay
+	index        int
+	program      string
+	settingsFile string
+	logFile      string
+	// callerRelay is the relay between callers and the entry, storeRelay that between the entry and
+	// the store.
+	callerRelay, storeRelay *relay.Relay
 
-	// replaceMu is held while the process is replaced or sent signals.
-	replaceMu sync.Mutex
+	// restartMu is held while the process is restarted or receives signals.
+	restartMu sync.Mutex
 
 	mu      sync.Mutex
 	process *process
@@ -35,16 +35,16 @@
 }
 
 func (e *entry) start() error {
-	p, err := startProcess(e.program, e.file, e.log)
+	p, err := startProcess(e.program, e.settingsFile, e.logFile)
 	if err != nil {
 		return err
 	}
-	if e.callers == nil {
-		if e.callers, err = relay.New(p.addrs.Callers); err != nil {
+	if e.callerRelay == nil {
+		if e.callerRelay, err = relay.New(p.addrs.Callers); err != nil {
 			return errors.Wrap(err, "relay before an entry")
 		}
 	}
-	e.callers.SetTarget(p.addrs.Callers)
+	e.callerRelay.SetTarget(p.addrs.Callers)
 	e.mu.Lock()
 	e.process, e.ready, e.version = p, false, 0
 	e.mu.Unlock()
--- a/soak/events.go
+++ b/soak/events.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// storeDelay and upstreamDelay delay slow connections in each direction; storeAnswerDelay is
-	// how long a slow store delays each call.
-	storeDelay       = 300 * time.Millisecond
-	upstreamDelay    = 40 * time.Millisecond
-	storeAnswerDelay = 700 * time.Millisecond
+	// storeConnectionDelay (StoreSlow) and upstreamDelay (UpstreamSlow) delay all data on a
+	// connection in each direction. storeCallDelay is the delay of each call under StoreDelayed.
+	storeConnectionDelay = 300 * time.Millisecond
+	upstreamDelay        = 40 * time.Millisecond
+	storeCallDelay       = 700 * time.Millisecond
 	// lowStoreBandwidth is in bytes per second.
 	lowStoreBandwidth = 1 << 20
-	// routesPerGrow is the number of routes that Grow adds, maxExtraRoutes their largest total. It
-	// gives a table that does not fit into one frame of a link.
+	// routesPerGrow is the number of routes that Grow adds, maxExtraRoutes their largest total. With
+	// maxExtraRoutes, the route table does not fit into one frame of a link.
 	routesPerGrow  = 4000
 	maxExtraRoutes = 8000
-	// faultyRequests is how many requests to a service Misbehave affects.
+	// faultyRequests is the number of requests to a service that UpstreamFaults affects.
 	faultyRequests = 4
 	// drainNoticeLimit is the platform's limit for entries to stop sending requests to a draining
 	// upstream, drainDuration the shortest time for which an upstream drains.
 	drainNoticeLimit = 3 * time.Second
 	drainDuration    = drainNoticeLimit + time.Second
 	// restartNoticeLimit is the time within which entries learn from the registry that an upstream
-	// has restarted (they wait for its changes and read them within milliseconds).
+	// has restarted. They watch the registry and read its changes within milliseconds.
 	restartNoticeLimit = time.Second
 )
 
@@ -46,12 +46,12 @@
 		h.killAll(ctx, duration)
 	case CallerReset, CallerSilent:
 		e := h.entries[event.Target]
-		h.disruptConnections(ctx, event.Kind, e.callers, duration, h.recorder.beginDisruption(hopCallers, e.index))
+		h.disruptConnections(ctx, event.Kind, e.callerRelay, duration, h.recorder.beginDisruption(partCallers, e.index))
 	case StoreReset, StoreSilent, StoreOneWay, StoreSlow:
 		e := h.entries[event.Target]
-		h.disruptConnections(ctx, event.Kind, e.store, duration, h.recorder.beginDisruption(hopStore, e.index))
+		h.disruptConnections(ctx, event.Kind, e.storeRelay, duration, h.recorder.beginDisruption(partStore, e.index))
 	case UpstreamReset, UpstreamSilent, UpstreamOneWay, UpstreamSlow:
-		h.disruptConnections(ctx, event.Kind, h.upstreams[event.Target], duration, h.recorder.beginDisruption(hopUpstreams, allEntries))
+		h.disruptConnections(ctx, event.Kind, h.upstreamRelays[event.Target], duration, h.recorder.beginDisruption(partUpstreams, allEntries))
 	case StoreOutage, StoreUnresponsive, StoreAnswersLost, StoreDelayed, StoreCompacted, StoreFeedsClosed:
 		h.disruptStore(ctx, event.Kind, duration)
 	case StoreLowBandwidth:
@@ -68,20 +68,20 @@
 		h.restartUpstream(ctx, h.standins.Replicas()[event.Target], duration)
 	case CrashingRequest:
 		h.sendCrashingRequests(ctx, fmt.Sprintf("%s%d", fatalPrefix, event.AtMs), duration)
-	case Misbehave:
-		h.misbehave(ctx, event.Target, [2]standin.ReplicaFault{standin.ReplicaFault(event.Fault), event.secondFault()}, duration)
+	case UpstreamFaults:
+		h.injectUpstreamFaults(ctx, event.Target, [2]standin.ReplicaFault{standin.ReplicaFault(event.Fault), event.secondFault()}, duration)
 	}
 }
 
-// misbehave applies two faults alternately to the next requests of a service, whichever of its
-// upstreams receives them, so that a retry meets another fault than the first attempt.
-func (h *harness) misbehave(ctx context.Context, target int, pair [2]standin.ReplicaFault, duration time.Duration) {
-	defer h.recorder.beginDisruption(hopUpstreams, allEntries)()
+// injectUpstreamFaults applies two faults alternately to the next requests of a service, whichever
+// of its upstreams receives them, so that a retry meets another fault than the first attempt.
+func (h *harness) injectUpstreamFaults(ctx context.Context, target int, alternating [2]standin.ReplicaFault, duration time.Duration) {
+	defer h.recorder.beginDisruption(partUpstreams, allEntries)()
 	replicas := h.standins.Plains
 	if target < len(h.standins.Engines) {
 		replicas = h.standins.Engines
 	}
-	shared := standin.FaultQueue(slices.Repeat(pair[:], faultyRequests/len(pair))...)
+	shared := standin.FaultQueue(slices.Repeat(alternating[:], faultyRequests/len(alternating))...)
 	for _, replica := range replicas {
 		replica.ShareFaults(shared)
 	}
@@ -92,20 +92,20 @@
 }
 
 func (h *harness) disruptProcess(ctx context.Context, kind Kind, e *entry, duration time.Duration) {
-	e.replaceMu.Lock()
-	defer e.replaceMu.Unlock()
+	e.restartMu.Lock()
+	defer e.restartMu.Unlock()
 	p, _ := e.current()
 	switch kind {
 	case Stop:
 		h.stop(e)
-		h.replace(e)
+		h.restartEntry(e)
 	case Kill:
-		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		defer h.recorder.beginDisruption(partProcess, e.index)()
 		e.terminate(syscall.SIGKILL)
 		wait(ctx, duration)
-		h.replace(e)
+		h.restartEntry(e)
 	case Pause:
-		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		defer h.recorder.beginDisruption(partProcess, e.index)()
 		p.signal(syscall.SIGSTOP)
 		wait(ctx, duration)
 		p.signal(syscall.SIGCONT)
@@ -119,14 +119,14 @@
 
 func (h *harness) killAll(ctx context.Context, duration time.Duration) {
 	for _, e := range h.entries {
-		e.replaceMu.Lock()
-		defer e.replaceMu.Unlock()
-		defer h.recorder.beginDisruption(hopProcess, e.index)()
+		e.restartMu.Lock()
+		defer e.restartMu.Unlock()
+		defer h.recorder.beginDisruption(partProcess, e.index)()
 		e.terminate(syscall.SIGKILL)
 	}
 	wait(ctx, duration)
 	for _, e := range h.entries {
-		h.replace(e)
+		h.restartEntry(e)
 	}
 }
 
@@ -141,7 +141,7 @@
 	case StoreOneWay, UpstreamOneWay:
 		r.Drop(relay.FromTarget)
 	case StoreSlow:
-		r.Delay(storeDelay)
+		r.Delay(storeConnectionDelay)
 	case UpstreamSlow:
 		r.Delay(upstreamDelay)
 	}
@@ -149,9 +149,10 @@
 	r.Restore()
 }
 
-// disruptStore injects a fault into the store itself. Of overlapping faults the latest is active.
+// disruptStore injects a fault into the store itself. If faults overlap, the one set last replaces
+// the others and stays active until all have ended. StoreCompacted has no duration.
 func (h *harness) disruptStore(ctx context.Context, kind Kind, duration time.Duration) {
-	defer h.recorder.beginDisruption(hopStore, allEntries)()
+	defer h.recorder.beginDisruption(partStore, allEntries)()
 	store := h.standins.Store
 	fault := faults.Fault{Operation: "*"}
 	switch kind {
@@ -165,7 +166,7 @@
 	case StoreAnswersLost:
 		fault.Kind = faults.AnswerLost
 	case StoreDelayed:
-		fault.Kind, fault.Delay = faults.Slow, storeAnswerDelay
+		fault.Kind, fault.Delay = faults.Slow, storeCallDelay
 	case StoreFeedsClosed:
 		fault.Operation, fault.Kind = standin.OpFeed, faults.Die
 	}
@@ -182,28 +183,28 @@
 	h.mu.Unlock()
 }
 
-// limitBandwidth limits the bandwidth between an entry and the store for a while.
+// limitBandwidth limits the bandwidth between an entry and the store for the duration.
 func (h *harness) limitBandwidth(ctx context.Context, e *entry, duration time.Duration) {
-	e.store.SetLink(relay.NewLink(lowStoreBandwidth))
+	e.storeRelay.SetLink(relay.NewLink(lowStoreBandwidth))
 	wait(ctx, duration)
-	e.store.SetLink(nil)
+	e.storeRelay.SetLink(nil)
 }
 
 // configure writes a new version of the configuration with more extra routes.
 func (h *harness) configure(more int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.version++
+	h.configVersion++
 	h.extraRoutes = min(h.extraRoutes+more, maxExtraRoutes)
-	h.standins.Configure(h.version, h.extraRoutes)
-	h.recorder.recordVersion(uint64(h.version))
+	h.standins.Configure(h.configVersion, h.extraRoutes)
+	h.recorder.recordVersion(uint64(h.configVersion))
 }
 
 // allUndisrupted reports whether nothing disrupted any entry or its connections to the store
 // between two times.
 func (h *harness) allUndisrupted(from, to time.Time) bool {
 	return !slices.ContainsFunc(h.entries, func(e *entry) bool {
-		return !h.recorder.undisrupted(e.index, from.Add(-reconnectTime), to, hopStore, hopProcess)
+		return !h.recorder.undisrupted(e.index, from.Add(-reconnectTime), to, partStore, partProcess)
 	})
 }
 
@@ -214,7 +215,7 @@
 	lock := h.rowLocks[replica]
 	lock.Lock()
 	defer lock.Unlock()
-	defer h.recorder.beginDisruption(hopUpstreams, allEntries)()
+	defer h.recorder.beginDisruption(partUpstreams, allEntries)()
 	for _, silent := range []bool{false, true} {
 		began := time.Now()
 		replica.Restart(began.UnixMilli(), silent)
@@ -226,11 +227,11 @@
 	}
 }
 
-// checkConfiguration requests the route of the last version and the route of the version before it
-// from each entry.
+// checkConfiguration checks that each entry serves the route of the latest version and answers 404
+// for the route of the version before.
 func (h *harness) checkConfiguration() {
 	h.mu.Lock()
-	version := h.version
+	version := h.configVersion
 	h.mu.Unlock()
 	if version == 1 {
 		return // There is no earlier version.
@@ -244,7 +245,7 @@
 
 func (h *harness) checkRoute(client *http.Client, e *entry, version, want int) {
 	call := standin.Call{ID: fmt.Sprintf("version-%d-%d", e.index, version), Path: standin.VersionPath(version) + "x"}
-	request, err := call.Request(e.callers.Addr())
+	request, err := call.Request(e.callerRelay.Addr())
 	if err != nil {
 		h.recorder.addViolation(NotRecovered, "a request can't be made: %v", err)
 		return
@@ -265,23 +266,25 @@
 	h.checkUnused(ctx, replica, duration, func() { replica.Register(h.standins.Store, "draining") })
 }
 
-// addForeignRows adds rows of another writer to the registry, one of them in place of an upstream's
-// own, and checks that this upstream gets no more requests.
+// addForeignRows adds rows of another writer, which can't be decoded, to the registry. It replaces an
+// upstream's own row by such a row and checks that this upstream gets no more requests.
 func (h *harness) addForeignRows(ctx context.Context, replica *standin.Replica, duration time.Duration) {
 	store := h.standins.Store
 	rows := map[string]string{
 		"foreign-1-" + replica.ID: `"not base64!"`,
-		"foreign-2-" + replica.ID: `17`,
-		"foreign-3-" + replica.ID: `"e30="`, // {}
+		"foreign-2-" + replica.ID: `17`,     // not a string
+		"foreign-3-" + replica.ID: `"e30="`, // base64 of {}, a registration without fields
 	}
 	for key, value := range rows {
 		store.PutRaw("servers", key, []byte(value))
 		defer store.Remove("servers", key)
 	}
+	// The upstream's own row becomes the base64 of "no entry", which is not a registration.
 	h.checkUnused(ctx, replica, duration, func() { store.PutRaw("servers", replica.ID, []byte(`"bm8gZW50cnk="`)) })
 }
 
-// checkUnused makes an upstream unusable by calling begin and checks that it gets no more requests.
+// checkUnused makes an upstream unusable by calling begin and checks that it gets no more requests
+// once drainNoticeLimit has passed.
 // A paused entry may send an attempt late, so the check applies only if no entry was disrupted.
 func (h *harness) checkUnused(ctx context.Context, replica *standin.Replica, duration time.Duration, begin func()) {
 	lock := h.rowLocks[replica]
--- a/soak/harness.go
+++ b/soak/harness.go
@@ -23,9 +23,9 @@
 	dir      string
 	recorder *recorder
 	standins *standin.Deployment
-	// upstreams are the relays in front of the replicas, in the same order.
-	upstreams []*relay.Relay
-	entries   []*entry
+	// upstreamRelays are the relays in front of the upstreams, in the order of standins.Replicas.
+	upstreamRelays []*relay.Relay
+	entries        []*entry
 
 	// rowLocks has a lock for each upstream's row in the registry, so that events change it one at
 	// a time.
@@ -34,8 +34,9 @@
 	mu sync.Mutex
 	// stopTimes holds the time at which each process was told to stop gracefully.
 	stopTimes map[*process]time.Time
-	version   int
-	// extraRoutes is the number of generated routes in the configuration.
+	// configVersion is the latest version of the configuration.
+	configVersion int
+	// extraRoutes is the number of generated routes in that version.
 	extraRoutes int
 	// storeFaults counts the active faults of the store itself: the store recovers when the last
 	// one ends.
@@ -44,13 +45,13 @@
 
 // newHarness starts all parts and waits until all entries are ready.
 func newHarness(ctx context.Context, plan *Plan, program, dir string) (*harness, error) {
-	h := &harness{plan: plan, dir: dir, recorder: newRecorder(), stopTimes: make(map[*process]time.Time), version: 1}
+	h := &harness{plan: plan, dir: dir, recorder: newRecorder(), stopTimes: make(map[*process]time.Time), configVersion: 1}
 	var err error
 	if h.standins, err = standin.Start("127.0.0.1:0", plan.Engines, plan.Plains); err != nil {
 		return nil, err
 	}
-	h.standins.Configure(h.version, h.extraRoutes)
-	if err := h.startUpstreams(); err != nil {
+	h.standins.Configure(h.configVersion, h.extraRoutes)
+	if err := h.startUpstreamRelays(); err != nil {
 		return h, err
 	}
 	for i := range plan.Entries {
@@ -65,7 +66,9 @@
 	return h, h.awaitReady(ctx)
 }
 
-func (h *harness) startUpstreams() error {
+// startUpstreamRelays configures the upstreams, starts a relay in front of each, and registers the
+// upstreams under the addresses of their relays.
+func (h *harness) startUpstreamRelays() error {
 	for _, engine := range h.standins.Engines {
 		engine.Events, engine.EventInterval = streamEvents, eventInterval
 		engine.CrashOn(func(run standin.Run) bool { return strings.HasPrefix(run.URI, fatalPrefix) })
@@ -80,7 +83,7 @@
 		if err != nil {
 			return errors.Wrap(err, "relay before an upstream")
 		}
-		h.upstreams = append(h.upstreams, r)
+		h.upstreamRelays = append(h.upstreamRelays, r)
 		replica.Advertise = r.Addr()
 		replica.Register(h.standins.Store, "ready")
 	}
@@ -97,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	e := &entry{index: i, program: program, file: file, log: filepath.Join(h.dir, vm+".log"), store: store}
+	e := &entry{index: i, program: program, settingsFile: file, logFile: filepath.Join(h.dir, vm+".log"), storeRelay: store}
 	h.entries = append(h.entries, e)
 	return e.start()
 }
@@ -109,15 +112,16 @@
 	ctx, cancel := context.WithTimeout(ctx, readyLimit)
 	defer cancel()
 	for ctx.Err() == nil {
-		if h.ready() == len(h.entries) {
+		if h.countReady() == len(h.entries) {
 			return nil
 		}
 		wait(ctx, pollInterval)
 	}
-	return errors.Errorf("%d of %d entries became ready", h.ready(), len(h.entries))
+	return errors.Errorf("%d of %d entries became ready", h.countReady(), len(h.entries))
 }
 
-func (h *harness) ready() int {
+// countReady returns the number of entries that are ready.
+func (h *harness) countReady() int {
 	n := 0
 	for _, e := range h.entries {
 		if _, ready := e.current(); ready {
@@ -127,7 +131,7 @@
 	return n
 }
 
-// supervise records each unexpected exit of an entry's process and replaces the process.
+// supervise records each unexpected exit of an entry's process and then restarts the entry.
 func (h *harness) supervise(ctx context.Context, e *entry) {
 	for {
 		p, _ := e.current()
@@ -138,8 +142,8 @@
 		}
 		if !p.exitExpected.Load() {
 			h.recorder.addViolation(ProcessFailed, "entry %d ended by itself: %v", e.index, p.exitErr)
-			end := h.recorder.beginDisruption(hopProcess, e.index)
-			h.replace(e)
+			end := h.recorder.beginDisruption(partProcess, e.index)
+			h.restartEntry(e)
 			end()
 		}
 		for ctx.Err() == nil {
@@ -151,8 +155,8 @@
 	}
 }
 
-// replace starts a new process of an entry whose process has ended.
-func (h *harness) replace(e *entry) {
+// restartEntry starts a new process of an entry whose process has ended.
+func (h *harness) restartEntry(e *entry) {
 	if err := e.start(); err != nil {
 		h.recorder.addViolation(ProcessFailed, "entry %d can't be started again: %v", e.index, err)
 	}
@@ -178,7 +182,7 @@
 	h.mu.Unlock()
 	e.terminate(syscall.SIGTERM)
 	took := time.Since(began)
-	if !h.recorder.undisrupted(e.index, began, time.Now(), hopProcess) {
+	if !h.recorder.undisrupted(e.index, began, time.Now(), partProcess) {
 		return
 	}
 	if p.exitErr != nil || took > drainLimit+exitSlack {
@@ -186,8 +190,8 @@
 	}
 }
 
-// runs counts the runs at all upstreams by URI.
-func (h *harness) runs() map[string]int {
+// runsByURI returns the number of runs of each URI at all upstreams together.
+func (h *harness) runsByURI() map[string]int {
 	all := make(map[string]int)
 	for _, replica := range h.standins.Replicas() {
 		for _, run := range replica.Runs() {
@@ -197,8 +201,8 @@
 	return all
 }
 
-// releaseLimit bounds the time until upstreams have released everything that requests held. It is
-// less than the time after which reserved memory expires by itself (3.5 s).
+// releaseLimit bounds the time until upstreams have released the slots and memory of ended requests.
+// It is less than the time after which reserved memory expires by itself (3.5 s).
 const releaseLimit = 2 * time.Second
 
 // checkReleased waits until upstreams have released all slots and memory.
@@ -212,6 +216,7 @@
 	}
 }
 
+// unreleased describes an upstream that has not released all slots and memory, or returns "".
 func (h *harness) unreleased() string {
 	for _, replica := range h.standins.Replicas() {
 		if reservations, active := replica.Reserved(), replica.Active(); len(reservations) > 0 || active > 0 {
@@ -224,9 +229,10 @@
 // failureMarks are texts in the log of a process that has crashed or has a data race.
 var failureMarks = [][]byte{[]byte("panic:"), []byte("fatal error:"), []byte("DATA RACE")}
 
+// checkLogs reports each of the failure marks in the logs of the entries.
 func (h *harness) checkLogs() {
 	for _, e := range h.entries {
-		text, err := os.ReadFile(e.log)
+		text, err := os.ReadFile(e.logFile)
 		if err != nil {
 			h.recorder.addViolation(ProcessFailed, "the log of entry %d can't be read: %v", e.index, err)
 			continue
@@ -246,12 +252,12 @@
 			p.signal(syscall.SIGCONT)
 			e.terminate(syscall.SIGKILL)
 		}
-		e.store.Close()
-		if e.callers != nil {
-			e.callers.Close()
+		e.storeRelay.Close()
+		if e.callerRelay != nil {
+			e.callerRelay.Close()
 		}
 	}
-	for _, r := range h.upstreams {
+	for _, r := range h.upstreamRelays {
 		r.Close()
 	}
 	h.standins.Stop()
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -62,15 +62,15 @@
 	// CrashingRequest repeats a request, at any entry, that crashes each engine that runs it. It
 	// goes on for crashTail after Event.ForMs.
 	CrashingRequest Kind = "crashing-request"
-	// Misbehave makes the upstreams of a service apply faults to their next requests.
-	Misbehave Kind = "misbehave"
+	// UpstreamFaults makes the upstreams of a service apply faults to their next requests.
+	UpstreamFaults Kind = "misbehave"
 )
 
 var kinds = []Kind{
 	Stop, Kill, KillAll, Pause, Reload, CallerReset, CallerSilent, StoreReset, StoreSilent, StoreOneWay, StoreSlow,
 	UpstreamReset, UpstreamSilent, UpstreamOneWay, UpstreamSlow, StoreOutage, StoreUnresponsive, StoreAnswersLost, StoreDelayed,
 	StoreCompacted, StoreFeedsClosed, Configure, Configure, Configure, Drain, ForeignRows, Restart, Restart,
-	Misbehave, Misbehave, CrashingRequest, Grow, StoreLowBandwidth,
+	UpstreamFaults, UpstreamFaults, CrashingRequest, Grow, StoreLowBandwidth,
 }
 
 // Event is one disruption.
@@ -82,11 +82,11 @@
 	Kind  Kind `json:"kind"`
 	// Target is the index of the entry or the upstream, from 0.
 	Target int `json:"target"`
-	// Fault is the replica fault of Misbehave.
+	// Fault is the first replica fault of UpstreamFaults.
 	Fault string `json:"how,omitempty"`
 }
 
-// secondFault returns the second fault for Misbehave. It is derived from the event, so that a plan
+// secondFault returns the second fault of UpstreamFaults. It is derived from the event, so that a plan
 // needs to give only the first one.
 func (e *Event) secondFault() standin.ReplicaFault {
 	return standin.ReplicaFaults[e.AtMs%len(standin.ReplicaFaults)]
@@ -119,7 +119,7 @@
 	warmup = 500 * time.Millisecond
 )
 
-// NewPlan draws a plan of a run that lasts d. The same arguments give the same plan.
+// NewPlan returns a random plan of a run that lasts d. The same arguments give the same plan.
 func NewPlan(seed uint64, d time.Duration, entries int) (*Plan, error) {
 	p := &Plan{
 		Seed: seed, Entries: entries, Engines: 4, Plains: 3, Callers: 24,
@@ -142,7 +142,7 @@
 	return p, nil
 }
 
-// normalizeTargets maps the drawn numbers to indexes of entries and upstreams and clears fields
+// normalizeTargets maps the random target numbers to indexes of entries and upstreams and clears fields
 // that a kind does not use.
 func (p *Plan) normalizeTargets() {
 	for i := range p.Events {
@@ -152,7 +152,7 @@
 		} else {
 			e.Target %= p.Engines + p.Plains
 		}
-		if e.Kind != Misbehave {
+		if e.Kind != UpstreamFaults {
 			e.Fault = ""
 		}
 	}
@@ -160,7 +160,7 @@
 
 // targetsEntry reports whether a kind of event affects an entry rather than an upstream.
 func targetsEntry(kind Kind) bool {
-	return !slices.Contains([]Kind{UpstreamReset, UpstreamSilent, UpstreamOneWay, UpstreamSlow, Drain, ForeignRows, Restart, Misbehave, CrashingRequest}, kind)
+	return !slices.Contains([]Kind{UpstreamReset, UpstreamSilent, UpstreamOneWay, UpstreamSlow, Drain, ForeignRows, Restart, UpstreamFaults, CrashingRequest}, kind)
 }
 
 // ReadPlan reads a plan that a run has written.
--- a/soak/process.go
+++ b/soak/process.go
@@ -18,8 +18,9 @@
 )
 
 const (
-	// readyOffDelay and drainLimit are the entries' settings for a graceful stop.
-	readyOffDelay = 600 * time.Millisecond
+	// notReadyDelay and drainLimit are the entries' settings for a graceful stop: how long an entry
+	// reports "not ready" before it refuses requests, and its time limit for the whole stop.
+	notReadyDelay = 600 * time.Millisecond
 	drainLimit    = 4 * time.Second
 	// startLimit bounds the time until a process reports its addresses.
 	startLimit = 10 * time.Second
@@ -55,7 +56,7 @@
 	s.Callers, s.Ready, s.Metrics, s.Link = anyPort, anyPort, anyPort, anyPort
 	s.Store.Address = store
 	s.Log.Level = level
-	s.Drain = settings.GatewayDrain{ReadyOffMs: int(readyOffDelay.Milliseconds()), LimitS: drainLimit.Seconds()}
+	s.Drain = settings.GatewayDrain{ReadyOffMs: int(notReadyDelay.Milliseconds()), LimitS: drainLimit.Seconds()}
 	return file, saveSettings(file, s)
 }
 
@@ -73,12 +74,12 @@
 
 // changeSettings makes a change that an entry can reload at any time.
 func (e *entry) changeSettings() error {
-	s, err := shared.ReadFile(e.file, settings.ParseGateway)
+	s, err := shared.ReadFile(e.settingsFile, settings.ParseGateway)
 	if err != nil {
 		return err
 	}
 	s.Retries.Slack++
-	return saveSettings(e.file, s)
+	return saveSettings(e.settingsFile, s)
 }
 
 // startProcess starts a gateway, writes its output to the file log, and waits until it listens.
--- a/soak/recorder.go
+++ b/soak/recorder.go
@@ -10,7 +10,6 @@
 // Check names the guarantee that a violation breaks.
 type Check string
 
-// The checks.
 const (
 	// RanTwice: a request that may run only once ran again.
 	RanTwice Check = "twice"
@@ -24,7 +23,7 @@
 	Rejected Check = "denied"
 	// NoRetryAfter: a refusal that promises that the request did not run has no Retry-After.
 	NoRetryAfter Check = "unadvised"
-	// ConnectionLost: a request was interrupted although no fault except a planned stop was active.
+	// ConnectionLost: a request was interrupted although no fault except a graceful stop was active.
 	ConnectionLost Check = "cut-off"
 	// DeadlineMissed: the final answer came long after the request's deadline.
 	DeadlineMissed Check = "late"
@@ -32,7 +31,8 @@
 	// one was applied again.
 	ConfigurationStale    Check = "stale"
 	ConfigurationReverted Check = "back"
-	// UsedWhileDraining: a draining upstream still gets requests.
+	// UsedWhileDraining: an upstream that is draining, or whose registration is invalid, still gets
+	// requests.
 	UsedWhileDraining Check = "leaving"
 	// StaleRequests: requests still wait for an answer from an earlier incarnation of an upstream.
 	StaleRequests Check = "outlived"
@@ -42,7 +42,9 @@
 	NotReleased Check = "held"
 	// ProcessFailed: a process exited by itself, with an error, or not within its time limit.
 	ProcessFailed Check = "ended"
-	// NotRecovered: a request failed long after the last disruption.
+	// NotRecovered: a request failed long after the last disruption. It also covers failures of the
+	// harness to build a request, to get an answer for a configuration version, or to restart a
+	// crashed engine.
 	NotRecovered Check = "unwell"
 )
 
@@ -53,24 +55,25 @@
 	Detail string `json:"detail"`
 }
 
-// hop is the part of a request's path that a disruption affects.
-type hop uint8
+// disruptedPart is the part of the deployment that a disruption affects.
+type disruptedPart uint8
 
 const (
-	hopCallers hop = iota
-	hopStore
-	hopUpstreams
-	// hopProcess is disrupted by kills and pauses. A planned stop is no disruption: it excuses no
-	// failure.
-	hopProcess
+	partCallers disruptedPart = iota
+	partStore
+	partUpstreams
+	// partProcess is disrupted by kills and pauses. A graceful stop is not recorded as a disruption;
+	// see checkFailed.
+	partProcess
 )
 
 // allEntries marks a disruption of the store itself or of upstreams, which affects every entry.
 const allEntries = -1
 
-// disruption is a period in which a hop was disrupted.
+// disruption is a period in which a part of the deployment was disrupted. Its end, to, is zero while
+// the disruption lasts, and includes reconnectTime afterwards.
 type disruption struct {
-	hop      hop
+	part     disruptedPart
 	entry    int
 	from, to time.Time
 }
@@ -81,8 +84,8 @@
 	at      time.Time
 }
 
-// recorder collects the promises made to callers, the disruptions and the violations. It is safe
-// for concurrent use.
+// recorder collects the guarantees given to callers for single requests, the disruptions and the
+// violations. It is safe for concurrent use.
 type recorder struct {
 	startedAt time.Time
 
@@ -90,7 +93,7 @@
 	violations []Violation
 	outcomes   map[string]int
 	// once holds the URIs of requests that may run only once. notRun maps the URIs of requests that
-	// were reported as not run to the source of that report.
+	// were reported as not run to a description of the response that said so.
 	once   map[string]struct{}
 	notRun map[string]string
 
@@ -109,7 +112,6 @@
 	}
 }
 
-// addViolation records a violation.
 func (r *recorder) addViolation(check Check, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,9 +131,9 @@
 // detected and reopened.
 const reconnectTime = 1500 * time.Millisecond
 
-// beginDisruption records the begin of a disruption; the returned function records its end.
-func (r *recorder) beginDisruption(where hop, entry int) (end func()) {
-	d := &disruption{hop: where, entry: entry, from: time.Now()}
+// beginDisruption records the beginning of a disruption; the returned function records its end.
+func (r *recorder) beginDisruption(part disruptedPart, entry int) (end func()) {
+	d := &disruption{part: part, entry: entry, from: time.Now()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.disruptions = append(r.disruptions, d)
@@ -142,12 +144,12 @@
 	}
 }
 
-// undisrupted reports whether no disruption affected the given hops of an entry between two times.
-func (r *recorder) undisrupted(entry int, from, to time.Time, hops ...hop) bool {
+// undisrupted reports whether no disruption affected the given parts of an entry between two times.
+func (r *recorder) undisrupted(entry int, from, to time.Time, parts ...disruptedPart) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.disruptions {
-		relevant := slices.Contains(hops, d.hop) && (d.entry == allEntries || d.entry == entry)
+		relevant := slices.Contains(parts, d.part) && (d.entry == allEntries || d.entry == entry)
 		if relevant && d.from.Before(to) && (d.to.IsZero() || d.to.After(from)) {
 			return false
 		}
@@ -170,14 +172,15 @@
 	r.once[uri] = struct{}{}
 }
 
-// recordNotRun records that a request was reported as not run.
-func (r *recorder) recordNotRun(uri, source string) {
+// recordNotRun records that a request was reported as not run, with a description of the response.
+func (r *recorder) recordNotRun(uri, response string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notRun[uri] = source
+	r.notRun[uri] = response
 }
 
-// checkRuns compares the runs with the promises. It reports each violation once.
+// checkRuns checks the runs against the requests recorded by expectAtMostOnce and recordNotRun. It
+// reports each violation once.
 func (r *recorder) checkRuns(runs map[string]int) {
 	r.mu.Lock()
 	var twice, refused []string
@@ -186,8 +189,8 @@
 			twice = append(twice, fmt.Sprintf("%s ran %d times", uri, n))
 			delete(r.once, uri)
 		}
-		if source, promised := r.notRun[uri]; promised {
-			refused = append(refused, fmt.Sprintf("%s ran, though %s", uri, source))
+		if response, promised := r.notRun[uri]; promised {
+			refused = append(refused, fmt.Sprintf("%s ran, though %s", uri, response))
 			delete(r.notRun, uri)
 		}
 	}
@@ -200,7 +203,7 @@
 	}
 }
 
-// recordVersion records that a version was acknowledged.
+// recordVersion records that the store has acknowledged a configuration version.
 func (r *recorder) recordVersion(version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,7 +230,7 @@
 		}
 	}
 	r.mu.Unlock()
-	if expected.version > version && r.undisrupted(e.index, expected.at, now, hopStore, hopProcess) {
+	if expected.version > version && r.undisrupted(e.index, expected.at, now, partStore, partProcess) {
 		r.addViolation(ConfigurationStale, "entry %d obeys version %d; %d was made %s ago", e.index, version, expected.version, now.Sub(expected.at).Round(time.Millisecond))
 	}
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -74,7 +74,7 @@
 	return errors.Wrap(os.WriteFile(file, data, 0o644), "write the report")
 }
 
-// checkInterval is how often the runs at upstreams are compared with the promises.
+// checkInterval is the interval between the checks of the runs at upstreams, see checkRuns.
 const checkInterval = time.Second
 
 // execute runs the callers, the events and the checks.
@@ -116,7 +116,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			h.recorder.checkRuns(h.runs())
+			h.recorder.checkRuns(h.runsByURI())
 		}
 	}
 }
@@ -128,12 +128,12 @@
 	var stops sync.WaitGroup
 	for _, e := range h.entries {
 		stops.Go(func() {
-			e.replaceMu.Lock()
-			defer e.replaceMu.Unlock()
+			e.restartMu.Lock()
+			defer e.restartMu.Unlock()
 			h.stop(e)
 		})
 	}
 	stops.Wait()
-	h.recorder.checkRuns(h.runs())
+	h.recorder.checkRuns(h.runsByURI())
 	h.checkLogs()
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -18,7 +18,8 @@
 	os.Exit(m.Run())
 }
 
-// A short run of a drawn plan; longer runs are started by hand (docs/OPERATORS.md).
+// Runs a short random plan with a fixed seed and fails on any violation of a guarantee. Longer runs
+// are started by hand (docs/OPERATORS.md).
 func TestShortRunHasNoViolations(t *testing.T) {
 	plan, err := soak.NewPlan(7, 15*time.Second, 3)
 	require.NoError(t, err)
@@ -26,14 +27,16 @@
 	requireNoViolations(t, plan)
 }
 
-// Requests that crash engines overlap with kills, stops and an outage of the store.
+// Requests that crash engines overlap with kills, stops and an outage of the store. Entries that
+// lost their counts of crashes then would let such a request crash engine after engine.
 func TestCrashingRequestsAmongOtherFaultsCauseNoViolations(t *testing.T) {
 	plan, err := soak.ReadPlan("testdata/crashes.json")
 	require.NoError(t, err)
 	requireNoViolations(t, plan)
 }
 
-// Configurations larger than a megabyte change while the bandwidth to the store is low.
+// Configurations larger than a megabyte change while the bandwidth to the store is low. Entries must
+// still apply each version in time: low bandwidth excuses no failure.
 func TestLargeConfigurationsOverLowBandwidthCauseNoViolations(t *testing.T) {
 	plan, err := soak.ReadPlan("testdata/large.json")
 	require.NoError(t, err)
@@ -51,6 +54,8 @@
 	require.NotZero(t, report.Outcomes["200"])
 }
 
+// A run can be repeated only if its seed determines the plan. All events must end before the quiet
+// period, in which every request must succeed, so a duration too short for both is refused.
 func TestSameSeedGivesTheSamePlan(t *testing.T) {
 	first, err := soak.NewPlan(3, time.Minute, 5)
 	require.NoError(t, err)
