--- a/entry/load/exchange.go
+++ b/entry/load/exchange.go
@@ -30,7 +30,7 @@
 	maxFailureBodyBytes = 64 << 10
 )
 
-// exchange sends one request, reads its response to the end and fills in result.
+// exchange sends a request, reads its response to the end and fills in result.
 func (r *runner) exchange(request *schedule.Request, result *Result) {
 	ctx, cancel := context.WithDeadlineCause(r.requestContext, r.sendTime(request).Add(r.timeout(request)+r.config.GracePeriod), errUnanswered)
 	defer cancel()
@@ -42,7 +42,7 @@
 }
 
 func (r *runner) roundTrip(ctx context.Context, request *schedule.Request, result *Result) error {
-	httpRequest, err := r.newChatRequest(ctx, request)
+	httpRequest, err := r.newRequest(ctx, request)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,9 @@
 	}
 }
 
-func (r *runner) newChatRequest(ctx context.Context, request *schedule.Request) (*http.Request, error) {
+// newRequest returns the HTTP request for a generation, or for a call of a plain service if Call is
+// set.
+func (r *runner) newRequest(ctx context.Context, request *schedule.Request) (*http.Request, error) {
 	if request.Call != nil {
 		return r.newPlainRequest(ctx, request)
 	}
@@ -95,7 +97,7 @@
 		strconv.Quote(m.Model), request.AnswerTokens)
 	const tail = `"}]}`
 	body := io.MultiReader(bytes.NewReader([]byte(head)), request.Text.Reader(), bytes.NewReader([]byte(tail)))
-	httpRequest, err := r.newHTTPRequest(ctx, request, http.MethodPost, "/v1/chat/completions", body)
+	httpRequest, err := r.newAuthorizedRequest(ctx, request, http.MethodPost, "/v1/chat/completions", body)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +108,7 @@
 
 func (r *runner) newPlainRequest(ctx context.Context, request *schedule.Request) (*http.Request, error) {
 	c := request.Call
-	httpRequest, err := r.newHTTPRequest(ctx, request, c.Method, "/v1/services/"+c.Service+c.Path, bytes.NewReader([]byte(c.Body)))
+	httpRequest, err := r.newAuthorizedRequest(ctx, request, c.Method, "/v1/services/"+c.Service+c.Path, bytes.NewReader([]byte(c.Body)))
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +118,9 @@
 	return httpRequest, nil
 }
 
-func (r *runner) newHTTPRequest(ctx context.Context, request *schedule.Request, method, path string, body io.Reader) (*http.Request, error) {
+// newAuthorizedRequest returns an HTTP request to an entry with the organisation's key and the
+// requested deadline.
+func (r *runner) newAuthorizedRequest(ctx context.Context, request *schedule.Request, method, path string, body io.Reader) (*http.Request, error) {
 	httpRequest, err := http.NewRequestWithContext(ctx, method, r.target(request)+path, body)
 	if err != nil {
 		return nil, err
@@ -179,7 +183,7 @@
 	return &failure{code: "HTTP " + strconv.Itoa(response.StatusCode)}
 }
 
-// errBroken reports a stream that ended before [DONE], or an event that can't be parsed.
+// errBroken reports a malformed stream: it ended before [DONE], or an event can't be parsed.
 var errBroken = errors.New("the stream ended before [DONE]")
 
 var (
@@ -191,7 +195,7 @@
 // usage.
 func (r *runner) readStream(body io.Reader, request *schedule.Request, result *Result) error {
 	reader := bufio.NewReaderSize(body, eventBufferBytes)
-	previous := result.FirstToken
+	previous := result.FirstToken // 0: no event with text has been read yet
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
@@ -222,8 +226,8 @@
 	}
 }
 
-// recordToken records an event with text at the time now; previous is the time of the preceding
-// one.
+// recordToken records an event with text that arrived at the time now; previous is the time of the
+// preceding event with text. Both count from the intended send time.
 func (r *Result) recordToken(previous, now time.Duration) {
 	if r.FirstToken == 0 {
 		r.FirstToken = now
--- a/entry/load/mix/mix.go
+++ b/entry/load/mix/mix.go
@@ -9,8 +9,8 @@
 	"acaciacleat.example/core/document"
 )
 
-// Mix describes the requests of a load run. Shares and weights are relative to the sum
-// of their list.
+// Mix describes the requests of a load run. Class.Share and the weights are relative to the sum of
+// their list; Documents.Share and Plain.Share are fractions of 1.
 type Mix struct {
 	// Model is sent in every generation request.
 	Model string `json:"model" validate:"label"`
@@ -56,8 +56,8 @@
 	// Zipf is the exponent of the documents' popularity: the document of rank r occurs with a
 	// frequency proportional to 1/r^Zipf.
 	Zipf float64 `json:"zipf" validate:"gte=0,lte=5"`
-	// Part is the fraction of the prompt after the common prefix that comes from the document;
-	// the rest is unique to the prompt.
+	// Part is the fraction of a prompt's tokens, after the common prefix, that come from the
+	// document; the rest is unique to the prompt. Share, in contrast, is a fraction of the requests.
 	Part float64 `json:"part" validate:"gte=0,lte=1"`
 }
 
@@ -70,7 +70,7 @@
 	Weight float64 `json:"weight" validate:"gt=0"`
 }
 
-// Plain describes the calls of plain services and their fraction of all requests.
+// Plain describes the calls of plain services. Share is their fraction of all requests.
 type Plain struct {
 	Share float64 `json:"share" validate:"gte=0,lt=1"`
 	Calls []Call  `json:"calls" validate:"max=100,dive"`
--- a/entry/load/mix/parse.go
+++ b/entry/load/mix/parse.go
@@ -28,7 +28,7 @@
 	"lt":        {Allowed: "less than %s", Remedy: "Lower the value."},
 })
 
-// Parse parses a mix strictly and returns all faults at once; the mix is nil if there are any.
+// Parse parses a mix strictly and returns all faults together; the mix is nil if there are any.
 func Parse(data []byte) (*Mix, []strictjson.Fault) {
 	m := &Mix{Load: defaultLoad, DurationSeconds: defaultDuration}
 	if faults := strictjson.Parse(data, m, setDefaultsAndCheck); len(faults) > 0 {
--- a/entry/load/report/plot.go
+++ b/entry/load/report/plot.go
@@ -37,7 +37,7 @@
 	p.Add(plotter.NewGrid())
 	lines := 0
 	for i, group := range groupByLabel(reports) {
-		for j, class := range lengthClasses() {
+		for j, class := range lengthClassNames() {
 			added, err := addCurve(p, group, class, plotutil.Color(i), plotutil.Dashes(j))
 			if err != nil {
 				return err
--- a/entry/load/report/report.go
+++ b/entry/load/report/report.go
@@ -11,8 +11,9 @@
 	"acaciacleat.example/entry/load/schedule"
 )
 
-// Names of the rows that are not length classes.
+// Names of the rows of Report.Classes that are not length classes.
 const (
+	// PlainClass covers the calls of plain services.
 	PlainClass = "plain"
 	// AllClass covers generations of all lengths.
 	AllClass = "all"
@@ -27,27 +28,29 @@
 	Seed       uint64 `json:"seed"`
 	// Load is the offered load as a fraction of the engines' capacity; 0 when unknown.
 	Load float64 `json:"load,omitempty"`
-	// RequestsPerSecond is the offered rate, plain calls included.
+	// RequestsPerSecond is the offered rate, calls of plain services included.
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	// Speed is the speed-up of the stand-in engines over their default; 1 for other engines.
 	Speed float64 `json:"speed"`
 	// WindowSeconds is the length of the measurement window, which excludes the warm-up.
 	WindowSeconds float64 `json:"window_seconds"`
 	Interrupted   bool    `json:"interrupted,omitempty"`
-	// Classes has the length classes in order of length, then plain calls, then all generations.
-	Classes []Class `json:"classes"`
+	// Classes has rows for the length classes in order of length, then for the calls of plain
+	// services and for all generations. Rows without requests are left out.
+	Classes []Row `json:"classes"`
 	// Organisations has one row for the short requests of each organisation. Rows over all
 	// lengths would not be comparable, because organisations differ in their mix of lengths.
-	Organisations []Class `json:"organisations"`
+	Organisations []Row `json:"organisations"`
 	// Slowdown compares short requests with the same requests run alone; nil when not measured.
 	Slowdown *Slowdown `json:"slowdown,omitempty"`
 	// LagP99Ms is the 99th percentile of the client's own send delay.
 	LagP99Ms float64 `json:"lag_p99_ms"`
 }
 
-// Class is one row: a length class, plain calls or all generations.
-type Class struct {
-	Class string `json:"class"`
+// Row holds the figures of a length class, of the calls of plain services, of all generations, or of
+// the short requests of an organisation.
+type Row struct {
+	Name  string `json:"class"`
 	Count int    `json:"count"`
 	// OK counts complete responses; Late counts those of them that missed their deadline.
 	OK   int `json:"ok"`
@@ -68,7 +71,8 @@
 	ReusableTokens   int64 `json:"reusable_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 	// GoodPerSecond is the goodput: responses per second that met their deadline and ended
-	// within the window, regardless of when their requests arrived.
+	// within the window. In rows of organisations, requests that arrived during the warm-up do
+	// not count; in all other rows they do.
 	GoodPerSecond       float64 `json:"good_per_second"`
 	GoodTokensPerSecond float64 `json:"good_tokens_per_second"`
 }
@@ -89,7 +93,7 @@
 }
 
 // New aggregates the results of a run. Requests that arrive during the warm-up count only towards
-// the goodput.
+// the goodput, and not at all in the rows of organisations.
 func New(run Run, results []load.Result) *Report {
 	window := run.window(results)
 	r := &Report{
@@ -103,40 +107,40 @@
 		Interrupted:       run.Interrupted,
 	}
 	lag := newHistogram()
-	rows, organisationRows := newRows(rowNames()), newRows(run.organisationNames())
+	accumulators, organisationAccumulators := newAccumulators(rowNames()), newAccumulators(run.organisationNames())
 	for i := range results {
 		result := &results[i]
 		for _, name := range rowsFor(result.Request) {
-			rows[name].addGoodput(result, run.Warmup, run.Warmup+window)
+			accumulators[name].addGoodput(result, run.Warmup, run.Warmup+window)
 		}
 		if result.Request.At < run.Warmup {
 			continue
 		}
 		record(lag, result.Lag)
 		for _, name := range rowsFor(result.Request) {
-			rows[name].add(result)
+			accumulators[name].add(result)
 		}
 		if isShort(result, run.Warmup) && len(run.Organisations) > 0 {
-			organisationRow := organisationRows[run.Organisations[result.Request.Organisation].Name]
-			organisationRow.add(result)
-			organisationRow.addGoodput(result, run.Warmup, run.Warmup+window)
+			organisation := organisationAccumulators[run.Organisations[result.Request.Organisation].Name]
+			organisation.add(result)
+			organisation.addGoodput(result, run.Warmup, run.Warmup+window)
 		}
 	}
-	r.Classes = nonEmptyClasses(rowNames(), rows, window)
-	r.Organisations = nonEmptyClasses(run.organisationNames(), organisationRows, window)
+	r.Classes = nonEmptyRows(rowNames(), accumulators, window)
+	r.Organisations = nonEmptyRows(run.organisationNames(), organisationAccumulators, window)
 	r.LagP99Ms = newLatency(lag).P99Ms
 	return r
 }
 
-// nonEmptyClasses returns the classes that have requests, in the order of names.
-func nonEmptyClasses(names []string, rows map[string]*row, window time.Duration) []Class {
-	var classes []Class
+// nonEmptyRows returns the rows that have requests, in the order of names.
+func nonEmptyRows(names []string, accumulators map[string]*accumulator, window time.Duration) []Row {
+	var rows []Row
 	for _, name := range names {
-		if row := rows[name]; row.class.Count > 0 {
-			classes = append(classes, row.toClass(window))
+		if a := accumulators[name]; a.row.Count > 0 {
+			rows = append(rows, a.toRow(window))
 		}
 	}
-	return classes
+	return rows
 }
 
 func (run *Run) organisationNames() []string {
@@ -157,38 +161,39 @@
 	return max(end-run.Warmup, time.Millisecond)
 }
 
-// Class returns the row with the given name, or an empty one.
-func (r *Report) Class(name string) *Class {
+// Class returns the row of Classes with the given name, or an empty one.
+func (r *Report) Class(name string) *Row {
 	for i := range r.Classes {
-		if r.Classes[i].Class == name {
+		if r.Classes[i].Name == name {
 			return &r.Classes[i]
 		}
 	}
-	return &Class{Class: name}
+	return &Row{Name: name}
 }
 
 // CachedShare returns the fraction of prompt tokens that were prefix cache hits.
-func (c *Class) CachedShare() float64 {
-	if c.PromptTokens == 0 {
+func (r *Row) CachedShare() float64 {
+	if r.PromptTokens == 0 {
 		return 0
 	}
-	return float64(c.CachedTokens) / float64(c.PromptTokens)
+	return float64(r.CachedTokens) / float64(r.PromptTokens)
 }
 
 // ReusedShare returns the prefix cache hits as a fraction of the reusable tokens.
-func (c *Class) ReusedShare() float64 {
-	if c.ReusableTokens == 0 {
+func (r *Row) ReusedShare() float64 {
+	if r.ReusableTokens == 0 {
 		return 0
 	}
-	return float64(c.CachedTokens) / float64(c.ReusableTokens)
+	return float64(r.CachedTokens) / float64(r.ReusableTokens)
 }
 
+// rowNames returns the names of all rows of Report.Classes in their order.
 func rowNames() []string {
-	names := lengthClasses()
+	names := lengthClassNames()
 	return append(names, PlainClass, AllClass)
 }
 
-func lengthClasses() []string {
+func lengthClassNames() []string {
 	var names []string
 	for class := range call.NumClasses {
 		names = append(names, class.String())
@@ -196,6 +201,7 @@
 	return names
 }
 
+// rowsFor returns the names of the rows in which a request counts.
 func rowsFor(request *schedule.Request) []string {
 	if request.Call != nil {
 		return []string{PlainClass}
--- a/entry/load/report/report_test.go
+++ b/entry/load/report/report_test.go
@@ -40,6 +40,9 @@
 
 var testRun = Run{Label: "test", Speed: 1, Warmup: time.Second, Duration: 2 * time.Second, Rate: 100}
 
+// Each request must count in the row of its length class and in the row of all generations, or in
+// that of plain services. Failures must stay out of the distributions and the goodput, late
+// responses out of the goodput.
 func TestReportCountsByClass(t *testing.T) {
 	r := New(testRun, sampleResults())
 	short, huge, all := r.Class("short"), r.Class("huge"), r.Class(AllClass)
@@ -83,7 +86,7 @@
 func TestSummaryHasMediansAndRanges(t *testing.T) {
 	var reports []*Report
 	for i, rate := range []float64{30, 10, 20} {
-		r := &Report{Label: "combined", Seed: uint64(i), Classes: []Class{{Class: AllClass, Count: 4, OK: i + 1, GoodPerSecond: rate}}}
+		r := &Report{Label: "combined", Seed: uint64(i), Classes: []Row{{Name: AllClass, Count: 4, OK: i + 1, GoodPerSecond: rate}}}
 		reports = append(reports, r)
 	}
 	reports = append(reports, &Report{Label: "combined", Interrupted: true}, &Report{Label: "naive"})
@@ -97,7 +100,7 @@
 	require.Contains(t, table.String(), "20 (10 to 30)")
 }
 
-// Half of the requests fail and the others start at once. A distribution over the started requests
+// Half of the requests fail and the others start immediately. A distribution over the started requests
 // alone would give the steepest curve to a policy that rejects its slow requests.
 func TestFailedRequestsKeepCurveBelowOne(t *testing.T) {
 	results := sampleResults()[100:150]
--- a/entry/load/report/row.go
+++ b/entry/load/report/row.go
@@ -7,9 +7,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// row accumulates the results of one Class.
-type row struct {
-	class         Class
+// accumulator accumulates the results of one Row.
+type accumulator struct {
+	row           Row
 	goodCount     int
 	goodTokens    int64
 	firstToken    *hdrhistogram.Histogram
@@ -17,36 +17,36 @@
 	total         *hdrhistogram.Histogram
 }
 
-func newRows(names []string) map[string]*row {
-	rows := map[string]*row{}
+func newAccumulators(names []string) map[string]*accumulator {
+	accumulators := map[string]*accumulator{}
 	for _, name := range names {
-		rows[name] = &row{
-			class:         Class{Class: name, Failed: map[string]int{}},
+		accumulators[name] = &accumulator{
+			row:           Row{Name: name, Failed: map[string]int{}},
 			firstToken:    newHistogram(),
 			betweenTokens: newHistogram(),
 			total:         newHistogram(),
 		}
 	}
-	return rows
+	return accumulators
 }
 
-func (w *row) add(result *load.Result) {
-	w.class.Count++
+func (a *accumulator) add(result *load.Result) {
+	a.row.Count++
 	if result.FirstToken > 0 {
-		w.class.Started++
+		a.row.Started++
 	}
 	if !result.OK() {
-		w.class.Failed[result.Code]++
+		a.row.Failed[result.Code]++
 		return
 	}
-	w.class.OK++
-	w.class.PromptTokens += int64(result.Usage.PromptTokens)
-	w.class.CachedTokens += int64(result.Usage.CachedTokens)
-	w.class.ReusableTokens += int64(result.Request.Reusable)
-	w.class.CompletionTokens += int64(result.Usage.CompletionTokens)
-	w.recordTimes(result)
+	a.row.OK++
+	a.row.PromptTokens += int64(result.Usage.PromptTokens)
+	a.row.CachedTokens += int64(result.Usage.CachedTokens)
+	a.row.ReusableTokens += int64(result.Request.Reusable)
+	a.row.CompletionTokens += int64(result.Usage.CompletionTokens)
+	a.recordTimes(result)
 	if result.Late {
-		w.class.Late++
+		a.row.Late++
 	}
 }
 
@@ -56,31 +56,31 @@
 // Responses count by their end, not by the arrival of their request: under overload, requests of
 // the window complete long after it, and counting them would report a goodput above the engines'
 // capacity.
-func (w *row) addGoodput(result *load.Result, from, to time.Duration) {
+func (a *accumulator) addGoodput(result *load.Result, from, to time.Duration) {
 	end := result.Request.At + result.Total
 	if !result.OK() || result.Late || end < from || end >= to {
 		return
 	}
-	w.goodCount++
-	w.goodTokens += int64(result.Usage.PromptTokens + result.Usage.CompletionTokens)
+	a.goodCount++
+	a.goodTokens += int64(result.Usage.PromptTokens + result.Usage.CompletionTokens)
 }
 
-func (w *row) recordTimes(result *load.Result) {
-	record(w.total, result.Total)
+func (a *accumulator) recordTimes(result *load.Result) {
+	record(a.total, result.Total)
 	if result.FirstToken > 0 {
-		record(w.firstToken, result.FirstToken)
+		record(a.firstToken, result.FirstToken)
 	}
 	for _, gap := range result.Gaps {
-		record(w.betweenTokens, gap)
+		record(a.betweenTokens, gap)
 	}
 }
 
-func (w *row) toClass(window time.Duration) Class {
-	c := w.class
-	c.FirstToken = newLatency(w.firstToken)
-	c.BetweenTokens = newLatency(w.betweenTokens)
-	c.Total = newLatency(w.total)
-	c.GoodPerSecond = float64(w.goodCount) / window.Seconds()
-	c.GoodTokensPerSecond = float64(w.goodTokens) / window.Seconds()
-	return c
+func (a *accumulator) toRow(window time.Duration) Row {
+	row := a.row
+	row.FirstToken = newLatency(a.firstToken)
+	row.BetweenTokens = newLatency(a.betweenTokens)
+	row.Total = newLatency(a.total)
+	row.GoodPerSecond = float64(a.goodCount) / window.Seconds()
+	row.GoodTokensPerSecond = float64(a.goodTokens) / window.Seconds()
+	return row
 }
--- a/entry/load/report/summary.go
+++ b/entry/load/report/summary.go
@@ -16,7 +16,7 @@
 // Metric summarises one figure over several runs.
 type Metric struct {
 	Name string `json:"name"`
-	// Runs counts the runs that have the figure; a run without responses in a class has none.
+	// Runs counts the runs that have the figure; a run without requests in a row has none.
 	Runs   int     `json:"runs"`
 	Median float64 `json:"median"`
 	Min    float64 `json:"min"`
@@ -37,16 +37,16 @@
 	firstTokenP95("long"),
 	firstTokenP95("huge"),
 	firstTokenP95(AllClass),
-	percentOf("failed %", AllClass, func(c *Class) int { return c.Count - c.OK }),
-	percentOf("failed long %", "long", func(c *Class) int { return c.Count - c.OK }),
-	percentOf("failed huge %", "huge", func(c *Class) int { return c.Count - c.OK }),
+	percentOf("failed %", AllClass, func(row *Row) int { return row.Count - row.OK }),
+	percentOf("failed long %", "long", func(row *Row) int { return row.Count - row.OK }),
+	percentOf("failed huge %", "huge", func(row *Row) int { return row.Count - row.OK }),
 	{"cached %", func(r *Report) (float64, bool) {
-		c := r.Class(AllClass)
-		return 100 * c.CachedShare(), c.PromptTokens > 0
+		row := r.Class(AllClass)
+		return 100 * row.CachedShare(), row.PromptTokens > 0
 	}},
 	{"cached of reusable %", func(r *Report) (float64, bool) {
-		c := r.Class(AllClass)
-		return 100 * c.ReusedShare(), c.ReusableTokens > 0
+		row := r.Class(AllClass)
+		return 100 * row.ReusedShare(), row.ReusableTokens > 0
 	}},
 	{"goodput/s", func(r *Report) (float64, bool) { return r.Class(AllClass).GoodPerSecond, true }},
 	{"goodput tokens/s", func(r *Report) (float64, bool) { return r.Class(AllClass).GoodTokensPerSecond, true }},
@@ -67,10 +67,10 @@
 	}}
 }
 
-func percentOf(name, class string, read func(*Class) int) measure {
+func percentOf(name, class string, read func(*Row) int) measure {
 	return measure{name, func(r *Report) (float64, bool) {
-		c := r.Class(class)
-		return 100 * float64(read(c)) / float64(max(c.Count, 1)), c.Count > 0
+		row := r.Class(class)
+		return 100 * float64(read(row)) / float64(max(row.Count, 1)), row.Count > 0
 	}}
 }
 
--- a/entry/load/report/table.go
+++ b/entry/load/report/table.go
@@ -29,7 +29,7 @@
 		fmt.Fprint(w, ", interrupted")
 	}
 	fmt.Fprintf(w, "\n%s\n\n", r.Deployment)
-	if err := r.printClasses(w); err != nil {
+	if err := r.printRows(w); err != nil {
 		return err
 	}
 	r.printFailures(w)
@@ -38,16 +38,16 @@
 	return err
 }
 
-func (r *Report) printClasses(w io.Writer) error {
+func (r *Report) printRows(w io.Writer) error {
 	t := newTable(w)
 	fmt.Fprintln(t, "class\tcount\tok\tlate\tfailed\tTTFT p50\tp95\tp99\tbetween p50\tp95\tp99\twhole p50\tp95\tp99\tcached\tof reusable\tgoodput/s\t")
 	for i := range r.Classes {
-		c := &r.Classes[i]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t", c.Class, c.Count, c.OK, c.Late, c.Count-c.OK)
-		for _, l := range []Latency{c.FirstToken, c.BetweenTokens, c.Total} {
+		row := &r.Classes[i]
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t", row.Name, row.Count, row.OK, row.Late, row.Count-row.OK)
+		for _, l := range []Latency{row.FirstToken, row.BetweenTokens, row.Total} {
 			fmt.Fprint(t, l.cells())
 		}
-		fmt.Fprintf(t, "%.1f%%\t%.0f%%\t%.4g\t\n", 100*c.CachedShare(), 100*c.ReusedShare(), c.GoodPerSecond)
+		fmt.Fprintf(t, "%.1f%%\t%.0f%%\t%.4g\t\n", 100*row.CachedShare(), 100*row.ReusedShare(), row.GoodPerSecond)
 	}
 	return t.Flush()
 }
@@ -70,12 +70,12 @@
 
 func (r *Report) printFailures(w io.Writer) {
 	for i := range r.Classes {
-		c := &r.Classes[i]
-		if c.Class == AllClass {
+		row := &r.Classes[i]
+		if row.Name == AllClass {
 			continue
 		}
-		for _, code := range slices.Sorted(maps.Keys(c.Failed)) {
-			fmt.Fprintf(w, "failed: %d %s with %s\n", c.Failed[code], c.Class, code)
+		for _, code := range slices.Sorted(maps.Keys(row.Failed)) {
+			fmt.Fprintf(w, "failed: %d %s with %s\n", row.Failed[code], row.Name, code)
 		}
 	}
 }
--- a/entry/load/run.go
+++ b/entry/load/run.go
@@ -102,8 +102,9 @@
 	inFlight       atomic.Int64
 	exchanges      sync.WaitGroup
 
-	mu    sync.Mutex
-	ended int
+	mu sync.Mutex
+	// endedRequests is the argument of OnProgress; it is not counted without OnProgress.
+	endedRequests int
 }
 
 func newRunner(config Config, n int) *runner {
@@ -116,8 +117,8 @@
 	return r
 }
 
-// newTransport returns a transport that keeps a connection for each request in flight. With the
-// default of two idle connections per host, most latencies would include a connect.
+// newTransport returns a transport that keeps up to 4096 idle connections per entry for reuse. With
+// the default of two, most latencies would include a connect.
 func newTransport() *http.Transport {
 	return &http.Transport{
 		MaxIdleConnsPerHost: 4096,
@@ -168,8 +169,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended++
-	r.config.OnProgress(r.ended)
+	r.endedRequests++
+	r.config.OnProgress(r.endedRequests)
 }
 
 // awaitResponses waits for the requests in flight. Each ends at its deadline plus GracePeriod at the
--- a/entry/load/schedule/schedule.go
+++ b/entry/load/schedule/schedule.go
@@ -42,7 +42,7 @@
 type Settings struct {
 	// Seed determines all random numbers.
 	Seed uint64
-	// Rate is in requests per second, plain calls included.
+	// Rate is in requests per second, calls of plain services included.
 	Rate     float64
 	Duration time.Duration
 	// MaxRequests bounds the number of requests.
--- a/entry/load/trial/shape.go
+++ b/entry/load/trial/shape.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// ArrivalRate returns the arrival rate in requests per second, plain calls included, that offers the
-// given load: the fraction of the engines' time that the generations of the mix need.
+// ArrivalRate returns the arrival rate in requests per second, calls of plain services included, that
+// offers the given load: the fraction of the engines' time that the generations of the mix need.
 //
 // A prompt token takes the inverse of the prefill rate. An answer token takes its share of a decode
 // step, in a batch of as many requests as fit into an engine's memory. Prefix cache hits are not
--- a/entry/load/trial/trial.go
+++ b/entry/load/trial/trial.go
@@ -19,15 +19,18 @@
 // Plan describes a load run, which may be repeated with several policies and seeds.
 type Plan struct {
 	Mix *mix.Mix
-	// Rate is the arrival rate in requests per second, plain calls included. Load is as in
-	// mix.Mix and only appears in the report.
-	Load        float64
-	Rate        float64
-	Duration    time.Duration
-	Warmup      time.Duration
+	// Load is the offered load as in mix.Mix; it only appears in the report.
+	Load float64
+	// Rate is the arrival rate in requests per second, calls of plain services included.
+	Rate float64
+	// Duration is the time during which requests arrive, Warmup its initial part that the report
+	// excludes.
+	Duration time.Duration
+	Warmup   time.Duration
+	// MaxRequests bounds the number of requests.
 	MaxRequests int
-	// CompareAlone adds a pass with the short requests and plain calls alone, before the pass with
-	// all requests.
+	// CompareAlone adds a pass before the pass with all requests, with only the generations of the
+	// class call.Short and the calls of plain services.
 	CompareAlone bool
 	// Client configures how requests are sent. Its Targets, Mix and KeyPrefix are overwritten.
 	Client load.Config
@@ -94,14 +97,14 @@
 	policy      string
 }
 
-func (s *deploymentTarget) describe() string {
-	shape := s.deployments.Shape
+func (t *deploymentTarget) describe() string {
+	shape := t.deployments.Shape
 	return fmt.Sprintf("%d engines, %d plain services, %d entries, %d availability zones, objective %s",
 		shape.Engines, shape.Plains, shape.Entries, len(shape.Zones), shape.Objective)
 }
 
-func (s *deploymentTarget) start() ([]string, func(), error) {
-	shape := s.deployments.Shape
+func (t *deploymentTarget) start() ([]string, func(), error) {
+	shape := t.deployments.Shape
 	config := dev.DefaultConfig()
 	config.Listen = "127.0.0.1:0"
 	config.OperatorListen = "127.0.0.1:0"
@@ -110,10 +113,10 @@
 	config.Entries = shape.Entries
 	config.Zones = shape.Zones
 	config.Objective = shape.Objective
-	config.Policy = s.policy
-	config.Engine = EngineConfig(s.deployments.Speed)
-	config.Organisations = s.plan.Mix.DocumentOrganisations()
-	config.Log = s.deployments.Log
+	config.Policy = t.policy
+	config.Engine = EngineConfig(t.deployments.Speed)
+	config.Organisations = t.plan.Mix.DocumentOrganisations()
+	config.Log = t.deployments.Log
 	d, err := dev.Start(config)
 	if err != nil {
 		return nil, nil, err
@@ -130,8 +133,8 @@
 	return urls, stop, nil
 }
 
-// run generates the schedule and sends it, after a pass with the short requests alone if
-// CompareAlone is set.
+// run generates the schedule and sends it. If CompareAlone is set, it first sends only the
+// generations of the class call.Short and the calls of plain services.
 func (p *Plan) run(ctx context.Context, label string, seed uint64, speed float64, t target) (*report.Report, error) {
 	requests := schedule.New(p.Mix, schedule.Settings{
 		Seed:        seed,
@@ -190,7 +193,7 @@
 	return p.Duration
 }
 
-// isShortOrPlain reports whether a request belongs to the pass without longer requests.
+// isShortOrPlain reports whether a request belongs to the pass that CompareAlone adds.
 func isShortOrPlain(r *schedule.Request) bool { return r.Call != nil || r.Class() == call.Short }
 
 func (p *Plan) runPass(ctx context.Context, label string, seed uint64, requests []schedule.Request, t target) ([]load.Result, error) {
--- a/entry/load/trial/trial_test.go
+++ b/entry/load/trial/trial_test.go
@@ -44,6 +44,8 @@
 	}
 }
 
+// A comparison of policies is only fair if each gets the same requests for a seed. Every run must also
+// have its pass with the short requests alone, and account for all requests.
 func TestPoliciesGetTheSameRequests(t *testing.T) {
 	plan := testPlan()
 	var passes []string
@@ -68,6 +70,8 @@
 	}
 }
 
+// An interrupt must not lose the results so far: the current pass is reported, marked as interrupted,
+// and no further pass starts.
 func TestInterruptReportsTheCurrentPass(t *testing.T) {
 	plan := testPlan()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/entry/sweep/sweep.go
+++ b/entry/sweep/sweep.go
@@ -1,8 +1,9 @@
-// Package sweep deletes expired rows of keyed calls from the table. It performs the I/O;
-// core/idempotency decides which entry sweeps a service and which rows may be deleted.
+// Package sweep deletes expired rows of keyed calls (calls with an idempotency key) from the table. It
+// performs the I/O; core/idempotency decides which entry sweeps a service and which rows may be
+// deleted.
 //
-// Without sweeps, each keyed call would leave a row forever: the table would grow without bound, and a
-// key would stay in use long after the guaranteed day.
+// Without sweeps, the row of each keyed call would stay forever: the table would grow without bound,
+// and a key would stay in use long after the 24 hours for which it is guaranteed.
 package sweep
 
 import (
@@ -74,7 +75,8 @@
 }
 
 // sweep reads the rows of a service page by page and returns how many it deleted. A page may come from
-// a stale replica, so that each delete is conditional on the row's version.
+// a stale replica, so each delete is conditional on the row's version. After an error, the next sweep
+// begins again at the first row.
 func (s *Sweeper) sweep(ctx context.Context, service string) (deleted int, err error) {
 	after := ""
 	for {
@@ -101,7 +103,7 @@
 }
 
 // sweepableRows returns the rows that may be deleted. It skips rows that can't be decoded: a newer
-// version of the system may have written them, whose entries will sweep them.
+// version of the system may have written them, and its entries will sweep them.
 func sweepableRows(rows []table.Row, now time.Time) []table.Row {
 	var expired []table.Row
 	for _, stored := range rows {
--- a/entry/sweep/sweep_test.go
+++ b/entry/sweep/sweep_test.go
@@ -85,6 +85,7 @@
 	})
 }
 
+// If every entry swept every service, the reads of the table would grow with the number of entries.
 func TestOnlyTheAssignedEntrySweeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newTable()
@@ -112,7 +113,7 @@
 	return rows, err
 }
 
-// A sweep reads an expired row, and before it deletes the row, an attempt with the same key rebinds it.
+// A sweep reads an expired row, and before it deletes that row, an attempt with the same key rebinds it.
 // A delete without a condition on the version would remove the row, and a repeat of the call would run
 // again. The other rows of the batch must still be deleted.
 func TestReboundRowIsNotDeleted(t *testing.T) {
