--- a/soak/caller.go
+++ b/soak/caller.go
@@ -81,7 +81,7 @@
 }
 
 // connect chooses a ready entry, as a load balancer does, and drops the connection to the previous
-// one.
+// one. If the chosen entry is not ready, it returns false after a pause.
 func (c *caller) connect(ctx context.Context) bool {
 	if c.client != nil {
 		c.client.CloseIdleConnections()
@@ -231,8 +231,8 @@
 
 // checkFailed checks an answer that is missing or incomplete. The failure is excused by a disruption
 // of the entry's process or of its connections to callers, by a disruption of upstreams once the
-// answer has begun, and by a graceful stop if the request was sent at the end of notReadyDelay or
-// later. Requests sent before that, streams included, must complete.
+// answer has begun, and by a graceful stop if the request was sent later than one pollInterval
+// before the end of notReadyDelay. Requests sent before that, streams included, must complete.
 func (c *caller) checkFailed(ex *exchange) {
 	rec := c.harness.recorder
 	excused := !rec.undisrupted(c.entry.index, c.connectedAt, ex.ended, partCallers, partProcess)
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -17,8 +17,8 @@
 const (
 	// fatalPrefix is the path prefix of requests that crash the engines that run them.
 	fatalPrefix = "/ask/fatal-"
-	// crashTail is how long such a request repeats after the end of its event: longer than entries
-	// may take to recognise it, and within the time in which the system must recover.
+	// crashTail is how long such a request repeats after the end of its event: longer than
+	// crashNoticeLimit, so that runs after that limit are seen, and shorter than recoveryLimit.
 	crashTail = 5 * time.Second
 	// crashInterval is the pause between two attempts, engineDowntime how long a crashed engine is
 	// down, and rowRemovalDelay the time until its former row is removed.
@@ -68,7 +68,8 @@
 	h.recorder.checkCrashes(path, h.runsOf(path), sent)
 }
 
-// sendCrashingRequest sends the request once and ignores its result: the upstreams record what ran.
+// sendCrashingRequest sends the request once. Of the response it checks only that a refusal has
+// Retry-After; the upstreams record the runs.
 func (h *harness) sendCrashingRequest(ctx context.Context, e *entry, id, path string) {
 	call := standin.Call{ID: id, Path: path, Body: "body", PromptTokens: 1000, OutputTokens: maxOutputTokens, TimeLeft: streamDeadline}
 	request, err := call.Request(e.callerRelay.Addr())
@@ -88,7 +89,8 @@
 	}
 }
 
-// restartCrashed restarts the crashed engines under new IDs.
+// restartCrashed restarts under new IDs the engines that have been down for engineDowntime. It skips an
+// engine while another event holds the lock of its row.
 func (h *harness) restartCrashed() {
 	for _, engine := range h.standins.Engines {
 		if time.Since(engine.DownSince()) < engineDowntime || !engine.Down() {
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -68,7 +68,7 @@
 }
 
 // terminate sends a signal that ends the process and waits for its exit. The caller holds
-// replaceMu.
+// restartMu, except at the end of a run, when nothing else restarts processes.
 func (e *entry) terminate(s syscall.Signal) {
 	p, _ := e.current()
 	p.exitExpected.Store(true)
--- a/soak/harness.go
+++ b/soak/harness.go
@@ -77,7 +77,7 @@
 	for _, replica := range h.standins.Replicas() {
 		h.rowLocks[replica] = &sync.Mutex{}
 		// Enough slots for all callers: entries that do not know of each other yet may choose the
-		// same replica, and a refusal for that reason would be no violation.
+		// same replica, and the refusal could be reported although it breaks no guarantee.
 		replica.Slots = max(replica.Slots, h.plan.Callers)
 		r, err := relay.New(replica.Address())
 		if err != nil {
@@ -173,7 +173,8 @@
 // exitSlack is how far a stop may exceed its time limit.
 const exitSlack = time.Second
 
-// stop stops an entry gracefully and checks how its process exits.
+// stop stops an entry gracefully and checks that its process exits without an error and in time, unless
+// the process was killed or paused meanwhile.
 func (h *harness) stop(e *entry) {
 	p, _ := e.current()
 	began := time.Now()
@@ -202,7 +203,8 @@
 }
 
 // releaseLimit bounds the time until upstreams have released the slots and memory of ended requests.
-// It is less than the time after which reserved memory expires by itself (3.5 s).
+// It is less than the time after which reserved memory expires by itself (3.5 s), so that expiry
+// does not hide a missing release.
 const releaseLimit = 2 * time.Second
 
 // checkReleased waits until upstreams have released all slots and memory.
--- a/soak/logcost_test.go
+++ b/soak/logcost_test.go
@@ -19,8 +19,7 @@
 )
 
 const (
-	// baseRate is the mean number of requests per second that an entry of the first deployments
-	// gets on a standard day.
+	// baseRate is the mean number of requests per second that one entry gets on a typical day.
 	baseRate = 15
 	// loadDuration is the duration of each load.
 	loadDuration = 20 * time.Second
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -59,8 +59,8 @@
 	// Restart restarts an upstream twice under its ID and address: first the connections of waiting
 	// requests are closed, then they stay open.
 	Restart Kind = "reborn"
-	// CrashingRequest repeats a request, at any entry, that crashes each engine that runs it. It
-	// goes on for crashTail after Event.ForMs.
+	// CrashingRequest repeatedly sends a request that crashes each engine that runs it, each time to
+	// a random entry. It continues for crashTail after Event.ForMs.
 	CrashingRequest Kind = "crashing-request"
 	// UpstreamFaults makes the upstreams of a service apply faults to their next requests.
 	UpstreamFaults Kind = "misbehave"
--- a/soak/recorder.go
+++ b/soak/recorder.go
@@ -84,8 +84,8 @@
 	at      time.Time
 }
 
-// recorder collects the guarantees given to callers for single requests, the disruptions and the
-// violations. It is safe for concurrent use.
+// recorder collects the guarantees for single requests (runs at most once, has not run), the
+// disruptions and the violations. It is safe for concurrent use.
 type recorder struct {
 	startedAt time.Time
 
@@ -213,7 +213,8 @@
 // applyLimit is the time within which a configuration must be applied.
 const applyLimit = 5 * time.Second
 
-// checkVersion checks the configuration version that an entry's process applies now.
+// checkVersion checks the configuration version that an entry's process applies now. For a process that
+// started less than applyLimit ago, it checks only that the version is not lower than the previous one.
 func (r *recorder) checkVersion(e *entry, p *process, previous, version uint64) {
 	now := time.Now()
 	if version < previous {
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -72,7 +72,8 @@
 	EventDelay time.Duration
 	EventLoss  float64
 	Seed       uint64
-	// EventsRetained is how many events are kept; older ones are missing for readers.
+	// EventsRetained is how many of the latest events are kept at least; older events, once removed,
+	// are missing for readers.
 	EventsRetained int
 
 	// CheckFence makes the engine refuse orders with an outdated fencing token.
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -138,8 +138,8 @@
 }
 
 // After any mix of requests, reservations, cancellations, closed connections, deadlines and
-// expiries all memory is released. It would not be if an end released nothing or two ends released
-// the same memory.
+// expiries all memory must be released. The test detects an end that releases no memory and two ends
+// that release the same memory.
 func TestAllMemoryIsReleased(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		// rapid fails by a panic, which it must see on its own goroutine.
@@ -216,7 +216,7 @@
 }
 
 // A cached prefix is not prefilled again, its events become visible after their delay, and the cache
-// gives way to reserved memory, evicting the beginning of a prefix last.
+// shrinks when memory is reserved, evicting the beginning of a prefix last.
 func TestPrefixCacheSavesPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{EventDelay: time.Second})
@@ -342,6 +342,7 @@
 	})
 }
 
+// Faults set over HTTP must apply to calls and to streams, and a refused call must not count as a run.
 func TestFaultsAndStatsOverHTTP(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := New(Config{})
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -109,8 +109,9 @@
 	return seq
 }
 
-// checkContinuation refuses a continuation of a different answer. A real engine would continue from
-// any text, so streams of two requests that were mixed up would show only as a wrong answer.
+// checkContinuation refuses a continuation of a different answer, and otherwise counts the tokens that
+// were already delivered as produced. A real engine continues from any text, so that a gateway which
+// mixes up two requests would be noticed only by a wrong answer.
 func checkContinuation(seq *sequence, continuation peer.Continuation) *refusal {
 	if continuation.Tokens < 0 || continuation.Tokens > seq.answerTokens {
 		return invalid("continue_from.tokens is outside the answer")
@@ -187,7 +188,8 @@
 		case <-r.Context().Done():
 			return
 		}
-		// The end is read before the tokens, since none follow it.
+		// ended is read before produced: no token is produced after the end, so once ended is set,
+		// produced is final.
 		ended := seq.ended.Load()
 		produced := int(seq.produced.Load())
 		if !sendTokens(r, out, seq, sent, produced, fault) {
@@ -201,7 +203,8 @@
 	}
 }
 
-// sendTokens sends the tokens from sent to produced; false means that the stream has ended.
+// sendTokens sends the tokens from sent to produced, and applies the fault once the stream has sent the
+// fault's AfterTokens. It returns false if the connection has ended.
 func sendTokens(r *http.Request, out *sse, seq *sequence, sent, produced int, fault Fault) bool {
 	breakAt := seq.deliveredTokens + fault.AfterTokens
 	hit := fault.Kind != "" && produced >= breakAt
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -64,7 +64,7 @@
 func (e *Engine) execute(ctx context.Context, order peer.Order) error {
 	e.orderSlot <- struct{}{}
 	defer func() { <-e.orderSlot }()
-	// Meanwhile an order with a higher fencing token may have been executed.
+	// While this order waited for the slot, an order with a higher fencing token may have been executed.
 	if err := e.checkFencingToken(order.Fence); err != nil {
 		return err
 	}
@@ -89,7 +89,8 @@
 }
 
 // loadModel refuses new requests, waits until the accepted ones have ended, and replaces the model.
-// The cache and the adapters of the old model are dropped.
+// The cache and the adapters of the old model are dropped. If the engine already serves the ordered
+// model and version, loadModel does nothing.
 func (e *Engine) loadModel(ctx context.Context, order peer.Order) error {
 	if e.servesModel(order) {
 		return nil
--- a/standin/engine/reservation.go
+++ b/standin/engine/reservation.go
@@ -9,12 +9,12 @@
 	peer "acaciacleat.example/peers/engine"
 )
 
-// reservation reserves memory for a future request, or for the part of a group request that another
-// engine runs. It is immutable; a renewal replaces it.
+// reservation reserves memory for a future request, or for this engine's part of a group request,
+// which another engine runs. It is immutable; a renewal replaces it.
 type reservation struct {
 	tokens int64
 	timer  *time.Timer
-	// done is closed when the reservation ends.
+	// done is closed when the reservation ends; a renewal keeps it.
 	done chan struct{}
 }
 
--- a/standin/platform/contract_test.go
+++ b/standin/platform/contract_test.go
@@ -53,6 +53,8 @@
 	})
 }
 
+// Names with special characters and any data, empty data included, must arrive unchanged. A missing
+// object gives ErrNotFound, and deleting it is no error.
 func TestObjects(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, p clients) {
 		for _, name := range []string{"plain", "a//b/../c?d=e&f", "número 1"} {
@@ -72,6 +74,8 @@
 	})
 }
 
+// A list must return the VMs that were set; with a lag, it must still return the list before the last
+// change.
 func TestVMs(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, p clients) {
 		list := func() []vmlist.VM {
@@ -88,6 +92,8 @@
 	})
 }
 
+// Describe must return an artifact once it was added. While the queue of fetches is longer than
+// MaxBacklog, it must return ErrRateLimited.
 func TestWeights(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, p clients) {
 		_, err := p.weights.Describe(t.Context(), artifact.Name, artifact.Version)
@@ -107,8 +113,8 @@
 	})
 }
 
-// Each call fails with the fault's error and succeeds when it is repeated. A failed Put has stored
-// the object only if just its answer was lost.
+// Each call must fail with the error for its fault, or only take longer if the fault is Slow, and
+// succeed without the fault. A failed Put must have stored the object only if the fault is AnswerLost.
 func TestCallsUnderFaults(t *testing.T) {
 	cases := []struct {
 		fault         faults.Fault
@@ -165,7 +171,8 @@
 	}
 }
 
-// The list shows a change exactly when its lag has passed, since the platform publishes late.
+// With a lag, the list must show a change exactly when the lag has passed, as a platform does that
+// publishes changes late.
 func TestListShowsChangesAfterItsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform.New(1)
@@ -201,6 +208,7 @@
 	})
 }
 
+// Faults set over HTTP must also apply to calls within the process, and an invalid list is rejected.
 func TestPutFaults(t *testing.T) {
 	p := platform.New(1)
 	for body, want := range map[string]int{
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -30,8 +30,9 @@
 
 const maxBodyBytes = 64 << 20
 
-// Handler serves the platform over HTTP. In contrast to calls within the process, a fault shows as
-// it does to a real client: as a closed connection or a missing answer.
+// Handler serves the platform over HTTP. In contrast to calls within the process, a call
+// without an answer shows as it does to a real client: as a closed connection or a response that never
+// arrives.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	p.mountTable(mux)
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -48,7 +48,7 @@
 type failures struct {
 	// refused is returned during an outage.
 	refused error
-	// lost is returned if the call was sent and its answer is missing.
+	// lost is returned if no answer arrives, whether or not the call took effect.
 	lost error
 }
 
@@ -57,8 +57,9 @@
 	err   error
 }
 
-// inject calls apply under the fault that applies to the operation, if any. A slow call takes
-// effect even after its caller has given up, as it would over a network.
+// inject calls apply under the fault that applies to the operation, if any. If ctx has already ended, it
+// does not call apply. A slow call takes effect even after its caller has given up, as it would over a
+// network.
 func inject[T any](ctx context.Context, table *faults.Table, operation string, fail failures, apply func() (T, error)) (T, error) {
 	var zero T
 	if ctx.Err() != nil {
--- a/standin/relay/link.go
+++ b/standin/relay/link.go
@@ -11,20 +11,21 @@
 	bytesPerSecond float64
 
 	mu sync.Mutex
-	// freeAt is the time at which each direction has transferred all data so far, forwarded their
-	// number of bytes.
-	freeAt    [2]time.Time
-	forwarded [2]int64
+	// freeAt is, by direction, the time at which the transfer of all data queued so far ends,
+	// queuedBytes the total number of bytes queued so far.
+	freeAt      [2]time.Time
+	queuedBytes [2]int64
 }
 
 // NewLink returns a link with the given bandwidth in each direction.
 func NewLink(bytesPerSecond int) *Link { return &Link{bytesPerSecond: float64(bytesPerSecond)} }
 
-// BytesTransferred returns the number of bytes transferred in a direction.
+// BytesTransferred returns the number of bytes in a direction, including those whose transfer has not
+// ended yet.
 func (l *Link) BytesTransferred(direction Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.forwarded[direction]
+	return l.queuedBytes[direction]
 }
 
 // transferTime queues n bytes and returns how long their transfer takes.
@@ -36,6 +37,6 @@
 		l.freeAt[direction] = now
 	}
 	l.freeAt[direction] = l.freeAt[direction].Add(time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second)))
-	l.forwarded[direction] += int64(n)
+	l.queuedBytes[direction] += int64(n)
 	return l.freeAt[direction].Sub(now)
 }
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -86,7 +86,8 @@
 	r.link = link
 }
 
-// Restore ends the effects of Drop and Delay.
+// Restore ends Drop and Delay. Connections that have lost data stay silent, and the link set by
+// SetLink remains.
 func (r *Relay) Restore() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
