--- a/entry/capacity/documents_test.go
+++ b/entry/capacity/documents_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// organisationCounts are the document sizes that are measured.
+// organisationCounts are the numbers of organisations in the measured documents.
 var organisationCounts = []int{1_000, 10_000, 35_000}
 
 // BenchmarkCapacityDocuments reports the memory of a snapshot and the time of a key lookup.
@@ -77,6 +77,7 @@
 	b.ReportMetric(float64(all[len(all)-1]), "lookup-max-ns")
 }
 
+// sampleLookups measures lookups until stop is closed, and then sends their latencies.
 func sampleLookups(current *atomic.Pointer[document.Snapshot], stop <-chan struct{}, latencies chan<- []time.Duration) {
 	const maxSamples = 1 << 20
 	hash := document.HashKey("500")
--- a/entry/capacity/platform_test.go
+++ b/entry/capacity/platform_test.go
@@ -91,6 +91,7 @@
 	}
 }
 
+// claimCost returns the table writes and reads of the i-th keyed call and the size of its row.
 func claimCost(i uint64) (writes, reads, bytes int) {
 	now := time.Unix(1_000, 0)
 	c := idempotency.NewClaim(idempotency.ClaimSpec{
--- a/entry/capacity/spread_test.go
+++ b/entry/capacity/spread_test.go
@@ -192,8 +192,8 @@
 	return inForce, acknowledged
 }
 
-// spreadSizes are the numbers of nodes. Only entries receive documents, and the target
-// deployment has 350.
+// spreadSizes are the measured numbers of nodes. Only entries receive documents, and the target
+// deployment has 350 entries.
 var spreadSizes = []int{64, 256, 350, 1550}
 
 // BenchmarkCapacityChange reports the messages, bytes and opened links per node for one change, with a
@@ -207,6 +207,7 @@
 	}
 }
 
+// measureChange measures one change that is written at the time after from the start.
 func measureChange(b *testing.B, size int, after time.Duration) {
 	var s *spreadSimulation
 	var inForce, acknowledged time.Duration
--- a/entry/dev/dev.go
+++ b/entry/dev/dev.go
@@ -45,6 +45,8 @@
 
 // Config configures a deployment.
 type Config struct {
+	// Listen and OperatorListen are the addresses of the first entry. The other entries listen on
+	// free ports.
 	Listen         string
 	OperatorListen string
 	Engines        int
@@ -66,7 +68,7 @@
 	Organisations []document.Organisation
 	// Relays puts a relay in front of each agent, so that tests can disrupt links.
 	Relays bool
-	// Placement is the settings of placement; zero for the defaults.
+	// Placement holds the settings for the placement of replicas; zero for the defaults.
 	Placement placement.Settings
 	// Limits bound the resources of a request at an entry; zero for the defaults.
 	Limits front.Limits
@@ -187,7 +189,8 @@
 	})
 }
 
-// queue returns an empty queue of the configured scheduling policy.
+// queue returns an empty queue: first in, first out for plain services and under the naive policy,
+// else by priority.
 func (d *Deployment) queue(plain bool) scheduling.Queue {
 	if plain || d.config.Policy == "naive" {
 		return scheduling.NewFIFO(server.DefaultLimits.Queue)
@@ -195,7 +198,7 @@
 	return scheduling.NewPriority(scheduling.SettingsFor(d.config.Objective, 0))
 }
 
-// addAgent starts an agent on a new VM.
+// addAgent starts an agent and adds its VM to the VM list.
 func (d *Deployment) addAgent(config server.Config) error {
 	config.Listen = "127.0.0.1:0"
 	config.Keys = d.keys
--- a/entry/dev/standins.go
+++ b/entry/dev/standins.go
@@ -39,8 +39,9 @@
 
 // StandInsConfig configures a set of stand-ins.
 type StandInsConfig struct {
-	// Listen is the platform's IP address and port. The engines use the following ports, and
-	// the plain services those after the engines'. With port 0 all stand-ins use free ports.
+	// Listen is the platform's IP address and port. The engines, including the spare ones, use
+	// the ports after it, and the plain services the ports after those of the engines. With
+	// port 0, all stand-ins use free ports.
 	Listen  string
 	Engines int
 	// SpareEngines is the number of additional engines, which serve another model.
@@ -63,6 +64,7 @@
 	EngineURLs  []string
 	PlainURLs   []string
 
+	// next is the listen address of the next stand-in.
 	next    netip.AddrPort
 	servers servers
 }
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// serve serves a stand-in on the next port.
+// serve serves a stand-in on the next port, or on a free one if the configured port is 0.
 func (s *StandIns) serve(handler http.Handler) (string, error) {
 	url, err := s.servers.serve(s.next.String(), handler)
 	if s.next.Port() != 0 {
--- a/entry/load/exchange.go
+++ b/entry/load/exchange.go
@@ -61,7 +61,8 @@
 	return r.readStream(response.Body, request, result)
 }
 
-// failure is an error that an entry reported; its code includes the execution state.
+// failure is an error response of an entry. Its code has the result code with its name and execution
+// state, or the HTTP status if the body contains no error in a known format.
 type failure struct{ code string }
 
 // Error implements error.
@@ -69,12 +70,12 @@
 
 // codeOf returns the failure code for an exchange's error, or "" for a complete response.
 func codeOf(ctx context.Context, err error) string {
-	var answered *failure
+	var reported *failure
 	switch {
 	case err == nil:
 		return ""
-	case errors.As(err, &answered):
-		return answered.code
+	case errors.As(err, &reported):
+		return reported.code
 	case errors.Is(context.Cause(ctx), errInterrupted):
 		return CodeInterrupted
 	case errors.Is(context.Cause(ctx), errUnanswered):
@@ -183,7 +184,8 @@
 	return &failure{code: "HTTP " + strconv.Itoa(response.StatusCode)}
 }
 
-// errBroken reports a malformed stream: it ended before [DONE], or an event can't be parsed.
+// errBroken reports a stream that ended before [DONE], or that has an event too long for the read
+// buffer or impossible to parse.
 var errBroken = errors.New("the stream ended before [DONE]")
 
 var (
--- a/entry/load/mix/mix.go
+++ b/entry/load/mix/mix.go
@@ -47,11 +47,11 @@
 }
 
 // Documents describes text that several prompts share as a prefix, as in sessions and in questions
-// about the same record. Each organisation has its own documents.
+// about the same record. Each organisation has its own documents in each class.
 type Documents struct {
 	// Share is the fraction of requests that contain a document; 0 for none.
 	Share float64 `json:"share" validate:"gte=0,lte=1"`
-	// Count is the number of documents of each organisation.
+	// Count is the number of documents of each organisation in the class.
 	Count int `json:"count" validate:"gte=0,lte=1000000"`
 	// Zipf is the exponent of the documents' popularity: the document of rank r occurs with a
 	// frequency proportional to 1/r^Zipf.
--- a/entry/load/report/report.go
+++ b/entry/load/report/report.go
@@ -151,8 +151,8 @@
 	return names
 }
 
-// window returns the length of the measurement window; an interrupted run ends it at the last
-// request sent.
+// window returns the length of the measurement window. In an interrupted run, the window ends at the
+// last request sent.
 func (run *Run) window(results []load.Result) time.Duration {
 	end := run.Duration
 	if run.Interrupted && len(results) > 0 {
--- a/entry/load/report/slowdown.go
+++ b/entry/load/report/slowdown.go
@@ -59,6 +59,7 @@
 	return s
 }
 
+// isShort reports whether a result is of a short generation that arrived after the warm-up.
 func isShort(result *load.Result, warmup time.Duration) bool {
 	r := result.Request
 	return r.Call == nil && r.Class() == call.Short && r.At >= warmup
@@ -68,8 +69,8 @@
 	return percentile(mixedSeconds, p) / percentile(aloneSeconds, p)
 }
 
-// percentile returns the smallest value that at least p percent of the values do not exceed
-// (nearest rank). It sorts values in place.
+// percentile returns the p-th percentile by the nearest-rank method: the smallest value for which at
+// least p percent of the values are equal or smaller. It sorts values in place.
 func percentile(values []float64, p float64) float64 {
 	slices.Sort(values)
 	rank := int(math.Ceil(p / 100 * float64(len(values))))
--- a/entry/load/run.go
+++ b/entry/load/run.go
@@ -35,7 +35,8 @@
 	DrainTimeout time.Duration
 	// Transport sends the requests; nil for a transport created for the run.
 	Transport http.RoundTripper
-	// OnProgress, if not nil, is called after each request ends; calls are serialised.
+	// OnProgress, if not nil, is called after each request ends or fails with CodeInFlight; calls
+	// are serialised.
 	OnProgress func(ended int)
 	// KeyPrefix prefixes the Idempotency-Key of calls. It must differ between runs, so that no
 	// call gets the response of another run's call.
@@ -54,8 +55,9 @@
 // Result is the outcome of one request. Durations except Gaps count from the intended send time.
 type Result struct {
 	Request *schedule.Request
-	// Code is empty for a complete response; otherwise it is the entry's result code with its
-	// name and execution state, or one of this package's codes.
+	// Code is empty for a complete response. Otherwise it is the entry's result code with its
+	// name and execution state, the HTTP status if the response has no such code, or one of
+	// this package's codes.
 	Code string
 	// Lag is the delay from the intended to the actual send time.
 	Lag time.Duration
--- a/entry/load/schedule/reuse.go
+++ b/entry/load/schedule/reuse.go
@@ -4,8 +4,8 @@
 // same.
 const cacheBlockTokens = 512
 
-// prefixIndex maps a common text and a document to the length in tokens of the longest prefix seen
-// of the two. Document 0 stands for the common text alone.
+// prefixIndex maps the seeds of a common text and a document to the length in tokens of the longest
+// prefix that an earlier prompt took from the two. Document 0 stands for the common text alone.
 type prefixIndex map[prefixKey]int
 
 type prefixKey struct{ common, document uint64 }
--- a/entry/load/schedule/schedule.go
+++ b/entry/load/schedule/schedule.go
@@ -47,7 +47,7 @@
 	Duration time.Duration
 	// MaxRequests bounds the number of requests.
 	MaxRequests int
-	// Speed divides the mix's deadlines, to match stand-in engines that run as many times faster.
+	// Speed divides the mix's deadlines, to match stand-in engines that are faster by this factor.
 	Speed float64
 }
 
--- a/entry/load/schedule/text.go
+++ b/entry/load/schedule/text.go
@@ -64,12 +64,13 @@
 
 func letter(bits uint64) byte { return 'a' + byte(bits%26) }
 
-// The kinds of seeds: equal numbers of different kinds give different text.
+// The kinds of text seeds, so that a common text and a document with equal indexes differ.
 const (
 	seedKindCommon uint64 = iota + 1
 	seedKindDocument
 )
 
+// textSeed returns a seed that depends on all parts and on their order.
 func textSeed(parts ...uint64) uint64 {
 	seed := uint64(0)
 	for _, part := range parts {
--- a/entry/load/trial/shape.go
+++ b/entry/load/trial/shape.go
@@ -53,12 +53,12 @@
 	}
 }
 
-// ArrivalRate returns the arrival rate in requests per second, calls of plain services included, that
-// offers the given load: the fraction of the engines' time that the generations of the mix need.
+// ArrivalRate returns the arrival rate in requests per second, calls of plain services included, at
+// which the generations of the mix need the fraction load of the engines' time.
 //
-// A prompt token takes the inverse of the prefill rate. An answer token takes its share of a decode
-// step, in a batch of as many requests as fit into an engine's memory. Prefix cache hits are not
-// taken into account.
+// A prompt token takes the inverse of the prefill rate. An answer token takes DecodePerSeq plus its
+// share of a DecodeStep, in a batch of as many requests as fit into an engine's memory, at most
+// MaxBatch. Prefix cache hits are not taken into account.
 func ArrivalRate(m *mix.Mix, engines int, e standinengine.Config, load float64) float64 {
 	prompt, answer := m.MeanTokens()
 	batch := min(max(float64(e.EngineTokens)/(prompt+answer), 1), float64(e.MaxBatch))
--- a/entry/load/trial/trial.go
+++ b/entry/load/trial/trial.go
@@ -42,7 +42,8 @@
 
 // Deployments configures the deployments that Compare runs.
 type Deployments struct {
-	Shape    Shape
+	Shape Shape
+	// Speed is the factor by which the stand-in engines are faster than their default.
 	Speed    float64
 	Policies []string
 	// Seeds are the seeds of the runs; every policy runs with each of them.
@@ -173,7 +174,8 @@
 	return p.report(ctx, run, results, alone), nil
 }
 
-// report builds the report of a pass and passes it to OnReport; alone may be nil.
+// report builds the report of a pass and passes it to OnReport. alone holds the results of the pass
+// that CompareAlone adds; nil if the report has no slowdown.
 func (p *Plan) report(ctx context.Context, run report.Run, results, alone []load.Result) *report.Report {
 	run.Interrupted = ctx.Err() != nil
 	r := report.New(run, results)
--- a/entry/sweep/sweep.go
+++ b/entry/sweep/sweep.go
@@ -49,13 +49,14 @@
 // New returns a Sweeper.
 func New(config Config) *Sweeper { return &Sweeper{config: config} }
 
-// Run sweeps once per idempotency.SweepInterval until ctx ends.
+// Run sweeps until ctx ends, with a pause of idempotency.SweepInterval before each sweep.
 func (s *Sweeper) Run(ctx context.Context) {
 	for sleep(ctx, idempotency.SweepInterval) {
 		s.sweepAll(ctx)
 	}
 }
 
+// sweepAll sweeps the services that are assigned to this entry.
 func (s *Sweeper) sweepAll(ctx context.Context) {
 	entries := s.config.Entries()
 	for _, service := range s.config.Services() {
@@ -152,6 +153,7 @@
 	return deleted, nil
 }
 
+// delete deletes rows in one transaction, on condition that their versions are unchanged.
 func (s *Sweeper) delete(ctx context.Context, rows []table.Row) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
