--- a/entry/dev/limits_test.go
+++ b/entry/dev/limits_test.go
@@ -30,8 +30,8 @@
 	d := startDeployment(t, func(c *Config) { c.Engines, c.Plains, c.Entries = 0, 2, entries })
 	d.waitForEntries(t)
 	service := d.documentWithOrganisation(limitedKey)
-	row := &service.Organisations[len(service.Organisations)-1]
-	row.Limits = document.Limits{RequestsPerSecond: limitedRate}
+	added := &service.Organisations[len(service.Organisations)-1]
+	added.Limits = document.Limits{RequestsPerSecond: limitedRate}
 	revision, _, err := d.Entries[0].Config.Put(boundedContext(t), service, "*")
 	require.NoError(t, err)
 	require.Empty(t, d.Entries[0].Config.WaitApplied(boundedContext(t), revision))
@@ -107,7 +107,7 @@
 func TestLimitHoldsAcrossAllEntries(t *testing.T) {
 	d := startLimited(t, 4)
 	admitted, elapsed := flood(t, d.Entries)
-	// An entry without an answer from the owner in time falls back to its local share.
+	// An entry that gets no answer from the owner in time falls back to its local share.
 	fallbacks := 0
 	for _, e := range d.Entries {
 		if e.Quota.Counters.Silent.Load() > 0 {
--- a/entry/dev/outage_test.go
+++ b/entry/dev/outage_test.go
@@ -17,7 +17,8 @@
 
 // The table, the object store, the VM list and the weight store fail under load, for longer than any
 // poll interval, and recover. Requests would fail if an entry called the platform on their path, or
-// treated an unavailable VM list as an empty one. The log shows the counts:
+// treated an unavailable VM list as an empty one. Only keyed calls may fail, because they need the
+// table, and only without having run. The log shows the counts:
 //
 //	go test -v -run TestServingContinuesDuringPlatformOutage ./entry/dev
 func TestServingContinuesDuringPlatformOutage(t *testing.T) {
--- a/entry/dev/saved_test.go
+++ b/entry/dev/saved_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// savedRevision returns the revision of the state saved in the object store, 0 if there is none.
+// savedRevision returns the revision of the state saved in the object store, 0 if there is none. It
+// starts a store whose table is down, so that the state can only come from the object store.
 func (d *Deployment) savedRevision(ctx context.Context) document.Revision {
 	down := &atomic.Bool{}
 	down.Store(true)
--- a/entry/dev/stop_bound_test.go
+++ b/entry/dev/stop_bound_test.go
@@ -42,8 +42,8 @@
 // bound call stops within a few milliseconds.
 const stopObservation = 300 * time.Millisecond
 
-// An entry binds a key to an agent, and while it writes the row the agent, which has no calls, drains.
-// If the agent stopped without asking the entries for calls bound to it, the offer would reach its new
+// An entry binds a key to an agent. While the entry writes the row, the agent drains, with no calls of
+// its own. If the agent stopped without asking the entries for calls bound to it, the offer would reach its new
 // incarnation, which can't tell what the previous one ran, and the call would fail with
 // first_run_lost and unknown execution although it never ran.
 func TestAgentStopsOnlyOnceNoEntryHasACallBoundToIt(t *testing.T) {
--- a/entry/dev/stream_test.go
+++ b/entry/dev/stream_test.go
@@ -18,9 +18,9 @@
 func TestStreamSurvivesEngineFailure(t *testing.T) {
 	const tokens = 40
 	cases := []struct {
-		name string
-		kind faults.Kind
-		skip int
+		name        string
+		kind        faults.Kind
+		afterTokens int
 	}{
 		{"dies before the first token", faults.Die, 0},
 		{"dies after 7 tokens", faults.Die, 7},
@@ -38,7 +38,7 @@
 			want, _ := parseStream(t, data)
 			d.Engines[0].SetFaults(standinengine.Fault{
 				Fault:       faults.Fault{Operation: standinengine.OpStream, Kind: tc.kind},
-				AfterTokens: tc.skip,
+				AfterTokens: tc.afterTokens,
 			})
 			for range 12 {
 				_, data := send(t, d, "POST", "/v1/chat/completions", Key, body)
@@ -57,13 +57,13 @@
 // generating or its memory stayed reserved, it would refuse requests while idle.
 func TestDisconnectedCallersFreeTheEngine(t *testing.T) {
 	d := startDeployment(t, func(c *Config) { c.Engines, c.Plains = 1, 0 })
-	for _, wait := range []bool{true, false} {
+	for _, afterFirstBytes := range []bool{true, false} {
 		ctx, disconnect := context.WithCancel(context.Background())
 		body := chatBody(t, strings.Repeat("long ", 50_000), true, 20_000)
 		request, err := http.NewRequestWithContext(ctx, "POST", "http://"+d.Entries[0].Addr()+"/v1/chat/completions", strings.NewReader(body))
 		require.NoError(t, err)
 		request.Header.Set("Authorization", "Bearer "+Key)
-		if wait {
+		if afterFirstBytes {
 			response, err := http.DefaultClient.Do(request)
 			require.NoError(t, err)
 			_, err = io.ReadFull(response.Body, make([]byte, 100))
