--- a/entry/capacity/control_test.go
+++ b/entry/capacity/control_test.go
@@ -157,6 +157,7 @@
 	}
 }
 
+// countProbes simulates 90 s and counts the probes of the first 2 s and of the last 60 s.
 func countProbes(vms []vmlist.VM, failed int) (first, later int) {
 	now := time.Unix(1_000, 0)
 	view := newMembership(now, vms)
--- a/entry/dev/idempotency_test.go
+++ b/entry/dev/idempotency_test.go
@@ -108,8 +108,8 @@
 }
 
 // An agent crashes while its plain service runs a call, and the caller repeats the call with its key
-// at two entries. The restarted agent doesn't know the call, which is no proof that it didn't run,
-// so the call must not run on another VM.
+// at two entries. The restarted agent doesn't know the call. This doesn't prove that the call never ran,
+// so it must not run on another VM.
 func TestRetryAfterAgentCrashIsUnknown(t *testing.T) {
 	d := plainDeployment(t, 500*time.Millisecond)
 	first := make(chan string, 1)
--- a/entry/dev/refused_test.go
+++ b/entry/dev/refused_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// closePlainService closes the HTTP server of a plain service, so that it refuses connections.
+// closePlainService closes the HTTP server of a plain service, so that it refuses connections. The
+// servers of the plain services are the last in the list.
 func (d *Deployment) closePlainService(t *testing.T, i int) {
 	t.Helper()
 	first := len(d.servers) - len(d.Plains)
@@ -18,8 +19,8 @@
 }
 
 // The chosen plain service refuses the connection, and its agent ends the call with proof that it did
-// not run. Unless the claim of the key records this proof, it can't be bound to another agent: the
-// call would fail as "unknown" despite a healthy plain service, and so would its repeats.
+// not run. Unless the key's claim records this proof, the key can't be bound to another agent: the call
+// would fail as "unknown" despite a healthy plain service, and so would its repeats.
 func TestKeyedCallIsRetriedWhenItsPlainServiceRefusesConnections(t *testing.T) {
 	d := startDeployment(t, func(c *Config) { c.Engines, c.Plains = 0, 2 })
 	d.closePlainService(t, 0)
--- a/entry/load/mix/mix_test.go
+++ b/entry/load/mix/mix_test.go
@@ -21,6 +21,8 @@
 	return m
 }
 
+// In the example mixes, prompts must have 1,000 to 1,000,000 tokens, one generation in 50 must have a
+// prompt longer than medium, and three large organisations must have a weight above 60 together.
 func TestExampleMixesMatchDeploymentPromptLengths(t *testing.T) {
 	for _, name := range []string{"faixa-verde.json", "omuti.json"} {
 		t.Run(name, func(t *testing.T) {
--- a/entry/load/report/report_test.go
+++ b/entry/load/report/report_test.go
@@ -56,7 +56,7 @@
 	require.Equal(t, 99, all.Count)
 	require.Equal(t, 1, r.Class(PlainClass).Count)
 	// Request i ends at 10 i + 2 (i+1) ms, so requests 84 to 166 end within the window of one
-	// second. Of these, 150 is late and 151 to 153 are no successful short requests.
+	// second. Of these, 150 is late and 151 to 153 are not successful short requests.
 	require.InDelta(t, 83-4, short.GoodPerSecond, 1e-9)
 	require.InDelta(t, 0.25, short.CachedShare(), 1e-9)
 	// The times to first token of requests 100 to 199 are 101 to 200 ms; 151 to 153 don't count.
--- a/entry/load/schedule/schedule_test.go
+++ b/entry/load/schedule/schedule_test.go
@@ -65,12 +65,15 @@
 	require.InEpsilon(t, 2, squares/n, 0.1)
 	require.InDelta(t, 0.2, plain/n, 0.02)
 	require.InDelta(t, 0.75, large/n, 0.02)
+	// Short prompts have up to 8,000 of 1,000 to 200,000 tokens: ln 8 / ln 200.
 	require.InDelta(t, 0.392, short/(n-plain), 0.02)
 	require.Len(t, documents, 20)
 	most, all := 0, 0
 	for _, count := range documents {
 		most, all = max(most, count), all+count
 	}
+	// The most popular document is that of rank 1 of the large organisation, which sends 0.75 of the
+	// requests. 2.929 is the sum of 1/rank over ten documents.
 	require.InDelta(t, 0.75/2.929, float64(most)/float64(all), 0.03)
 }
 
--- a/entry/sweep/sweep_test.go
+++ b/entry/sweep/sweep_test.go
@@ -25,8 +25,8 @@
 
 func newTable() *platform.Table { return platform.NewTable(new(faults.Table)) }
 
-// writeRow writes the row of a key as a claim does at the present time, on condition of the row's
-// version, and returns its new version.
+// writeRow writes the row of a key as a claim does at the present time, on condition that the stored
+// row has the given version, and returns the new version.
 func writeRow(t *testing.T, store table.Store, key string, version uint64) uint64 {
 	t.Helper()
 	row := idempotency.Row{
@@ -66,8 +66,8 @@
 	return cancel
 }
 
-// More than a page of rows expire. They must be deleted, lest the table grow without bound, but not
-// before their lifetime and the sweep margin have passed.
+// More than a page of rows expire. They must be deleted, so that the table does not grow without bound,
+// but not before their lifetime and the sweep margin have passed.
 func TestRowsAreDeletedOnlyAfterTheirLifetime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newTable()
